--- a/scheduler/arrival.go
+++ b/scheduler/arrival.go
@@ -16,13 +16,13 @@
 	s.countArrival(msg, event)
 	s.delayFirstAttempt(msg, event)
 	s.enqueue(msg)
-	s.setDeadline(msg, s.lastSendTime(msg))
+	s.setDeadline(msg, s.sendDeadline(msg))
 	if msg.attempts > 0 && s.attemptsExhausted(msg) || s.retryAfterTooLong(msg) {
 		s.finishUndelivered(msg)
 		return
 	}
 	msg.keyQueue.sortDelays()
-	s.makeRoom(msg)
+	s.shedIfFull(msg)
 }
 
 // newMessage makes the message of a RequestAccepted event and charges it to its tenant's quota.
@@ -79,7 +79,7 @@
 	msg.notBefore = s.now + s.retryDelay(msg.destination)
 	if event.Restored {
 		msg.notBefore = max(msg.notBefore, s.startedAt+s.recovery.BacklogDelay())
-		msg.notBefore = min(msg.notBefore, s.now+max(0, s.lastSendTime(msg)-s.now)/2)
+		msg.notBefore = min(msg.notBefore, s.now+max(0, s.sendDeadline(msg)-s.now)/2)
 	}
 }
 
@@ -92,8 +92,8 @@
 	if notRun || repeatable {
 		action.Kind = Reject
 		if s.settings.Limits.CanSendRetryAfter {
-			wait := int64(s.drainTimeUs(msg.destination) / 2)
-			action.RetryAfterUs = s.recovery.RetryAfter(wait, s.settings.Limits.MaxRetryAfterUs)
+			waitUs := int64(s.drainTimeUs(msg.destination) / 2)
+			action.RetryAfterUs = s.recovery.RetryAfter(waitUs, s.settings.Limits.MaxRetryAfterUs)
 		}
 	}
 	s.removeMessage(msg)
--- a/scheduler/breaker.go
+++ b/scheduler/breaker.go
@@ -3,15 +3,15 @@
 import "math"
 
 const (
-	outageAfterUs           = 3_000_000  // without a success; from then on failures are an outage
-	failureShareGain        = 0.22       // weight of one outcome
-	failureShareUnavailable = 0.5        // failure share from which a route is unavailable
-	lastingShareDecayUs     = 5_000_000  // for so long a failure share counts as recent
-	probeGapMinUs           = 500_000    // between probe attempts
-	probeGapMaxUs           = 2_500_000  // between probe attempts
-	probeGapGrowth          = 1.5        // each gap against the one before
-	probeSpreadMaxUs        = 12_000_000 // longest gap between one sender's probes among many
-	silentLatencyMultiple   = 1.5        // a route is silent after so many expected latencies
+	outageAfterUs               = 3_000_000  // without a success; from then on failures are an outage
+	failureShareGain            = 0.22       // weight of one outcome
+	failureShareUnavailable     = 0.5        // failure share from which a route is unavailable
+	lastingShareDecayUs         = 5_000_000  // for so long a failure share counts as recent
+	probeIntervalMinUs          = 500_000    // between probe attempts
+	probeIntervalMaxUs          = 2_500_000  // between probe attempts
+	probeIntervalGrowth         = 1.5        // each gap against the one before
+	probeIntervalManyMaxUs      = 12_000_000 // longest gap between one sender's probes among many
+	unresponsiveLatencyMultiple = 1.5        // a route is silent after so many expected latencies
 )
 
 // healthState is what a route's failures tell.
@@ -31,7 +31,7 @@
 // probeState paces the probe attempts to an unavailable route.
 type probeState struct {
 	nextAt         int64
-	gapUs          int64
+	intervalUs     int64
 	delegatedUntil int64 // until then another sender alone probes
 }
 
@@ -68,11 +68,11 @@
 	if call.sentAt >= rt.health.lastFailureAt {
 		s.countFailure(rt, mayHaveRun)
 	}
-	mostFail := rt.health.failureShare > failureShareUnavailable
+	mostlyFailing := rt.health.failureShare > failureShareUnavailable
 	repeated := rt.health.consecutiveFailures-rt.health.consecutiveRejections >= 2
 	noSuccess := s.now-rt.lastSuccessAt > outageAfterUs/3
 	switch {
-	case rt.health.unavailable, noSuccess && (repeated || mostFail), rt.latency.samples == 0 && mostFail:
+	case rt.health.unavailable, noSuccess && (repeated || mostlyFailing), rt.latency.samples == 0 && mostlyFailing:
 		s.markUnavailable(rt)
 	case rt.health.failureShare-s.lastingFailureShare(rt) > failureShareUnavailable:
 		// Some calls succeed: probes would waste the capacity that is left.
@@ -96,7 +96,7 @@
 	rt.health.consecutiveFailures = 0
 	rt.health.consecutiveRejections = 0
 	rt.health.consecutiveTimeouts = 0
-	rt.probe.gapUs = probeGapMinUs
+	rt.probe.intervalUs = probeIntervalMinUs
 }
 
 // markUnavailable records an outage, or that it lasts: from here on the route gets single probe
@@ -105,25 +105,25 @@
 	if !rt.health.unavailable {
 		rt.health.unavailable = true
 		rt.maxInFlight = 1
-		rt.probe.gapUs = probeGapMinUs
+		rt.probe.intervalUs = probeIntervalMinUs
 		rt.slowStart.until = 0
 		s.logRoute("%s is out: %d failures without a success for %d ms, trial calls only", rt, s.now)
 	}
 	// The probes of all senders together stay below what the route takes in slow start.
-	spread := s.crowding * min(1.2e6/s.slowStartRate(rt), probeSpreadMaxUs)
-	rt.probe.nextAt = s.now + int64(max(float64(rt.probe.gapUs), spread)*(0.8+0.4*s.rng.Float64()))
-	rt.probe.nextAt = max(rt.probe.nextAt, rt.retryAfterUntil+int64(spread*s.rng.Float64()))
-	rt.probe.gapUs = min(probeGapMaxUs, int64(float64(rt.probe.gapUs)*probeGapGrowth))
+	spreadUs := s.contention * min(1.2e6/s.slowStartRate(rt), probeIntervalManyMaxUs)
+	rt.probe.nextAt = s.now + int64(max(float64(rt.probe.intervalUs), spreadUs)*(0.8+0.4*s.rng.Float64()))
+	rt.probe.nextAt = max(rt.probe.nextAt, rt.retryAfterUntil+int64(spreadUs*s.rng.Float64()))
+	rt.probe.intervalUs = min(probeIntervalMaxUs, int64(float64(rt.probe.intervalUs)*probeIntervalGrowth))
 	if s.hasSharedLimit(rt) {
-		rt.probe.gapUs = min(rt.probe.gapUs, max(probeGapMinUs, int64(spread)))
+		rt.probe.intervalUs = min(rt.probe.intervalUs, max(probeIntervalMinUs, int64(spreadUs)))
 	}
 }
 
 // isProbing tells whether calls to a route leave one by one: it is failing, or holds calls and has
 // been silent for longer than expected, before any time-out shows it.
 func (s *Scheduler) isProbing(rt *route) bool {
-	silent := len(rt.calls) > 0 && s.isSilentSince(rt, max(rt.calls[0].sentAt, rt.lastAnswerAt))
-	return silent || s.isFailing(rt)
+	unresponsive := len(rt.calls) > 0 && s.isUnresponsiveSince(rt, max(rt.calls[0].sentAt, rt.lastOutcomeAt))
+	return unresponsive || s.isFailing(rt)
 }
 
 // isFailing tells whether a route is unavailable, or without a success since a failure some time ago.
@@ -137,14 +137,14 @@
 	return failed && s.now-health.failingSince > outageAfterUs
 }
 
-// silentSinceStart tells whether this incarnation has begun in an outage without failures: it holds
+// unresponsiveSinceStart tells whether this incarnation has begun in an outage without failures: it holds
 // calls, and the route has never answered.
-func (s *Scheduler) silentSinceStart(rt *route) bool {
-	return rt.latency.samples == 0 && len(rt.calls) > 0 && s.isSilentSince(rt, rt.calls[0].sentAt)
+func (s *Scheduler) unresponsiveSinceStart(rt *route) bool {
+	return rt.latency.samples == 0 && len(rt.calls) > 0 && s.isUnresponsiveSince(rt, rt.calls[0].sentAt)
 }
 
-func (s *Scheduler) isSilentSince(rt *route, since int64) bool {
-	return s.now-since > int64(silentLatencyMultiple*float64(s.expectedLatencyUs(rt)))
+func (s *Scheduler) isUnresponsiveSince(rt *route, since int64) bool {
+	return s.now-since > int64(unresponsiveLatencyMultiple*float64(s.expectedLatencyUs(rt)))
 }
 
 // lastingFailureShare is the part of a route's failure share that is not recent. Waiting does not
--- a/scheduler/breaker_test.go
+++ b/scheduler/breaker_test.go
@@ -171,7 +171,7 @@
 	rt := rig.sched.destinationByID[1].route
 	rt.health.unavailable, rt.probe.nextAt = true, rig.now
 	late, fresh := rig.request("safe", 1), rig.request("safe", 1)
-	late.Deadline = rig.now + int64(5*rt.latency.usualUs)
+	late.Deadline = rig.now + int64(5*rt.latency.baselineUs)
 	rig.advance(1*ms, late)
 	rig.advance(1*ms, fresh)
 	if rig.attempts[late.ID] != 0 || rig.attempts[fresh.ID] != 1 {
@@ -245,7 +245,7 @@
 		rig.sched.markUnavailable(rt)
 		return rt.probe.nextAt - rig.sched.now
 	}
-	if few, many := gap(3), gap(200); few > probeGapMinUs*13/10 || many < 4*probeGapMinUs {
+	if few, many := gap(3), gap(200); few > probeIntervalMinUs*13/10 || many < 4*probeIntervalMinUs {
 		t.Errorf("first probe after %d ms among 3 and %d ms among 200", few/ms, many/ms)
 	}
 }
--- a/scheduler/choice.go
+++ b/scheduler/choice.go
@@ -20,13 +20,13 @@
 // chooseEndpoint picks the endpoint of least cost for a message; nil where it has to wait.
 func (s *Scheduler) chooseEndpoint(msg *message, endpoints []*endpoint) *endpoint {
 	var chosen *endpoint
-	lowest := math.Inf(1)
+	lowestCost := math.Inf(1)
 	for _, ep := range endpoints {
 		if !s.mayUse(msg, ep) {
 			continue
 		}
-		if cost := s.endpointCost(msg, ep); cost < lowest {
-			lowest, chosen = cost, ep
+		if cost := s.endpointCost(msg, ep); cost < lowestCost {
+			lowestCost, chosen = cost, ep
 		}
 	}
 	return chosen
@@ -36,16 +36,16 @@
 // how long.
 func (s *Scheduler) mayUse(msg *message, ep *endpoint) bool {
 	rt := ep.route
-	keyUnknown := msg.firstRunAt != 0 && msg.class.idempotentByKey &&
+	keyOutOfScope := msg.firstRunAt != 0 && msg.class.idempotentByKey &&
 		msg.class.KeyScope != KeyScopeAll && ep.Zone != msg.firstRunZone
-	if keyUnknown {
+	if keyOutOfScope {
 		return false
 	}
-	leftUs := s.answerBy(msg) - 2*s.settings.TickUs - s.now
-	if leftUs < int64(rt.latency.usualUs) {
+	remainingUs := s.answerDeadline(msg) - 2*s.settings.TickUs - s.now
+	if remainingUs < int64(rt.latency.baselineUs) {
 		return false
 	}
-	if at := s.probeWithMessageAt(rt, leftUs); s.now < at {
+	if at := s.probeAllowedAt(rt, remainingUs); s.now < at {
 		msg.destination.nextDispatchAt = min(msg.destination.nextDispatchAt, at)
 		return false
 	}
@@ -56,14 +56,14 @@
 	return s.shutdownAt <= 0 || s.now+s.callDurationUs(msg, rt) <= s.shutdownAt
 }
 
-// probeWithMessageAt is when a message with so much time left may be a route's probe attempt; 0 where
+// probeAllowedAt is when a message with so much time left may be a route's probe attempt; 0 where
 // nothing stands against it. A probe that its message's deadline ends proves nothing, but is sent
 // where no other message comes.
-func (s *Scheduler) probeWithMessageAt(rt *route, leftUs int64) int64 {
-	if !s.isProbing(rt) || leftUs >= max(probeMinRemainingUs, int64(timeoutLatencyMultiple*rt.latency.usualUs)) {
+func (s *Scheduler) probeAllowedAt(rt *route, remainingUs int64) int64 {
+	if !s.isProbing(rt) || remainingUs >= max(probeMinRemainingUs, int64(timeoutLatencyMultiple*rt.latency.baselineUs)) {
 		return 0
 	}
-	return max(rt.lastSendAt, rt.retryAfterUntil, rt.probe.nextAt) + 2*probeGapMaxUs
+	return max(rt.lastSendAt, rt.retryAfterUntil, rt.probe.nextAt) + 2*probeIntervalMaxUs
 }
 
 // unsafeAllowedAt is when a message may go to a route on which attempts may be lost; 0 where it is
@@ -75,7 +75,7 @@
 	if !s.isProbing(rt) && rt.health.failureShare <= failureShareUnsafe {
 		return 0
 	}
-	return max(rt.lastSendAt, rt.health.lastFailureAt) + probeGapMaxUs
+	return max(rt.lastSendAt, rt.health.lastFailureAt) + probeIntervalMaxUs
 }
 
 // endpointCost weighs an endpoint's fee, load, recent failures and connections.
@@ -107,16 +107,16 @@
 // preferenceCost spreads many senders over a destination's routes, by each sender's random
 // preference and the routes' capacities: by fees alone all would overload the cheapest one.
 func (s *Scheduler) preferenceCost(ep *endpoint) float64 {
-	if s.crowding == 0 {
+	if s.contention == 0 {
 		return 0
 	}
-	sum, own := 0.0, cmp.Or(ep.route.capacityHint, 1)
+	totalCapacity, ownCapacity := 0.0, cmp.Or(ep.route.capacityHint, 1)
 	for _, other := range ep.route.destination.endpoints {
-		sum += cmp.Or(other.route.capacityHint, 1)
+		totalCapacity += cmp.Or(other.route.capacityHint, 1)
 	}
-	preference := ep.randomPreference * sum / own
-	calls := preferenceFadeUs / 1e6 * s.arrivalRate(ep.route)
-	return preferenceWeight * preference / (1 + preference) * s.crowding / (1 + calls*calls)
+	preference := ep.randomPreference * totalCapacity / ownCapacity
+	callsPerFade := preferenceFadeUs / 1e6 * s.arrivalRate(ep.route)
+	return preferenceWeight * preference / (1 + preference) * s.contention / (1 + callsPerFade*callsPerFade)
 }
 
 // callDurationUs is how long a call should take, with a margin for an unsafe message.
--- a/scheduler/concurrency.go
+++ b/scheduler/concurrency.go
@@ -13,26 +13,26 @@
 	overdueLatencyMultiple  = 4.0  // a call is overdue
 	cancelLatencyMultiple   = 3.0  // a call to a silent route may be canceled
 	defaultLatencyUs        = 500_000
-	slowRouteRetryUs        = probeGapMinUs / 4 // when to ask again for a call to a slow route
+	slowRouteRetryUs        = probeIntervalMinUs / 4 // when to ask again for a call to a slow route
 )
 
 // latencyEstimate follows the time from an attempt's start to its answer.
 type latencyEstimate struct {
 	smoothedUs  float64
 	deviationUs float64
-	usualUs     float64 // over many more answers
+	baselineUs  float64 // over many more answers
 	samples     float64
 }
 
 // observe takes up the latency of one answer.
-func (latency *latencyEstimate) observe(us float64) {
+func (latency *latencyEstimate) observe(latencyUs float64) {
 	latency.samples++
 	if latency.samples == 1 {
-		latency.smoothedUs, latency.deviationUs, latency.usualUs = us, us/2, us
+		latency.smoothedUs, latency.deviationUs, latency.baselineUs = latencyUs, latencyUs/2, latencyUs
 	}
-	latency.deviationUs += (math.Abs(us-latency.smoothedUs) - latency.deviationUs) / min(8, latency.samples+1)
-	latency.smoothedUs += (us - latency.smoothedUs) / min(8, latency.samples)
-	latency.usualUs += (min(us, 4*latency.usualUs) - latency.usualUs) / min(64, latency.samples)
+	latency.deviationUs += (math.Abs(latencyUs-latency.smoothedUs) - latency.deviationUs) / min(8, latency.samples+1)
+	latency.smoothedUs += (latencyUs - latency.smoothedUs) / min(8, latency.samples)
+	latency.baselineUs += (min(latencyUs, 4*latency.baselineUs) - latency.baselineUs) / min(64, latency.samples)
 }
 
 // expectedLatencyUs is the time within which a route normally answers: the mean and two deviations.
@@ -46,16 +46,16 @@
 // updateSlowdown notes that a route has answered, and takes the median over all routes of the
 // latency against the usual one: where all are slow, none counts as slow.
 func (s *Scheduler) updateSlowdown(answered *route) {
-	if !slices.Contains(s.answering, answered) {
-		s.answering = append(s.answering, answered)
+	if !slices.Contains(s.respondingRoutes, answered) {
+		s.respondingRoutes = append(s.respondingRoutes, answered)
 	}
-	s.answering = slices.DeleteFunc(s.answering, func(rt *route) bool {
+	s.respondingRoutes = slices.DeleteFunc(s.respondingRoutes, func(rt *route) bool {
 		return s.now-rt.lastSuccessAt >= outageAfterUs
 	})
 	var buffer [32]float64
 	ratios := buffer[:0]
-	for _, rt := range s.answering {
-		ratios = append(ratios, rt.latency.smoothedUs/rt.latency.usualUs)
+	for _, rt := range s.respondingRoutes {
+		ratios = append(ratios, rt.latency.smoothedUs/rt.latency.baselineUs)
 	}
 	slices.Sort(ratios)
 	s.slowdown = max(1, elementOrZero(ratios, len(ratios)/2))
@@ -63,16 +63,16 @@
 
 // raiseMaxInFlight doubles a route's concurrency limit for a success.
 func (s *Scheduler) raiseMaxInFlight(rt *route) {
-	most := s.maxCallsPerDestination
+	limit := s.maxCallsPerDestination
 	if s.isSlow(rt) {
-		most = max(1, most/2)
+		limit = max(1, limit/2)
 	}
-	rt.maxInFlight = min(most, rt.maxInFlight*2)
+	rt.maxInFlight = min(limit, rt.maxInFlight*2)
 }
 
 // isSlow tells whether a route answers much slower than usual, while others do not.
 func (s *Scheduler) isSlow(rt *route) bool {
-	return rt.latency.smoothedUs > slowLatencyMultiple*rt.latency.usualUs*s.slowdown
+	return rt.latency.smoothedUs > slowLatencyMultiple*rt.latency.baselineUs*s.slowdown
 }
 
 // isOverdue tells whether a call without an outcome has probably been lost.
@@ -101,19 +101,19 @@
 		return
 	}
 	var stuck *call
-	lowest, wanted := math.Inf(1), false
+	lowestCost, neededElsewhere := math.Inf(1), false
 	for _, dest := range s.active {
 		for _, ep := range dest.endpoints {
 			probing := s.isProbing(ep.route)
 			if ok, _ := s.maySend(dest, ep); ok && !probing && len(dest.pending) > 0 {
-				wanted = true
+				neededElsewhere = true
 			}
-			if cost, ok := s.cancellationCost(ep.route, probing); ok && cost < lowest {
-				lowest, stuck = cost, ep.route.calls[0]
+			if cost, ok := s.cancellationCost(ep.route, probing); ok && cost < lowestCost {
+				lowestCost, stuck = cost, ep.route.calls[0]
 			}
 		}
 	}
-	if wanted && stuck != nil {
+	if neededElsewhere && stuck != nil {
 		s.cancelCall(stuck, true)
 	}
 }
@@ -161,11 +161,11 @@
 // cancelAfterUs is how long a call gets at least: the latency objective where it has an unsafe
 // message, else half of it, so that a retry has as long.
 func (c *call) cancelAfterUs() int64 {
-	us := c.messages[0].class.LatencyObjectiveUs / 2
+	afterUs := c.messages[0].class.LatencyObjectiveUs / 2
 	for _, msg := range c.messages {
 		if msg.class.unsafe {
-			return max(us, msg.class.LatencyObjectiveUs)
+			return max(afterUs, msg.class.LatencyObjectiveUs)
 		}
 	}
-	return us
+	return afterUs
 }
--- a/scheduler/connections.go
+++ b/scheduler/connections.go
@@ -6,7 +6,7 @@
 	connectFailureGain      = 0.05    // weight of one connect in the share of failed ones
 	connectFailureThreshold = 0.01    // share of failed connects from which idle connections are closed
 	minKeepIdleRate         = 0.7     // messages a second from which an idle connection is kept
-	connectRejectedGapUs    = 100_000 // first gap before a new connection after a rejected one
+	connectRejectedDelayUs  = 100_000 // first gap before a new connection after a rejected one
 	maxIdleGrowthDivisor    = 100     // each use raises the age at which idle connections are closed by 1/100
 )
 
@@ -64,13 +64,13 @@
 	if !wasIdle {
 		return false
 	}
-	shorter := call.idleUs * 3 / 4
-	ep.connections.maxIdleUs = min(cmp.Or(ep.connections.maxIdleUs, call.idleUs), shorter)
+	reducedUs := call.idleUs * 3 / 4
+	ep.connections.maxIdleUs = min(cmp.Or(ep.connections.maxIdleUs, call.idleUs), reducedUs)
 	if outcome != OutcomeReset || ep.callsInFlight > 0 {
 		return false
 	}
 	// What drops idle connections is on the way to most endpoints.
-	s.maxIdleUs = min(cmp.Or(s.maxIdleUs, call.idleUs), shorter)
+	s.maxIdleUs = min(cmp.Or(s.maxIdleUs, call.idleUs), reducedUs)
 	s.maxIdleLearnedAt = s.now
 	s.closeIdleConnections(ep)
 	return true
@@ -86,7 +86,7 @@
 
 // recordConnect updates the share of failed connects of a machine type.
 func (s *Scheduler) recordConnect(call *call, outcome Outcome, rejected bool) {
-	if !call.openedConnection || !outcome.isAnswer() {
+	if !call.openedConnection || !outcome.involvesEndpoint() {
 		return
 	}
 	machineType := call.endpoint.MachineType
@@ -101,18 +101,18 @@
 	ep.connections.limit = ep.callsInFlight
 	streak := &ep.failures[connectFailures]
 	streak.record(s.now)
-	gap := int64(connectRejectedGapUs) << min(streak.count-1, 4)
-	ep.connections.limitedUntil = s.now + int64((0.5+s.rng.Float64())*float64(gap))
+	delayUs := int64(connectRejectedDelayUs) << min(streak.count-1, 4)
+	ep.connections.limitedUntil = s.now + int64((0.5+s.rng.Float64())*float64(delayUs))
 }
 
-// closeRarelyUsed closes idle connections at once where this sender comes rarely: where connects
+// closeIfRarelyUsed closes idle connections at once where this sender comes rarely: where connects
 // fail, and among many senders always, since the endpoint may lack room for the others'.
-func (s *Scheduler) closeRarelyUsed(ep *endpoint) {
+func (s *Scheduler) closeIfRarelyUsed(ep *endpoint) {
 	if ep.callsInFlight > 0 || ep.connections.open == 0 {
 		return
 	}
-	rarely := s.senderFactor - boolToFloat(s.connectFailureShare[ep.MachineType] <= connectFailureThreshold)
-	if s.arrivalRate(ep.route) < minKeepIdleRate*rarely {
+	threshold := s.senderFactor - boolToFloat(s.connectFailureShare[ep.MachineType] <= connectFailureThreshold)
+	if s.arrivalRate(ep.route) < minKeepIdleRate*threshold {
 		s.closeIdleConnections(ep)
 	}
 }
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -19,7 +19,7 @@
 	messages []*message
 
 	sentAt           int64
-	round            int64 // of Step
+	step             int64 // of Step
 	idleUs           int64 // age of the idle connection that it took; 0: none
 	size             int   // messages sent with it
 	unfinished       int   // messages without an outcome
@@ -40,9 +40,9 @@
 func (s *Scheduler) dispatch() {
 	s.countCallsToSlowRoutes()
 	for _, dest := range s.active {
-		dest.next.message, dest.nextDispatchAt = nil, never
+		dest.nextCandidate.message, dest.nextDispatchAt = nil, never
 		if len(dest.pending) > 0 && s.callsInFlight < s.maxCalls {
-			dest.next = s.bestMessage(dest, nil)
+			dest.nextCandidate = s.bestMessage(dest, nil)
 		}
 	}
 	for s.callsInFlight < s.maxCalls {
@@ -51,25 +51,25 @@
 			return
 		}
 		s.sendCall(dest)
-		dest.next = s.bestMessage(dest, nil)
+		dest.nextCandidate = s.bestMessage(dest, nil)
 	}
 }
 
 // mostUrgentDestination is the one whose best message loses most by waiting; nil where none can leave.
 func (s *Scheduler) mostUrgentDestination() *destination {
-	var most *destination
+	var urgent *destination
 	for _, dest := range s.active {
-		if dest.next.message != nil && (most == nil || dest.next.score > most.next.score) {
-			most = dest
+		if dest.nextCandidate.message != nil && (urgent == nil || dest.nextCandidate.score > urgent.nextCandidate.score) {
+			urgent = dest
 		}
 	}
-	return most
+	return urgent
 }
 
 // sendCall sends a destination's best message, and more with the same call where they fit.
 func (s *Scheduler) sendCall(dest *destination) {
-	ep := dest.next.endpoint
-	for msg := dest.next.message; msg != nil; msg = s.bestMessage(dest, ep).message {
+	ep := dest.nextCandidate.endpoint
+	for msg := dest.nextCandidate.message; msg != nil; msg = s.bestMessage(dest, ep).message {
 		s.send(msg, ep)
 		if ep.currentCall.size >= ep.messagesPerCall || s.isProbing(ep.route) {
 			return
@@ -79,11 +79,11 @@
 
 // bestMessage picks the pending message of a destination that loses most by waiting, and its
 // endpoint. With join it picks one more message for the call that goes to that endpoint now.
-func (s *Scheduler) bestMessage(dest *destination, join *endpoint) candidate {
+func (s *Scheduler) bestMessage(dest *destination, batchEndpoint *endpoint) candidate {
 	var buffer [16]*endpoint
 	usable := buffer[:0]
-	if join != nil {
-		usable = append(usable, join)
+	if batchEndpoint != nil {
+		usable = append(usable, batchEndpoint)
 	} else {
 		usable = s.appendUsable(usable, dest)
 	}
@@ -128,7 +128,7 @@
 		dest.nextDispatchAt = min(dest.nextDispatchAt, msg.notBefore)
 		return false
 	}
-	if queue := msg.keyQueue; queue != nil && queue.holds(msg, s.now) {
+	if queue := msg.keyQueue; queue != nil && queue.blocks(msg, s.now) {
 		dest.nextDispatchAt = min(dest.nextDispatchAt, max(queue.quarantinedUntil, s.now+s.settings.TickUs))
 		return false
 	}
@@ -213,15 +213,15 @@
 	if inFlight == 0 {
 		return rt.probe.nextAt
 	}
-	gap := min(probeGapMaxUs, s.expectedLatencyUs(rt)<<min(inFlight-1, 4))
-	return max(rt.probe.nextAt, rt.lastSendAt+gap)
+	intervalUs := min(probeIntervalMaxUs, s.expectedLatencyUs(rt)<<min(inFlight-1, 4))
+	return max(rt.probe.nextAt, rt.lastSendAt+intervalUs)
 }
 
 // send starts an attempt of a message, with a new call or with the one that leaves in this step.
 func (s *Scheduler) send(msg *message, ep *endpoint) {
 	rt := ep.route
 	call := ep.currentCall
-	if call == nil || call.round != s.round || call.size >= ep.messagesPerCall || call.unfinished < call.size {
+	if call == nil || call.step != s.step || call.size >= ep.messagesPerCall || call.unfinished < call.size {
 		call = s.startCall(msg.destination, ep)
 	}
 	s.chargeSlowStart(rt, call)
@@ -243,7 +243,7 @@
 func (s *Scheduler) startCall(dest *destination, ep *endpoint) *call {
 	rt := ep.route
 	started := &call{
-		route: rt, endpoint: ep, sentAt: s.now, round: s.round,
+		route: rt, endpoint: ep, sentAt: s.now, step: s.step,
 		afterRejections: rt.health.consecutiveRejections > 0,
 	}
 	ep.currentCall = started
@@ -264,22 +264,22 @@
 // attemptTimeoutUs is the time-out of an attempt. It grows with time-outs in a row, is never so
 // short that a failed connect looks like a lost answer, and leaves room for a retry.
 func (s *Scheduler) attemptTimeoutUs(msg *message, rt *route) int64 {
-	left := max(1, s.answerBy(msg)-s.now-2*s.settings.TickUs)
+	remainingUs := max(1, s.answerDeadline(msg)-s.now-2*s.settings.TickUs)
 	if msg.class.unsafe || msg.class.Stream {
-		return left
+		return remainingUs
 	}
 	expectedUs := s.expectedLatencyUs(rt)
-	timeout := int64(timeoutLatencyMultiple*float64(expectedUs)) << min(rt.health.consecutiveTimeouts, 4)
-	timeout = max(timeout, msg.class.LatencyObjectiveUs, s.settings.Limits.ConnectTimeoutUs+2*expectedUs)
+	timeoutUs := int64(timeoutLatencyMultiple*float64(expectedUs)) << min(rt.health.consecutiveTimeouts, 4)
+	timeoutUs = max(timeoutUs, msg.class.LatencyObjectiveUs, s.settings.Limits.ConnectTimeoutUs+2*expectedUs)
 	switch {
 	case !msg.class.idempotentByKey:
-		timeout = min(timeout, left*timeoutTenths/10)
+		timeoutUs = min(timeoutUs, remainingUs*timeoutTenths/10)
 	case msg.firstRunAt != 0:
-		timeout = left
+		timeoutUs = remainingUs
 	default:
-		timeout = min(timeout, msg.class.KeyWindowUs*timeoutTenths/10)
+		timeoutUs = min(timeoutUs, msg.class.KeyWindowUs*timeoutTenths/10)
 	}
-	return max(1, min(timeout, left))
+	return max(1, min(timeoutUs, remainingUs))
 }
 
 // InFlight lists the attempts that are in flight: the message, and which of its attempts.
--- a/scheduler/endpointlist.go
+++ b/scheduler/endpointlist.go
@@ -12,7 +12,7 @@
 func (s *Scheduler) updateEndpoints(event *Event) {
 	if event.Update == UpdateBroken {
 		if s.watching {
-			s.watching, s.watchGapUs = false, 0
+			s.watching, s.watchIntervalUs = false, 0
 		}
 		return
 	}
@@ -75,7 +75,7 @@
 		s.randomizeTokens(ep.route)
 	}
 	ep.Endpoint, ep.live, ep.listed = listed, live, true
-	if hint := listed.CapacityHint * s.hintTrust() / s.senders; hint > 0 && !math.IsInf(hint, 1) {
+	if hint := listed.CapacityHint * s.hintFactor() / s.senders; hint > 0 && !math.IsInf(hint, 1) {
 		ep.route.capacityHint = hint
 	}
 }
@@ -102,8 +102,8 @@
 	return ep
 }
 
-// hintTrust is the factor on the list's capacity hints; 0 where it has none.
-func (s *Scheduler) hintTrust() float64 {
+// hintFactor is the factor on the list's capacity hints; 0 where it has none.
+func (s *Scheduler) hintFactor() float64 {
 	switch s.settings.CapacityHints {
 	case HintsExact:
 		return 1
@@ -121,14 +121,14 @@
 	if s.settings.Discovery != DiscoveryOnRequest || s.watching {
 		return
 	}
-	longest := max(s.settings.Rules.MaxPollIntervalUs, s.settings.Limits.ConnectTimeoutUs, s.settings.TickUs)
-	if s.watchGapUs == 0 { // at the start, and after a watch has ended
-		s.watchGapUs = longest / 4
-		s.nextWatchAt = s.now + int64(s.crowding*s.rng.Float64()*float64(longest/2))
+	maxIntervalUs := max(s.settings.Rules.MaxPollIntervalUs, s.settings.Limits.ConnectTimeoutUs, s.settings.TickUs)
+	if s.watchIntervalUs == 0 { // at the start, and after a watch has ended
+		s.watchIntervalUs = maxIntervalUs / 4
+		s.nextWatchAt = s.now + int64(s.contention*s.rng.Float64()*float64(maxIntervalUs/2))
 	}
 	if s.now >= s.nextWatchAt {
-		s.nextWatchAt = s.now + int64((0.5+s.rng.Float64())*float64(s.watchGapUs))
-		s.watchGapUs = min(longest, 2*s.watchGapUs)
+		s.nextWatchAt = s.now + int64((0.5+s.rng.Float64())*float64(s.watchIntervalUs))
+		s.watchIntervalUs = min(maxIntervalUs, 2*s.watchIntervalUs)
 		s.actions = append(s.actions, Action{Kind: WatchEndpoints, On: true})
 	}
 }
--- a/scheduler/keyorder.go
+++ b/scheduler/keyorder.go
@@ -1,7 +1,7 @@
 package scheduler
 
-// keySweepSlack is how many key queues beside twice those in use may exist before unused ones are dropped.
-const keySweepSlack = 64
+// keyQueueSweepSlack is how many key queues beside twice those in use may exist before unused ones are dropped.
+const keyQueueSweepSlack = 64
 
 // keyQueue holds the messages of one key that are delivered in order.
 type keyQueue struct {
@@ -40,8 +40,8 @@
 	}
 }
 
-// holds tells whether a message has to wait for others of its key.
-func (q *keyQueue) holds(msg *message, now int64) bool {
+// blocks tells whether a message has to wait for others of its key.
+func (q *keyQueue) blocks(msg *message, now int64) bool {
 	return q.messages[0] != msg || q.inFlight > 0 || now < q.quarantinedUntil && q.ambiguous != msg
 }
 
@@ -61,7 +61,7 @@
 
 // sweepKeyQueues drops the queues that nothing needs, each time their number has doubled.
 func (s *Scheduler) sweepKeyQueues() {
-	if len(s.keyQueues) < s.keySweepSize {
+	if len(s.keyQueues) < s.keyQueueSweepSize {
 		return
 	}
 	for key, queue := range s.keyQueues {
@@ -69,5 +69,5 @@
 			delete(s.keyQueues, key)
 		}
 	}
-	s.keySweepSize = 2*len(s.keyQueues) + keySweepSlack
+	s.keyQueueSweepSize = 2*len(s.keyQueues) + keyQueueSweepSlack
 }
--- a/scheduler/learned.go
+++ b/scheduler/learned.go
@@ -16,18 +16,18 @@
 // LearnedState is what the next incarnation may know, of so many routes at most: first those that
 // are unavailable, in slow start or in a Retry-After, then those that were sent to last. It changes
 // nothing. docs/design/coming-back.md has the reasons.
-func (s *Scheduler) LearnedState(most int) State {
+func (s *Scheduler) LearnedState(maxRoutes int) State {
 	list := s.learnedRoutes()
 	slices.SortFunc(list, func(a, b learnedRoute) int {
 		return cmp.Or(
-			cmp.Compare(s.urgency(b.route), s.urgency(a.route)),
+			cmp.Compare(s.learnedPriority(b.route), s.learnedPriority(a.route)),
 			cmp.Compare(a.destination, b.destination),
 			cmp.Compare(a.route.name, b.route.name),
 		)
 	})
 	state := State{Format: StateFormat}
 	index := map[int64]int{} // in state.Destinations
-	for _, learned := range list[:min(most, len(list))] {
+	for _, learned := range list[:min(maxRoutes, len(list))] {
 		i, ok := index[learned.destination]
 		if !ok {
 			i = len(state.Destinations)
@@ -43,31 +43,31 @@
 func (s *Scheduler) learnedRoutes() []learnedRoute {
 	var list []learnedRoute
 	for id, dest := range s.destinationByID {
-		if s.isKnown(dest.route) {
+		if s.hasLearnedState(dest.route) {
 			list = append(list, learnedRoute{destination: id, route: dest.route})
 		}
 		for _, ep := range dest.endpoints {
-			if ep.ownLimit && ep.live && s.isKnown(ep.route) {
+			if ep.ownLimit && ep.live && s.hasLearnedState(ep.route) {
 				list = append(list, learnedRoute{destination: id, route: ep.route, endpoint: &ep.Endpoint})
 			}
 		}
 	}
-	for _, past := range s.learnedEndpoints { // still waiting for the list to name them
-		list = append(list, learnedRoute{destination: past.Destination, route: past.route, endpoint: &past.Endpoint})
+	for _, learned := range s.learnedEndpoints { // still waiting for the list to name them
+		list = append(list, learnedRoute{destination: learned.Destination, route: learned.route, endpoint: &learned.Endpoint})
 	}
 	return list
 }
 
-// urgency orders the routes of a learned state.
-func (s *Scheduler) urgency(rt *route) int64 {
+// learnedPriority orders the routes of a learned state.
+func (s *Scheduler) learnedPriority(rt *route) int64 {
 	if rt.health.unavailable || rt.retryAfterUntil > s.now || rt.slowStart.until > s.now {
 		return never
 	}
 	return rt.lastSendAt
 }
 
-// isKnown tells whether there is anything to learn of a route.
-func (s *Scheduler) isKnown(rt *route) bool {
+// hasLearnedState tells whether there is anything to learn of a route.
+func (s *Scheduler) hasLearnedState(rt *route) bool {
 	return rt.latency.samples > 0 || rt.advertisedLimit.Known() || rt.health.unavailable || rt.retryAfterUntil > s.now
 }
 
@@ -75,7 +75,7 @@
 func (dest *destination) learnedState(id int64) DestinationState {
 	return DestinationState{
 		Destination: id,
-		Floats:      []float64{threeDigits(dest.arrivalRate)},
+		Floats:      []float64{roundToThreeDigits(dest.arrivalRate)},
 		Integers:    values(dest.integers()),
 		Route:       newRoute("", nil).state(),
 	}
@@ -97,37 +97,37 @@
 
 // learnedRouteState is a route's learned state. What is not used after a restart is zero, so that
 // the snapshot stays small.
-func (s *Scheduler) learnedRouteState(of *route) RouteState {
-	rt := *of
+func (s *Scheduler) learnedRouteState(source *route) RouteState {
+	rt := *source
 	rt.capacityHint = 0
 	rt.overtakenUntil = 0
-	rt.probe.gapUs = 0
+	rt.probe.intervalUs = 0
 	rt.slowStart.nextCallAt = 0
 
-	rt.bucket.limited = of.bucket.limited && (!of.bucket.inherited || of.bucket.decreasedAt > 0)
-	rt.bucket.rate = threeDigits(of.bucket.rate)
-	rt.bucket.rateMark = threeDigits(of.bucket.rateMark)
+	rt.bucket.limited = source.bucket.limited && (!source.bucket.inherited || source.bucket.decreasedAt > 0)
+	rt.bucket.rate = roundToThreeDigits(source.bucket.rate)
+	rt.bucket.rateMark = roundToThreeDigits(source.bucket.rateMark)
 	rt.bucket.tokens = 0
 	rt.bucket.refilledAt = 0
 	rt.bucket.decreasedAt = 0
 
 	rt.throughput = throughput{
-		successRate:     threeDigits(of.throughput.successRate),
-		peakSuccessRate: threeDigits(of.throughput.peakSuccessRate),
+		successRate:     roundToThreeDigits(source.throughput.successRate),
+		peakSuccessRate: roundToThreeDigits(source.throughput.peakSuccessRate),
 	}
 	rt.latency.smoothedUs = 0
-	rt.latency.usualUs = threeDigits(of.latency.usualUs)
-	rt.latency.deviationUs = threeDigits(of.latency.deviationUs)
+	rt.latency.baselineUs = roundToThreeDigits(source.latency.baselineUs)
+	rt.latency.deviationUs = roundToThreeDigits(source.latency.deviationUs)
 
 	rt.health.failingSince = 0
 	rt.health.failureShare = 0
 	rt.health.failureShareAt = 0
-	rt.health.lastingFailureShare = threeDigits(s.lastingFailureShare(of))
+	rt.health.lastingFailureShare = roundToThreeDigits(s.lastingFailureShare(source))
 	return rt.state()
 }
 
-// threeDigits rounds a number to three significant digits.
-func threeDigits(number float64) float64 {
+// roundToThreeDigits rounds a number to three significant digits.
+func roundToThreeDigits(number float64) float64 {
 	if number == 0 || math.IsInf(number, 0) || math.IsNaN(number) {
 		return 0
 	}
@@ -169,41 +169,41 @@
 }
 
 // ShiftTimes moves all times of a learned state by a time: the clock was set between two incarnations.
-func (state *State) ShiftTimes(us int64) {
-	if us == 0 {
+func (state *State) ShiftTimes(deltaUs int64) {
+	if deltaUs == 0 {
 		return
 	}
 	for i := range state.Destinations {
 		dest := &state.Destinations[i]
 		for j := range dest.Integers {
-			dest.Integers[j] += us
+			dest.Integers[j] += deltaUs
 		}
-		dest.Route.shiftTimes(us)
+		dest.Route.shiftTimes(deltaUs)
 		for _, ep := range dest.Endpoints {
 			if ep.OwnRoute != nil {
-				ep.OwnRoute.shiftTimes(us)
+				ep.OwnRoute.shiftTimes(deltaUs)
 			}
 		}
 	}
 }
 
-func (state *RouteState) shiftTimes(us int64) {
+func (state *RouteState) shiftTimes(deltaUs int64) {
 	rt := newRoute("", nil)
 	if !rt.restore(*state) {
 		return
 	}
-	for _, number := range rt.integers() {
-		isTime := number != &rt.probe.gapUs
-		if isTime && *number != 0 {
-			*number += us
+	for _, integer := range rt.integers() {
+		isTime := integer != &rt.probe.intervalUs
+		if isTime && *integer != 0 {
+			*integer += deltaUs
 		}
 	}
 	if rt.firstCallAt != 0 {
-		rt.firstCallAt += us
+		rt.firstCallAt += deltaUs
 	}
 	limit := rt.advertisedLimit.State()
 	*state = rt.state()
 	if limit[2] != 0 { // when the limit was seen
-		state.AdvertisedLimit[2] = limit[2] + float64(us)
+		state.AdvertisedLimit[2] = limit[2] + float64(deltaUs)
 	}
 }
--- a/scheduler/learned_test.go
+++ b/scheduler/learned_test.go
@@ -165,9 +165,9 @@
 	waiting, unavailable := ep("waiting", "apart", "z", 1), ep("unavailable", "apart", "z", 1)
 	rig := newRig(t, testSettings(), waiting, unavailable)
 	rt := rig.sched.endpoints["waiting"].route
-	rt.retryAfterUntil, rt.latency.samples, rt.latency.usualUs, rt.lastAnswerAt = rig.now+3000*ms, 40, 50_000, rig.now
+	rt.retryAfterUntil, rt.latency.samples, rt.latency.baselineUs, rt.lastOutcomeAt = rig.now+3000*ms, 40, 50_000, rig.now
 	rt = rig.sched.endpoints["unavailable"].route
-	rt.latency.samples, rt.latency.usualUs, rt.lastSendAt, rt.health.lastFailureAt = 40, 50_000, rig.now, rig.now
+	rt.latency.samples, rt.latency.baselineUs, rt.lastSendAt, rt.health.lastFailureAt = 40, 50_000, rig.now, rig.now
 	rig.sched.markUnavailable(rt)
 	fingerprint := rig.sched.Fingerprint()
 	if rt.health.unavailable = false; rig.sched.Fingerprint() == fingerprint {
@@ -208,8 +208,8 @@
 		}})
 		a, b := sched.endpoints["waiting"].route, sched.endpoints["unavailable"].route
 		if (a.retryAfterUntil == 1e9+3000*ms) != tc.same || b.health.unavailable != tc.same ||
-			(a.latency.usualUs == 50_000) != tc.same {
-			t.Errorf("%+v: wait %d, unavailable %v, usual %v", tc, a.retryAfterUntil, b.health.unavailable, a.latency.usualUs)
+			(a.latency.baselineUs == 50_000) != tc.same {
+			t.Errorf("%+v: wait %d, unavailable %v, usual %v", tc, a.retryAfterUntil, b.health.unavailable, a.latency.baselineUs)
 		}
 		if len(sched.learnedEndpoints) != 0 {
 			t.Error("still waited for:", sched.learnedEndpoints)
@@ -235,7 +235,7 @@
 	sched.Step(now, []Event{{Kind: EndpointsUpdated, Update: UpdateFull, Endpoints: []Endpoint{waiting, unavailable}}})
 	for _, addr := range []string{"waiting", "unavailable"} {
 		if rt := sched.endpoints[addr].route; rt.firstCallAt > now+retrySpreadMinUs ||
-			rt.probe.nextAt > now+2*probeSpreadMaxUs || rt.advertisedLimit.Known() != true {
+			rt.probe.nextAt > now+2*probeIntervalManyMaxUs || rt.advertisedLimit.Known() != true {
 			t.Errorf("%s: first call in %d ms, probe in %d", addr, (rt.firstCallAt-now)/1000, (rt.probe.nextAt-now)/1000)
 		}
 	}
--- a/scheduler/manysenders_test.go
+++ b/scheduler/manysenders_test.go
@@ -208,7 +208,7 @@
 		o := rig.outcome(event.ID, OutcomeSuccess)
 		o.LoadReport = []float64{0.1, 50}
 		rig.advance(50*ms, o)
-		if few := rig.sched.crowding == 0; few != (n <= 4) {
+		if few := rig.sched.contention == 0; few != (n <= 4) {
 			t.Errorf("%d senders: among few %v", n, few)
 		}
 	}
--- a/scheduler/massrestart_test.go
+++ b/scheduler/massrestart_test.go
@@ -264,7 +264,7 @@
 	scenario.Closed, scenario.Outage, scenario.NoReports = false, true, true
 	forgetful, with := scenario.play(t, true, each(func(rt *route) {
 		rt.health.unavailable, rt.throughput.successRate, rt.bucket.limited, rt.latency.samples = false, 0, false, 0
-		rt.lastSendAt, rt.lastAnswerAt, rt.health.lastFailureAt = 0, 0, 0
+		rt.lastSendAt, rt.lastOutcomeAt, rt.health.lastFailureAt = 0, 0, 0
 	})).slowStartExcess, scenario.play(t, true, nil).slowStartExcess
 	if with > 1 || forgetful <= 1 {
 		t.Errorf("%.2f times what a destination in slow start takes, and %.2f where the outage is forgotten", with, forgetful)
--- a/scheduler/message.go
+++ b/scheduler/message.go
@@ -53,51 +53,54 @@
 	case at <= msg.objectiveAt:
 		return msg.priorityWeight
 	}
-	late := float64(at - msg.objectiveAt)
+	lateUs := float64(at - msg.objectiveAt)
 	if s.settings.Calls.ValueDecay == DecayHalving {
-		halvings := late / float64(max(1, msg.class.LatencyObjectiveUs))
+		halvings := lateUs / float64(max(1, msg.class.LatencyObjectiveUs))
 		return msg.priorityWeight * max(msg.class.LateValue, math.Exp2(-halvings))
 	}
-	return msg.priorityWeight * (1 - (1-msg.class.LateValue)*late/float64(max(1, msg.deadline-msg.objectiveAt)))
+	return msg.priorityWeight * (1 - (1-msg.class.LateValue)*lateUs/float64(max(1, msg.deadline-msg.objectiveAt)))
 }
 
-// answerBy is when a message must have its answer: ahead of the deadline by the time between two steps.
-func (s *Scheduler) answerBy(msg *message) int64 { return msg.deadline - 2*s.settings.TickUs - 1000 }
+// answerDeadline is when a message must have its answer: ahead of the deadline by the time between two steps.
+func (s *Scheduler) answerDeadline(msg *message) int64 {
+	return msg.deadline - 2*s.settings.TickUs - 1000
+}
 
-// resendBy is the last moment at which a message may be sent again.
-func (s *Scheduler) resendBy(msg *message) int64 {
+// resendDeadline is the last moment at which a message may be sent again.
+func (s *Scheduler) resendDeadline(msg *message) int64 {
 	if msg.firstRunAt == 0 || !msg.class.idempotentByKey {
-		return s.answerBy(msg)
+		return s.answerDeadline(msg)
 	}
-	return min(s.answerBy(msg), msg.firstRunAt+msg.class.KeyWindowUs-s.settings.TickUs)
+	return min(s.answerDeadline(msg), msg.firstRunAt+msg.class.KeyWindowUs-s.settings.TickUs)
 }
 
-// lastSendTime is the last moment at which an attempt may leave and still be answered in time.
-func (s *Scheduler) lastSendTime(msg *message) int64 {
-	return min(s.resendBy(msg), s.answerBy(msg)-2*s.settings.TickUs-int64(msg.destination.route.latency.usualUs))
+// sendDeadline is the last moment at which an attempt may leave and still be answered in time.
+func (s *Scheduler) sendDeadline(msg *message) int64 {
+	return min(s.resendDeadline(msg),
+		s.answerDeadline(msg)-2*s.settings.TickUs-int64(msg.destination.route.latency.baselineUs))
 }
 
 // retryAfterTooLong tells whether all routes of a message are in a Retry-After that ends too late for it.
 func (s *Scheduler) retryAfterTooLong(msg *message) bool {
-	found, last := false, s.lastSendTime(msg)
+	anyLive, latest := false, s.sendDeadline(msg)
 	for _, ep := range msg.destination.endpoints {
 		if !ep.live {
 			continue
 		}
-		if ep.route.retryAfterUntil <= last {
+		if ep.route.retryAfterUntil <= latest {
 			return false
 		}
-		found = true
+		anyLive = true
 	}
-	return found
+	return anyLive
 }
 
 // attemptsExhausted tells whether a message may not be sent again, for its class, its time or the
 // attempts that it has had.
 func (s *Scheduler) attemptsExhausted(msg *message) bool {
-	most := s.settings.Limits.MaxAttempts
-	return msg.class.unsafe && msg.firstRunAt != 0 || s.now >= s.lastSendTime(msg) ||
-		most > 0 && msg.attempts >= most
+	maxAttempts := s.settings.Limits.MaxAttempts
+	return msg.class.unsafe && msg.firstRunAt != 0 || s.now >= s.sendDeadline(msg) ||
+		maxAttempts > 0 && msg.attempts >= maxAttempts
 }
 
 // Holds tells whether a message has been accepted and has no final answer yet.
--- a/scheduler/outcome.go
+++ b/scheduler/outcome.go
@@ -44,7 +44,7 @@
 	msg.destination.callsInFlight--
 	s.callsInFlight--
 	call.route.calls = remove(call.route.calls, call)
-	s.closeRarelyUsed(call.endpoint)
+	s.closeIfRarelyUsed(call.endpoint)
 }
 
 // recordFirstRun notes when and in which zone a message may have run first.
@@ -54,15 +54,15 @@
 	}
 	msg.firstRunAt, msg.firstRunZone = call.sentAt, call.endpoint.Zone
 	if !msg.ended {
-		s.setDeadline(msg, s.resendBy(msg))
+		s.setDeadline(msg, s.resendDeadline(msg))
 	}
 }
 
 // recordOutcome records what a call tells of its route and its endpoint, once a call however many
 // messages it carries.
 func (s *Scheduler) recordOutcome(call *call, event *Event) {
-	if event.Outcome.isAnswer() {
-		call.route.lastAnswerAt = s.now
+	if event.Outcome.involvesEndpoint() {
+		call.route.lastOutcomeAt = s.now
 	}
 	if s.recordConnectionUse(call, event.Outcome) {
 		return
@@ -117,9 +117,9 @@
 		s.countFailure(rt, false)
 	}
 	// Rejections between successes are a limit; nothing but rejections for a while is an outage.
-	onlyRejections := float64(rt.health.consecutiveRejections) >= 3*s.senderFactor &&
+	rejectionOutage := float64(rt.health.consecutiveRejections) >= 3*s.senderFactor &&
 		s.now-rt.health.failingSince > outageAfterUs
-	if rt.health.unavailable || onlyRejections || event.RetryAfterMs*1000 > outageAfterUs {
+	if rt.health.unavailable || rejectionOutage || event.RetryAfterMs*1000 > outageAfterUs {
 		s.markUnavailable(rt)
 	}
 }
@@ -159,15 +159,15 @@
 
 // recordSuccess updates all that a route's success tells of it.
 func (s *Scheduler) recordSuccess(rt *route, call *call) {
-	silent := s.silentSinceStart(rt)
+	unresponsive := s.unresponsiveSinceStart(rt)
 	rt.latency.observe(float64(s.now - call.sentAt))
 	// An answer sent before the destination asked for a Retry-After does not end the outage.
-	stillClosed := rt.health.unavailable && s.now < rt.retryAfterUntil
-	if (s.isFailing(rt) || silent) && !stillClosed {
+	staysUnavailable := rt.health.unavailable && s.now < rt.retryAfterUntil
+	if (s.isFailing(rt) || unresponsive) && !staysUnavailable {
 		s.beginRecovery(rt)
 	}
 	s.endRetryDelays(rt.destination)
-	if !stillClosed {
+	if !staysUnavailable {
 		s.clearFailures(rt)
 	}
 	s.cancelOvertaken(rt, call)
@@ -188,7 +188,7 @@
 	}
 	rt.capacityHint = limit / s.senders
 	rt.advertisedLimit.Observe(s.now, s.reportedValue(event, reportHeadroom), limit)
-	if s.crowding > 0 && !rt.bucket.limited {
+	if s.contention > 0 && !rt.bucket.limited {
 		s.startSharedBucket(rt)
 	}
 }
@@ -209,8 +209,8 @@
 	return value
 }
 
-// isAnswer tells whether the endpoint, or the way to it, had a part in the outcome.
-func (outcome Outcome) isAnswer() bool {
+// involvesEndpoint tells whether the endpoint, or the way to it, had a part in the outcome.
+func (outcome Outcome) involvesEndpoint() bool {
 	return outcome != OutcomeCanceled && outcome != OutcomeNotSent
 }
 
--- a/scheduler/pacing.go
+++ b/scheduler/pacing.go
@@ -18,7 +18,7 @@
 	minRateIncrease       = 1.2        // calls a second, of all senders
 	rateGrowthBelowMark   = 1.12       // factor for a success
 	rateGrowthAboveMark   = 1.03       // factor for a success
-	rateClimbUs           = 4_000_000  // among many senders a low rate climbs e-fold in this time
+	rateGrowthUs          = 4_000_000  // among many senders a low rate climbs e-fold in this time
 	bucketSizeUs          = 400_000    // the bucket holds the tokens of this time, one at least
 	sharedBucketTokens    = 2.0        // further tokens where many senders share an advertised limit
 	tokenCostJitter       = 0.5        // tokens: a call costs up to so many more or less there
@@ -26,7 +26,7 @@
 	throughputDecayUs     = 2_000_000  // time constant of the mean send and success rates
 	idleResetUs           = 30_000_000 // an idle bucket does not limit any more
 	inheritedRateGrowthUs = 1_000_000  // an inherited rate grows e-fold in this time
-	unboundRate           = 1e6        // calls a second: a rate that limits nobody
+	unlimitedRate         = 1e6        // calls a second: a rate that limits nobody
 )
 
 // tokenBucket is the pace of a route, in calls a second.
@@ -94,33 +94,33 @@
 func (s *Scheduler) decreaseRate(rt *route, call *call) {
 	s.dropInheritedRate(rt)
 	bucket := &rt.bucket
-	least := s.leastRate(rt, call.endpoint.MachineType)
+	lowestRate := s.minRate(rt, call.endpoint.MachineType)
 	if !bucket.limited {
-		arriving, sent := s.arrivalRate(rt), rt.throughput.sendRateNow(s.now)
-		start := sent + (min(arriving, sent)-sent)*s.crowding
+		arrivals, sends := s.arrivalRate(rt), rt.throughput.sendRateNow(s.now)
+		initialRate := sends + (min(arrivals, sends)-sends)*s.contention
 		bucket.limited = true
-		bucket.rate = max(least, start, 2*s.backlogRate(rt)) // halved below
+		bucket.rate = max(lowestRate, initialRate, 2*s.backlogRate(rt)) // halved below
 	} else if call.sentAt <= bucket.decreasedAt {
 		return
 	}
 	if s.hasSharedLimit(rt) {
-		least = rt.advertisedLimit.MinRate(s.senders)
+		lowestRate = rt.advertisedLimit.MinRate(s.senders)
 		bucket.rate = min(bucket.rate, s.maxRate(rt))
 	}
 	bucket.rateMark = bucket.rate
-	bucket.rate = max(least*(1+minRateJitter*(2*s.rng.Float64()-1)), bucket.rate/2)
+	bucket.rate = max(lowestRate*(1+minRateJitter*(2*s.rng.Float64()-1)), bucket.rate/2)
 	bucket.decreasedAt = s.now
 	s.randomizeTokens(rt)
 }
 
-// leastRate is the rate below which a route without a shared limit is not slowed down.
-func (s *Scheduler) leastRate(rt *route, machineType string) float64 {
-	low, high := s.arrivalRate(rt), max(rt.capacityHint, rt.throughput.peakSuccessRate)
+// minRate is the rate below which a route without a shared limit is not slowed down.
+func (s *Scheduler) minRate(rt *route, machineType string) float64 {
+	lowEstimate, highEstimate := s.arrivalRate(rt), max(rt.capacityHint, rt.throughput.peakSuccessRate)
 	if rt.capacityHint > 0 {
-		low = min(low, rt.capacityHint)
+		lowEstimate = min(lowEstimate, rt.capacityHint)
 	}
-	return max(minTotalRate/s.senders, minRateShare*(high+(low-high)*s.crowding),
-		min(1, 1/cmp.Or(s.retrySpread[machineType], 1))*rt.capacityHint*s.crowding)
+	return max(minTotalRate/s.senders, minRateShare*(highEstimate+(lowEstimate-highEstimate)*s.contention),
+		min(1, 1/cmp.Or(s.retrySpread[machineType], 1))*rt.capacityHint*s.contention)
 }
 
 // takeToken pays for a call. The cost varies where many senders follow the same answers, so that
@@ -128,7 +128,7 @@
 func (s *Scheduler) takeToken(rt *route) {
 	rt.bucket.tokens = max(0, rt.bucket.tokens-1)
 	if s.hasSharedLimit(rt) {
-		rt.bucket.tokens += s.crowding * tokenCostJitter * (2*s.rng.Float64() - 1)
+		rt.bucket.tokens += s.contention * tokenCostJitter * (2*s.rng.Float64() - 1)
 	}
 }
 
@@ -152,27 +152,27 @@
 	bucket := &rt.bucket
 	size := max(1, bucket.rate*bucketSizeUs/1e6)
 	if s.hasSharedLimit(rt) && bucket.rate > rt.advertisedLimit.MinRate(s.senders) {
-		size += s.crowding * sharedBucketTokens
+		size += s.contention * sharedBucketTokens
 	}
-	us := float64(s.now - bucket.refilledAt)
-	s.raiseInheritedRate(rt, us)
-	bucket.tokens = min(size, bucket.tokens+bucket.rate*us/1e6)
-	s.climbRate(rt, us)
+	elapsedUs := float64(s.now - bucket.refilledAt)
+	s.raiseInheritedRate(rt, elapsedUs)
+	bucket.tokens = min(size, bucket.tokens+bucket.rate*elapsedUs/1e6)
+	s.raiseRateOverTime(rt, elapsedUs)
 	bucket.refilledAt = s.now
 }
 
-// climbRate raises a low rate with time: among many senders one sender's successes are too few to do so.
-func (s *Scheduler) climbRate(rt *route, us float64) {
+// raiseRateOverTime raises a low rate with time: among many senders one sender's successes are too few to do so.
+func (s *Scheduler) raiseRateOverTime(rt *route, elapsedUs float64) {
 	bucket := &rt.bucket
 	arriving := s.arrivalRate(rt) * s.recovery.YoungMeanFactor(s.now-s.startedAt, arrivalRateDecayUs)
 	noSuccess := int(boolToFloat(s.now-rt.throughput.successRateAt > arrivalRateDecayUs))
-	top := math.Ldexp(arriving, -rt.health.consecutiveRejections-noSuccess)
+	limit := math.Ldexp(arriving, -rt.health.consecutiveRejections-noSuccess)
 	if s.hasSharedLimit(rt) {
-		top = s.maxRate(rt)
-		bucket.rate = min(bucket.rate, top)
+		limit = s.maxRate(rt)
+		bucket.rate = min(bucket.rate, limit)
 	}
-	if bucket.rate < top {
-		bucket.rate = min(top, bucket.rate*math.Exp(us/rateClimbUs*s.crowding))
+	if bucket.rate < limit {
+		bucket.rate = min(limit, bucket.rate*math.Exp(elapsedUs/rateGrowthUs*s.contention))
 	}
 }
 
@@ -180,29 +180,29 @@
 // many senders that were stopped at once do not send at once. Where they share a limit the mean is
 // zero: otherwise rejected calls alone could use the limit up.
 func (s *Scheduler) randomizeTokens(rt *route) {
-	rt.bucket.tokens = s.rng.Float64() * s.crowding
+	rt.bucket.tokens = s.rng.Float64() * s.contention
 	rt.bucket.refilledAt = s.now
 	if s.hasSharedLimit(rt) {
-		rt.bucket.tokens -= s.crowding / 2
+		rt.bucket.tokens -= s.contention / 2
 	}
 }
 
 // hasSharedLimit tells whether answers advertise a limit of the route that many senders share.
 func (s *Scheduler) hasSharedLimit(rt *route) bool {
-	return s.crowding > 0 && rt.advertisedLimit.Known()
+	return s.contention > 0 && rt.advertisedLimit.Known()
 }
 
 // maxRate is the most that this sender should send: its part of the advertised limit, which binds
 // the less the fewer the senders are, and after a restart the rate of catching up.
 func (s *Scheduler) maxRate(rt *route) float64 {
-	most := math.Inf(1)
+	limit := math.Inf(1)
 	if s.now < rt.bucket.catchUpUntil {
-		most = rt.bucket.catchUpRate
+		limit = rt.bucket.catchUpRate
 	}
-	if s.crowding == 0 {
-		return most
+	if s.contention == 0 {
+		return limit
 	}
-	return min(most, max(minTotalRate/s.senders, rt.advertisedLimit.MaxRate(s.now, s.senders)/s.crowding))
+	return min(limit, max(minTotalRate/s.senders, rt.advertisedLimit.MaxRate(s.now, s.senders)/s.contention))
 }
 
 // startSharedBucket begins the bucket of a route whose limit an answer has advertised, with the
@@ -210,7 +210,7 @@
 func (s *Scheduler) startSharedBucket(rt *route) {
 	rt.bucket.limited = true
 	rt.bucket.rate = s.maxRate(rt)
-	rt.bucket.tokens = 1 + s.crowding*sharedBucketTokens
+	rt.bucket.tokens = 1 + s.contention*sharedBucketTokens
 	rt.bucket.refilledAt = s.now
 	if rt.firstCallAt > 0 {
 		s.randomizeTokens(rt)
@@ -224,7 +224,7 @@
 	for _, msg := range rt.destination.pending {
 		if msg.acceptedAt == 0 && msg.attempts == 0 {
 			count++
-			seconds += float64(max(s.settings.TickUs, s.lastSendTime(msg)-s.now)) / 1e6
+			seconds += float64(max(s.settings.TickUs, s.sendDeadline(msg)-s.now)) / 1e6
 		}
 	}
 	if rt.latency.samples > 0 || count == 0 {
@@ -239,11 +239,11 @@
 
 // raiseInheritedRate raises with time a rate that only the last incarnation's low traffic explains.
 // A rejection ends this.
-func (s *Scheduler) raiseInheritedRate(rt *route, us float64) {
+func (s *Scheduler) raiseInheritedRate(rt *route, elapsedUs float64) {
 	bucket := &rt.bucket
-	over := float64(s.now - bucket.catchUpUntil)
-	if bucket.inherited && over > 0 && bucket.decreasedAt == 0 {
-		bucket.rate = min(unboundRate, bucket.rate*math.Exp(min(us, over)/inheritedRateGrowthUs))
+	sinceCatchUpUs := float64(s.now - bucket.catchUpUntil)
+	if bucket.inherited && sinceCatchUpUs > 0 && bucket.decreasedAt == 0 {
+		bucket.rate = min(unlimitedRate, bucket.rate*math.Exp(min(elapsedUs, sinceCatchUpUs)/inheritedRateGrowthUs))
 	}
 }
 
--- a/scheduler/peers.go
+++ b/scheduler/peers.go
@@ -9,7 +9,7 @@
 
 const (
 	peerHintMaxUs = 60_000_000    // what another sender tells counts for no longer
-	quotaPeriod   = 1_000_000_000 // microseconds over which a quota counts calls
+	quotaPeriodUs = 1_000_000_000 // microseconds over which a quota counts calls
 	quotaBurstUs  = 100_000       // tokens of a quota are saved for this time
 )
 
@@ -27,7 +27,7 @@
 // token bucket of the route.
 type quotaLimit struct {
 	bucket    *limits.Bucket
-	quota     int64 // calls in a quotaPeriod
+	quota     int64 // calls in a quotaPeriodUs
 	evenQuota int64 // what counts after until
 	until     int64
 	expired   bool
@@ -51,7 +51,7 @@
 	case ProbeDelegated:
 		s.destination(event.Destination).route.probe.delegatedUntil = s.peerDeadline(event)
 	case RecoveryObserved:
-		s.probeSoon(s.destination(event.Destination).route)
+		s.advanceProbe(s.destination(event.Destination).route)
 	}
 }
 
@@ -60,14 +60,14 @@
 	return min(event.Deadline, s.now+peerHintMaxUs)
 }
 
-// probeSoon lets this sender probe a route that has answered another one. Its own probe decides
+// advanceProbe lets this sender probe a route that has answered another one. Its own probe decides
 // whether the route is available to it.
-func (s *Scheduler) probeSoon(rt *route) {
+func (s *Scheduler) advanceProbe(rt *route) {
 	if !rt.health.unavailable || rt.probe.delegatedUntil == 0 {
 		return
 	}
 	rt.probe.delegatedUntil = 0
-	rt.probe.nextAt = min(rt.probe.nextAt, s.now+int64(s.rng.Float64()*float64(probeGapMinUs)))
+	rt.probe.nextAt = min(rt.probe.nextAt, s.now+int64(s.rng.Float64()*float64(probeIntervalMinUs)))
 }
 
 // Health lists the destinations that are not healthy. Endpoints with limits of their own are left out.
@@ -96,7 +96,7 @@
 func (s *Scheduler) assignQuota(event *Event) {
 	rt := s.destination(event.Destination).route
 	if rt.quota == nil {
-		rt.quota = &quotaLimit{bucket: limits.NewBucket(s.now, 1, quotaPeriod, 1)}
+		rt.quota = &quotaLimit{bucket: limits.NewBucket(s.now, 1, quotaPeriodUs, 1)}
 	}
 	rt.quota.quota = event.Quota
 	rt.quota.evenQuota = event.EvenQuota
@@ -111,7 +111,7 @@
 	if q.expired {
 		rate = q.evenQuota
 	}
-	q.bucket.Set(now, rate, quotaPeriod, rate*quotaBurstUs/quotaPeriod)
+	q.bucket.Set(now, rate, quotaPeriodUs, rate*quotaBurstUs/quotaPeriodUs)
 }
 
 // admittedByPeers tells whether a call may leave beside the other senders' calls, and if not when
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -6,11 +6,11 @@
 	"slices"
 )
 
-// Giving up an accepted message costs givingUpCostShare of its priority weight, until
-// givingUpFreeShare of its time is over.
+// Shedding an accepted message costs shedCostShare of its priority weight, until
+// shedFreeShare of its time is over.
 const (
-	givingUpCostShare = 0.3
-	givingUpFreeShare = 0.7
+	shedCostShare = 0.3
+	shedFreeShare = 0.7
 )
 
 // minDrainRate is the rate, in calls a second, at which a route drains its queue at least.
@@ -67,95 +67,95 @@
 		s.deadlines = s.deadlines[1:]
 		pending := msg.call == nil
 		switch {
-		case pending && s.now >= s.lastSendTime(msg) || s.now >= s.answerBy(msg):
+		case pending && s.now >= s.sendDeadline(msg) || s.now >= s.answerDeadline(msg):
 			s.finishUndelivered(msg)
 		case pending:
-			s.setDeadline(msg, s.lastSendTime(msg))
+			s.setDeadline(msg, s.sendDeadline(msg))
 		case !msg.ended:
-			s.setDeadline(msg, s.answerBy(msg))
+			s.setDeadline(msg, s.answerDeadline(msg))
 		}
 	}
 }
 
 // drainTimeUs estimates how long the pending messages of a destination take.
 func (s *Scheduler) drainTimeUs(dest *destination) float64 {
-	rate, wait := 0.0, int64(never)
+	rate, waitUs := 0.0, int64(never)
 	for _, ep := range dest.endpoints {
 		if ep.live && (ep.ownLimit || rate == 0) {
-			calls, routeWait := s.drainRate(ep.route)
+			calls, routeWaitUs := s.drainRate(ep.route)
 			rate += calls * float64(ep.messagesPerCall+1) / 2
-			wait = min(wait, routeWait)
+			waitUs = min(waitUs, routeWaitUs)
 		}
 	}
 	if rate == 0 {
-		return float64(probeGapMaxUs)
+		return float64(probeIntervalMaxUs)
 	}
-	return float64(wait) + float64(len(dest.pending))/rate*1e6
+	return float64(waitUs) + float64(len(dest.pending))/rate*1e6
 }
 
 // drainRate is at how many calls a second a route drains its queue, and after what wait.
 func (s *Scheduler) drainRate(rt *route) (float64, int64) {
-	wait := max(0, rt.retryAfterUntil-s.now)
+	waitUs := max(0, rt.retryAfterUntil-s.now)
 	switch {
 	case rt.health.unavailable:
-		return s.slowStartRate(rt), max(wait, rt.probe.gapUs)
+		return s.slowStartRate(rt), max(waitUs, rt.probe.intervalUs)
 	case rt.bucket.limited:
-		return rt.bucket.rate, wait
+		return rt.bucket.rate, waitUs
 	}
-	return max(rt.throughput.successRateNow(s.now), minDrainRate), wait
+	return max(rt.throughput.successRateNow(s.now), minDrainRate), waitUs
 }
 
-// makeRoom sheds where a message that has just been accepted fills the queue.
-func (s *Scheduler) makeRoom(accepted *message) {
-	most := s.settings.Limits.MaxMessages
+// shedIfFull sheds where a message that has just been accepted fills the queue.
+func (s *Scheduler) shedIfFull(accepted *message) {
+	maxMessages := s.settings.Limits.MaxMessages
 	switch {
-	case most == 0:
-	case s.acceptedCount > most-1-most/24:
+	case maxMessages == 0:
+	case s.acceptedCount > maxMessages-1-maxMessages/24:
 		s.shedLeastValuable()
-	case s.acceptedCount > most/2 && s.isBelowShedLevel(accepted):
+	case s.acceptedCount > maxMessages/2 && s.isBelowShedLevel(accepted):
 		s.finishUndelivered(accepted)
 	}
 }
 
 // shedLeastValuable sheds the pending message whose loss costs least.
 func (s *Scheduler) shedLeastValuable() {
-	var least *message
-	lowest := math.Inf(1)
+	var leastValuable *message
+	lowestCost := math.Inf(1)
 	for _, dest := range s.active {
 		drainUs := int64(s.drainTimeUs(dest))
 		for _, msg := range dest.pending {
-			if cost := s.valueAt(msg, s.now+drainUs/2) + s.givingUpCost(msg); cost < lowest {
-				lowest, least = cost, msg
+			if cost := s.valueAt(msg, s.now+drainUs/2) + s.shedCost(msg); cost < lowestCost {
+				lowestCost, leastValuable = cost, msg
 			}
 		}
 	}
-	if least != nil {
-		s.shedLevel, s.shedLevelAt = lowest-s.givingUpCost(least), s.now
-		s.finishUndelivered(least)
+	if leastValuable != nil {
+		s.shedLevel, s.shedLevelAt = lowestCost-s.shedCost(leastValuable), s.now
+		s.finishUndelivered(leastValuable)
 	}
 }
 
 // isBelowShedLevel tells whether a message that has just been accepted has less value than what was
 // shed lately and what giving it up later costs. Now that costs nothing.
 func (s *Scheduler) isBelowShedLevel(msg *message) bool {
-	if s.crowding == 0 || msg.acceptedAt != s.now {
+	if s.contention == 0 || msg.acceptedAt != s.now {
 		return false
 	}
 	level := s.shedLevel * math.Exp(float64(s.shedLevelAt-s.now)/arrivalRateDecayUs)
 	value := s.valueAt(msg, s.now+int64(s.drainTimeUs(msg.destination)/2))
-	return value < level+givingUpCostShare*msg.priorityWeight
+	return value < level+shedCostShare*msg.priorityWeight
 }
 
-// givingUpCost is what it costs, beside its value, to give up a message that was accepted in an
+// shedCost is what it costs, beside its value, to give up a message that was accepted in an
 // earlier step and has not run. Among few senders it is zero: then the value alone decides.
-func (s *Scheduler) givingUpCost(msg *message) float64 {
+func (s *Scheduler) shedCost(msg *message) float64 {
 	acceptedAt := msg.acceptedAt
 	if acceptedAt == 0 { // before this incarnation: at the earliest
 		acceptedAt = msg.deadline - msg.class.DeadlineUs
 	}
-	late := float64(s.now-acceptedAt) >= givingUpFreeShare*float64(msg.deadline-acceptedAt)
-	if s.crowding == 0 || msg.acceptedAt == s.now || msg.firstRunAt != 0 || late {
+	nearDeadline := float64(s.now-acceptedAt) >= shedFreeShare*float64(msg.deadline-acceptedAt)
+	if s.contention == 0 || msg.acceptedAt == s.now || msg.firstRunAt != 0 || nearDeadline {
 		return 0
 	}
-	return givingUpCostShare * msg.priorityWeight
+	return shedCostShare * msg.priorityWeight
 }
--- a/scheduler/restart_test.go
+++ b/scheduler/restart_test.go
@@ -157,7 +157,7 @@
 		}
 	}
 	rt := rig.sched.destinationByID[1].route
-	if rig.run(100*ms, fails); !rt.health.unavailable || rt.probe.nextAt-rig.now > 2*probeGapMinUs {
+	if rig.run(100*ms, fails); !rt.health.unavailable || rt.probe.nextAt-rig.now > 2*probeIntervalMinUs {
 		t.Fatal("down:", rt.health.unavailable, "next probe in us:", rt.probe.nextAt-rig.now, "paced until",
 			rt.slowStart.nextCallAt-rig.now)
 	}
--- a/scheduler/restorelearned.go
+++ b/scheduler/restorelearned.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	learnedHalfLifeUs    = 60_000_000  // learned latencies and failure shares count half after this time
-	learnedMaxAgeUs      = 600_000_000 // older learned state is not used
-	learnedUnavailableUs = 30_000_000  // for so long an outage is taken to last
-	learnedRateMark      = 10.0        // the rate mark, as a multiple of the learned rate
+	learnedHalfLifeUs       = 60_000_000  // learned latencies and failure shares count half after this time
+	learnedMaxAgeUs         = 600_000_000 // older learned state is not used
+	learnedUnavailableUs    = 30_000_000  // for so long an outage is taken to last
+	learnedRateMarkMultiple = 10.0        // the rate mark, as a multiple of the learned rate
 )
 
 // learnedEndpoint is what the last incarnation left of an endpoint with a route of its own.
@@ -65,11 +65,11 @@
 	s.restoreRoute(dest.route, learned, dest.arrivalRate)
 	for i := range state.Endpoints { // kept until the list names them
 		ep := &state.Endpoints[i]
-		own := newRoute("", dest)
-		own.restore(*ep.OwnRoute)
+		ownRoute := newRoute("", dest)
+		ownRoute.restore(*ep.OwnRoute)
 		s.learnedEndpoints[ep.Addr] = learnedEndpoint{
 			Endpoint:    ep.Endpoint,
-			route:       own,
+			route:       ownRoute,
 			arrivalRate: dest.arrivalRate / float64(len(state.Endpoints)),
 		}
 	}
@@ -80,9 +80,9 @@
 func (s *Scheduler) adoptLearnedEndpoint(ep *endpoint, listed Endpoint) {
 	learned, ok := s.learnedEndpoints[listed.Addr]
 	delete(s.learnedEndpoints, listed.Addr)
-	same := learned.Zone == listed.Zone && learned.MachineType == listed.MachineType &&
+	unchanged := learned.Zone == listed.Zone && learned.MachineType == listed.MachineType &&
 		learned.Destination == listed.Destination
-	if ok && ep.ownLimit && same {
+	if ok && ep.ownLimit && unchanged {
 		s.restoreRoute(ep.route, learned.route, learned.arrivalRate)
 	}
 }
@@ -91,25 +91,25 @@
 // of its messages, a second.
 func (s *Scheduler) restoreRoute(rt, learned *route, arrivalRate float64) {
 	rt.retryAfterUntil = min(learned.retryAfterUntil, s.now+peerHintMaxUs)
-	age := s.now - max(learned.lastSendAt, learned.lastAnswerAt, learned.health.lastFailureAt)
-	if age < 0 || age > learnedMaxAgeUs {
+	ageUs := s.now - max(learned.lastSendAt, learned.lastOutcomeAt, learned.health.lastFailureAt)
+	if ageUs < 0 || ageUs > learnedMaxAgeUs {
 		return
 	}
-	rt.lastAnswerAt = s.now - age // keeps the age, if this incarnation ends before it learns anything
-	restoreEstimates(rt, learned, age, s.now)
-	s.restoreLimit(rt, learned, age)
-	s.restoreRate(rt, learned, max(learned.throughput.successRate, arrivalRate), age)
-	s.restoreOutage(rt, learned, age)
+	rt.lastOutcomeAt = s.now - ageUs // keeps the age, if this incarnation ends before it learns anything
+	restoreEstimates(rt, learned, ageUs, s.now)
+	s.restoreLimit(rt, learned, ageUs)
+	s.restoreRate(rt, learned, max(learned.throughput.successRate, arrivalRate), ageUs)
+	s.restoreOutage(rt, learned, ageUs)
 }
 
 // restoreEstimates takes up latencies and failure shares, with a weight that halves with their age.
-func restoreEstimates(rt, learned *route, age, now int64) {
-	weight := math.Exp2(-float64(age) / learnedHalfLifeUs)
+func restoreEstimates(rt, learned *route, ageUs, now int64) {
+	weight := math.Exp2(-float64(ageUs) / learnedHalfLifeUs)
 	rt.latency.samples = math.Floor(learned.latency.samples * weight)
 	if rt.latency.samples > 0 {
-		rt.latency.smoothedUs = learned.latency.usualUs
+		rt.latency.smoothedUs = learned.latency.baselineUs
 		rt.latency.deviationUs = learned.latency.deviationUs
-		rt.latency.usualUs = learned.latency.usualUs
+		rt.latency.baselineUs = learned.latency.baselineUs
 		rt.throughput.peakSuccessRate = learned.throughput.peakSuccessRate * weight
 	}
 	rt.health.failureShare = learned.health.lastingFailureShare * weight
@@ -119,34 +119,34 @@
 
 // restoreLimit takes up an advertised limit, and when the first call may leave. What was left of the
 // limit is not known.
-func (s *Scheduler) restoreLimit(rt, learned *route, age int64) {
+func (s *Scheduler) restoreLimit(rt, learned *route, ageUs int64) {
 	limit := learned.advertisedLimit.State()
 	if !learned.advertisedLimit.Known() || math.IsInf(limit[1], 0) || s.settings.CapacityHints != HintsNone {
 		return
 	}
 	rt.advertisedLimit = quota.FromState([3]float64{0, limit[1], 0})
 	rt.capacityHint = limit[1] / s.senders
-	delay := s.recovery.FirstCallDelay(rt.advertisedLimit.EvenShare(s.senders), age)
+	delayUs := s.recovery.FirstCallDelay(rt.advertisedLimit.EvenShare(s.senders), ageUs)
 	switch {
 	case learned.firstCallAt > s.now && learned.firstCallAt <= s.now+recovery.MaxSpreadUs:
 		rt.firstCallAt = learned.firstCallAt // drawn anew, it might never come in a row of short incarnations
-	case delay == 0:
+	case delayUs == 0:
 		rt.firstCallAt = 0
 	default:
-		rt.firstCallAt = s.now + delay
+		rt.firstCallAt = s.now + delayUs
 	}
 }
 
 // restoreRate limits a route without an advertised limit to the last incarnation's rate, so that
 // senders that return together do not send their backlog at once. Successes raise the rate.
-func (s *Scheduler) restoreRate(rt, learned *route, rate float64, age int64) {
-	if rt.advertisedLimit.Known() || rate <= 0 || age >= learnedHalfLifeUs {
+func (s *Scheduler) restoreRate(rt, learned *route, rate float64, ageUs int64) {
+	if rt.advertisedLimit.Known() || rate <= 0 || ageUs >= learnedHalfLifeUs {
 		return
 	}
 	bucket := &rt.bucket
 	bucket.limited = true
 	bucket.rate = max(rate, minTotalRate/s.senders)
-	bucket.rateMark = learnedRateMark * rate
+	bucket.rateMark = learnedRateMarkMultiple * rate
 	rt.lastSendAt = s.now
 	if learned.bucket.limited && learned.bucket.rate > 0 {
 		bucket.rate = min(bucket.rate, learned.bucket.rate)
@@ -154,21 +154,21 @@
 	}
 	bucket.tokens = s.rng.Float64()
 	bucket.refilledAt = s.now
-	catchUpRate, catchUpUs := s.recovery.CatchUpRate(max(bucket.rate, rate), age)
+	catchUpRate, catchUpUs := s.recovery.CatchUpRate(max(bucket.rate, rate), ageUs)
 	bucket.catchUpRate = catchUpRate
 	bucket.catchUpUntil = s.now + catchUpUs
 	bucket.inherited = !learned.bucket.limited
 }
 
 // restoreOutage takes up an outage or a slow start that had not ended.
-func (s *Scheduler) restoreOutage(rt, learned *route, age int64) {
+func (s *Scheduler) restoreOutage(rt, learned *route, ageUs int64) {
 	switch {
-	case learned.health.unavailable && age < learnedUnavailableUs:
+	case learned.health.unavailable && ageUs < learnedUnavailableUs:
 		rt.health.failingSince = s.now
 		rt.health.lastFailureAt = s.now
 		rt.health.consecutiveFailures = 1
 		s.markUnavailable(rt)
-		if learned.probe.nextAt > s.now && learned.probe.nextAt <= s.now+2*probeSpreadMaxUs {
+		if learned.probe.nextAt > s.now && learned.probe.nextAt <= s.now+2*probeIntervalManyMaxUs {
 			rt.probe.nextAt = learned.probe.nextAt // for the reason of firstCallAt
 		}
 	case learned.slowStart.until > s.now:
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -25,10 +25,10 @@
 	}
 	msg.notBefore = max(msg.backoffUntil, s.now+s.retryDelay(msg.destination))
 	if msg.firstRunAt != 0 && msg.class.idempotentByKey { // a retry must fit into the idempotency window
-		msg.notBefore = min(msg.notBefore, max(s.now, s.resendBy(msg)-4*s.settings.TickUs))
+		msg.notBefore = min(msg.notBefore, max(s.now, s.resendDeadline(msg)-4*s.settings.TickUs))
 	}
 	s.enqueue(msg)
-	s.setDeadline(msg, s.lastSendTime(msg))
+	s.setDeadline(msg, s.sendDeadline(msg))
 	msg.keyQueue.sortDelays()
 }
 
@@ -39,47 +39,47 @@
 	failures, spreadUs := 0, 0.0
 	for _, ep := range dest.endpoints {
 		rt := ep.route
-		us := s.retrySpreadUs(rt, ep.MachineType)
+		routeSpreadUs := s.retrySpreadUs(rt, ep.MachineType)
 		if ep.live && rt.health.unavailable && s.hasSharedLimit(rt) { // the probes are spread already
 			return 0
 		}
-		failedLately := float64(s.now-rt.health.lastFailureAt) < max(retrySpreadMaxUs, us)
-		answeredLately := rt.throughput.successRateAt > 0 && s.now-rt.throughput.successRateAt < retrySpreadMaxUs
-		if ep.live && rt.health.consecutiveFailures > 0 && failedLately {
+		failedRecently := float64(s.now-rt.health.lastFailureAt) < max(retrySpreadMaxUs, routeSpreadUs)
+		succeededRecently := rt.throughput.successRateAt > 0 && s.now-rt.throughput.successRateAt < retrySpreadMaxUs
+		if ep.live && rt.health.consecutiveFailures > 0 && failedRecently {
 			failures += rt.health.consecutiveFailures
-			spreadUs = max(spreadUs, us)
-		} else if ep.live && answeredLately {
+			spreadUs = max(spreadUs, routeSpreadUs)
+		} else if ep.live && succeededRecently {
 			return 0
 		}
 		if !ep.ownLimit && failures > 0 {
 			break
 		}
 	}
-	return int64(s.crowding * s.rng.Float64() * spreadUs * float64(len(dest.pending)+1))
+	return int64(s.contention * s.rng.Float64() * spreadUs * float64(len(dest.pending)+1))
 }
 
 // retrySpreadUs is the time over which all senders together spread their retries at a route. It
 // doubles with each failure in a row. After rejections alone it also follows the route's capacity
 // and what earlier retries to this machine type have met.
 func (s *Scheduler) retrySpreadUs(rt *route, machineType string) float64 {
-	us, most := float64(retrySpreadMinUs), float64(retrySpreadMaxUs)
+	spreadUs, limitUs := float64(retrySpreadMinUs), float64(retrySpreadMaxUs)
 	if rt.health.consecutiveFailures == rt.health.consecutiveRejections {
 		factor := cmp.Or(s.retrySpread[machineType], 1)
 		if rt.capacityHint > 0 {
-			us, most = min(us, 1e6/rt.capacityHint), max(most, min(4e6/rt.capacityHint, most*factor))
+			spreadUs, limitUs = min(spreadUs, 1e6/rt.capacityHint), max(limitUs, min(4e6/rt.capacityHint, limitUs*factor))
 		}
-		us *= factor
+		spreadUs *= factor
 	}
-	return min(most, math.Ldexp(us, min(rt.health.consecutiveFailures-1, 4)))
+	return min(limitUs, math.Ldexp(spreadUs, min(rt.health.consecutiveFailures-1, 4)))
 }
 
 // adjustRetrySpread learns from the outcome of a call that was sent after rejections.
-func (s *Scheduler) adjustRetrySpread(call *call, by float64) {
+func (s *Scheduler) adjustRetrySpread(call *call, multiplier float64) {
 	if !call.afterRejections {
 		return
 	}
 	machineType := call.endpoint.MachineType
-	factor := cmp.Or(s.retrySpread[machineType], 1) * by
+	factor := cmp.Or(s.retrySpread[machineType], 1) * multiplier
 	s.retrySpread[machineType] = min(retrySpreadFactorMax, max(1/retrySpreadFactorMax, factor))
 }
 
--- a/scheduler/route.go
+++ b/scheduler/route.go
@@ -25,7 +25,7 @@
 	arrivalRate    float64 // messages a second, as of arrivalRateAt
 	arrivalRateAt  int64
 	nextDispatchAt int64 // when something pending may become sendable
-	next           candidate
+	nextCandidate  candidate
 }
 
 // route is what one limit, rate and health state belong to: a destination, or one endpoint of it.
@@ -49,7 +49,7 @@
 	firstCallAt     int64 // no call of this incarnation leaves before
 	lastSuccessAt   int64
 	lastSendAt      int64
-	lastAnswerAt    int64
+	lastOutcomeAt   int64
 	overtakenUntil  int64 // an answer has overtaken the calls sent by then
 }
 
@@ -75,7 +75,7 @@
 // newRoute makes a route of which nothing is known.
 func newRoute(name string, dest *destination) *route {
 	rt := &route{name: name, destination: dest}
-	rt.maxInFlight, rt.probe.gapUs = 1, probeGapMinUs
+	rt.maxInFlight, rt.probe.intervalUs = 1, probeIntervalMinUs
 	return rt
 }
 
--- a/scheduler/savestate.go
+++ b/scheduler/savestate.go
@@ -83,8 +83,8 @@
 		state.Failures = append(state.Failures, [3]int64{int64(streak.count), streak.since, streak.lastAt})
 	}
 	if ep.route != ep.route.destination.route {
-		own := ep.route.state()
-		state.OwnRoute = &own
+		ownRoute := ep.route.state()
+		state.OwnRoute = &ownRoute
 	}
 	return state
 }
@@ -199,9 +199,9 @@
 	if state.OwnRoute != nil && rt != rt.destination.route && !rt.restore(*state.OwnRoute) {
 		return false
 	}
-	answeredLately := rt.latency.samples > 0 && s.now-rt.lastSuccessAt < outageAfterUs
-	if answeredLately && !slices.Contains(s.answering, rt) {
-		s.answering = append(s.answering, rt)
+	succeededRecently := rt.latency.samples > 0 && s.now-rt.lastSuccessAt < outageAfterUs
+	if succeededRecently && !slices.Contains(s.respondingRoutes, rt) {
+		s.respondingRoutes = append(s.respondingRoutes, rt)
 	}
 	return true
 }
@@ -243,7 +243,7 @@
 // restoreCall puts a call in flight again whose messages have been restored.
 func (s *Scheduler) restoreCall(state *CallState) error {
 	ep := s.endpoints[state.Endpoint]
-	restored := &call{endpoint: ep, size: state.Size, round: -1}
+	restored := &call{endpoint: ep, size: state.Size, step: -1}
 	if ep == nil || !assign(restored.integers(), state.Integers) || !assign(restored.flags(), state.Flags) {
 		return fmt.Errorf("saved state: a call to %q makes no sense", state.Endpoint)
 	}
@@ -276,9 +276,9 @@
 			delete(s.messages, msg.id)
 		case msg.call == nil:
 			s.enqueue(msg)
-			s.setDeadline(msg, s.lastSendTime(msg))
+			s.setDeadline(msg, s.sendDeadline(msg))
 		case !msg.ended:
-			s.setDeadline(msg, s.resendBy(msg))
+			s.setDeadline(msg, s.resendDeadline(msg))
 		}
 	}
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -28,21 +28,21 @@
 	// The senders that share the destinations.
 	senders      float64
 	senderFactor float64 // how many times as many senders as see enough by themselves
-	crowding     float64 // 0 for few senders, nears 1 with their number
+	contention   float64 // 0 for few senders, nears 1 with their number
 
 	// The current step.
 	now     int64
-	round   int64
+	step    int64
 	actions []Action
 
 	// Messages.
-	messages      map[string]*message
-	acceptedCount int        // accepted and without a final answer
-	deadlines     []*message // by dueAt
-	keyQueues     map[int64]*keyQueue
-	keySweepSize  int     // number of key queues at which unused ones are dropped
-	shedLevel     float64 // value of the message shed last, as of shedLevelAt
-	shedLevelAt   int64
+	messages          map[string]*message
+	acceptedCount     int        // accepted and without a final answer
+	deadlines         []*message // by dueAt
+	keyQueues         map[int64]*keyQueue
+	keyQueueSweepSize int     // number of key queues at which unused ones are dropped
+	shedLevel         float64 // value of the message shed last, as of shedLevelAt
+	shedLevelAt       int64
 
 	// Destinations and endpoints.
 	destinations     []*destination
@@ -52,7 +52,7 @@
 	learnedEndpoints map[string]learnedEndpoint // by address: of the last incarnation, not listed yet
 	watching         bool                       // the endpoint list arrives by itself
 	nextWatchAt      int64
-	watchGapUs       int64
+	watchIntervalUs  int64
 
 	// Concurrency.
 	callsInFlight          int
@@ -60,7 +60,7 @@
 	maxCallsPerDestination int
 	callsToSlowRoutes      int // to routes that are slow, silent or failing
 	maxCallsToSlowRoutes   int
-	answering              []*route // those that answered lately
+	respondingRoutes       []*route // those that answered lately
 	slowdown               float64  // latency of all routes now, against the usual one
 
 	// Connections and retries, by machine type.
@@ -90,9 +90,9 @@
 	for _, class := range settings.Classes {
 		s.addClass(class)
 	}
-	for _, customer := range settings.Tenants {
-		quota := customer.QuotaPerSecond / s.senders
-		s.tenants[customer.Name] = &tenant{
+	for _, setting := range settings.Tenants {
+		quota := setting.QuotaPerSecond / s.senders
+		s.tenants[setting.Name] = &tenant{
 			quotaPerSecond: quota,
 			bucketSize:     max(2, 2*quota),
 			tokens:         max(2, 2*quota),
@@ -112,7 +112,7 @@
 		tenants:             map[string]*tenant{},
 		senders:             float64(settings.Senders),
 		senderFactor:        plan.SenderFactor(),
-		crowding:            plan.Crowding(),
+		contention:          plan.Crowding(),
 		messages:            map[string]*message{},
 		keyQueues:           map[int64]*keyQueue{},
 		destinationByID:     map[int64]*destination{},
@@ -140,7 +140,7 @@
 // microseconds; it does not go back.
 func (s *Scheduler) Step(now int64, events []Event) []Action {
 	s.now, s.actions, s.startedAt = now, nil, cmp.Or(s.startedAt, now)
-	s.round++
+	s.step++
 	for i := range events {
 		s.handleEvent(&events[i])
 	}
@@ -175,24 +175,24 @@
 
 // armTimer keeps one timer: the earliest moment at which something may change by itself.
 func (s *Scheduler) armTimer() {
-	at := int64(never)
+	earliest := int64(never)
 	if len(s.deadlines) > 0 {
-		at = s.deadlines[0].dueAt
+		earliest = s.deadlines[0].dueAt
 	}
 	if s.callsInFlight < s.maxCalls {
 		for _, dest := range s.active {
 			if len(dest.pending) > 0 {
-				at = min(at, dest.nextDispatchAt)
+				earliest = min(earliest, dest.nextDispatchAt)
 			}
 		}
 	}
 	if s.settings.Discovery == DiscoveryOnRequest && !s.watching {
-		at = min(at, s.nextWatchAt)
+		earliest = min(earliest, s.nextWatchAt)
 	}
-	if at == never || at >= s.timerAt && s.timerAt > s.now {
+	if earliest == never || earliest >= s.timerAt && s.timerAt > s.now {
 		return
 	}
-	s.timerAt = max(at, s.now+s.settings.TickUs)
+	s.timerAt = max(earliest, s.now+s.settings.TickUs)
 	s.timerID++
 	s.actions = append(s.actions, Action{Kind: SetTimer, DelayUs: s.timerAt - s.now, TimerID: s.timerID})
 }
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -105,10 +105,10 @@
 			len(settings.Classes), settings.Calls.ConcurrentCalls)
 	}
 	rules, limits := &settings.Rules, &settings.Limits
-	least := min(settings.TickUs, rules.OverloadWindowUs, rules.SlowStartUs, rules.KeyQuarantineUs,
+	smallest := min(settings.TickUs, rules.OverloadWindowUs, rules.SlowStartUs, rules.KeyQuarantineUs,
 		rules.MaxPollIntervalUs, limits.MaxRetryAfterUs, limits.ConnectTimeoutUs, limits.KeepAliveUs,
 		int64(limits.MaxAttempts), int64(limits.MaxMessages))
-	if least < 0 || rules.SlowStartInitialShare < 0 || rules.OverloadMultiple < 0 {
+	if smallest < 0 || rules.SlowStartInitialShare < 0 || rules.OverloadMultiple < 0 {
 		return errNegativeSetting
 	}
 	for i := range settings.Classes {
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -52,11 +52,11 @@
 // low estimate of its capacity.
 func (s *Scheduler) slowStartRate(rt *route) float64 {
 	rules := &s.settings.Rules
-	started := 0.0 // share of the slow start that is over
+	elapsedShare := 0.0 // share of the slow start that is over
 	if rt.slowStart.until > 0 && rules.SlowStartUs > 0 {
-		started = 1 - max(0, float64(rt.slowStart.until-s.now)/float64(rules.SlowStartUs))
+		elapsedShare = 1 - max(0, float64(rt.slowStart.until-s.now)/float64(rules.SlowStartUs))
 	}
-	share := rules.SlowStartInitialShare + (1-rules.SlowStartInitialShare)*started
+	share := rules.SlowStartInitialShare + (1-rules.SlowStartInitialShare)*elapsedShare
 	rate := s.capacityEstimate(rt) * share * max(1, rules.OverloadMultiple)
 	rate *= s.slowStartMargin(rate)
 	return max(rate, 1e6/(float64(max(rules.OverloadWindowUs, 500_000))*float64(s.settings.Senders)))
@@ -68,10 +68,10 @@
 	if s.hasSharedLimit(rt) {
 		return rt.advertisedLimit.EvenShare(s.senders)
 	}
-	capacity := max(s.arrivalRate(rt)*s.crowding, rt.capacityHint, rt.throughput.peakSuccessRate/s.senderFactor)
+	capacity := max(s.arrivalRate(rt)*s.contention, rt.capacityHint, rt.throughput.peakSuccessRate/s.senderFactor)
 	if rt.latency.samples < peakMinSamples {
-		young := s.recovery.YoungMeanFactor(s.now-s.startedAt, arrivalRateDecayUs)
-		capacity = max(capacity, s.arrivalRate(rt)*young/slowStartMarginMax)
+		startupFactor := s.recovery.YoungMeanFactor(s.now-s.startedAt, arrivalRateDecayUs)
+		capacity = max(capacity, s.arrivalRate(rt)*startupFactor/slowStartMarginMax)
 	}
 	return capacity
 }
@@ -79,9 +79,9 @@
 // slowStartMargin is the factor by which all senders together may exceed the low estimate of a
 // budget. rate is this sender's part of it. The more calls the budget holds, the less chance counts.
 func (s *Scheduler) slowStartMargin(rate float64) float64 {
-	calls := rate * s.senders * float64(s.settings.Rules.OverloadWindowUs) / 1e6
-	if calls <= 0 {
+	totalCalls := rate * s.senders * float64(s.settings.Rules.OverloadWindowUs) / 1e6
+	if totalCalls <= 0 {
 		return slowStartMarginMax
 	}
-	return min(slowStartMarginMax, slowStartMarginMin+1/math.Sqrt(calls))
+	return min(slowStartMarginMax, slowStartMarginMin+1/math.Sqrt(totalCalls))
 }
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -93,7 +93,7 @@
 		&rt.capacityHint,
 		&rt.latency.smoothedUs,
 		&rt.latency.deviationUs,
-		&rt.latency.usualUs,
+		&rt.latency.baselineUs,
 		&rt.latency.samples,
 		&rt.health.failureShare,
 		&rt.health.lastingFailureShare,
@@ -111,10 +111,10 @@
 		&rt.health.lastFailureAt,
 		&rt.lastSuccessAt,
 		&rt.lastSendAt,
-		&rt.lastAnswerAt,
+		&rt.lastOutcomeAt,
 		&rt.health.failureShareAt,
 		&rt.probe.nextAt,
-		&rt.probe.gapUs,
+		&rt.probe.intervalUs,
 		&rt.slowStart.until,
 		&rt.slowStart.nextCallAt,
 		&rt.overtakenUntil,
@@ -160,21 +160,21 @@
 }
 
 // values is a list of what the pointers point to.
-func values[T any](from []*T) []T {
-	list := make([]T, len(from))
-	for i, p := range from {
-		list[i] = *p
+func values[T any](variables []*T) []T {
+	list := make([]T, len(variables))
+	for i, variable := range variables {
+		list[i] = *variable
 	}
 	return list
 }
 
 // assign gives the variables their values; it reports false where their numbers differ.
-func assign[T any](to []*T, from []T) bool {
-	if len(to) != len(from) {
+func assign[T any](variables []*T, list []T) bool {
+	if len(variables) != len(list) {
 		return false
 	}
-	for i, p := range to {
-		*p = from[i]
+	for i, variable := range variables {
+		*variable = list[i]
 	}
 	return true
 }
