--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -1,29 +1,29 @@
 package scheduler
 
-// ActionKind says which fields of an Action count.
+// ActionKind is the kind of an Action. It determines which of its fields are set.
 type ActionKind uint8
 
-// The actions that Step returns, with the fields that count beside Kind.
+// The kinds of actions that Step returns, each with the fields that it sets.
 const (
 	// StartAttempt sends a message: ID, Endpoint, TimeoutUs.
 	StartAttempt ActionKind = iota
-	// Reject answers a message that has not run or may be repeated: ID, RetryAfterUs.
+	// Reject ends a message that has not run, or that may be sent again safely: ID, RetryAfterUs.
 	Reject
-	// Fail answers a message that may have run: ID.
+	// Fail ends a message that may have run: ID.
 	Fail
-	// SetTimer asks for a TimerFired event: DelayUs, TimerID. It replaces the timer before.
+	// SetTimer requests a TimerFired event: DelayUs, TimerID. It replaces the previous timer.
 	SetTimer
-	// WriteLog: Text.
+	// WriteLog writes a log line: Text.
 	WriteLog
-	// CancelAttempt: ID, Attempt.
+	// CancelAttempt cancels an attempt in flight: ID, Attempt.
 	CancelAttempt
-	// CloseIdleConnections: Endpoint.
+	// CloseIdleConnections closes the idle connections to an endpoint: Endpoint.
 	CloseIdleConnections
-	// WatchEndpoints: On.
+	// WatchEndpoints opens a watch of the endpoint list: On.
 	WatchEndpoints
 )
 
-// Action is one thing to do now. Times are in microseconds.
+// Action is one operation that the caller of Step has to carry out. Times are in microseconds.
 type Action struct {
 	Kind         ActionKind
 	ID           string
--- a/scheduler/arrival.go
+++ b/scheduler/arrival.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// acceptRequest takes up an accepted message, a new one or one that was accepted before a restart.
+// acceptRequest adds an accepted message: a new one, or one that was accepted before a restart.
 func (s *Scheduler) acceptRequest(event *Event) {
 	class := s.classes[event.Class]
 	if class == nil { // not in the settings
@@ -25,7 +25,7 @@
 	s.shedIfFull(msg)
 }
 
-// newMessage makes the message of a RequestAccepted event and charges it to its tenant's quota.
+// newMessage returns the message of a RequestAccepted event and charges it to its tenant's quota.
 func (s *Scheduler) newMessage(event *Event, class *requestClass) *message {
 	objectiveUs := class.LatencyObjectiveUs + int64(class.ObjectiveStretch*float64(event.WorkUs))
 	msg := &message{
@@ -46,7 +46,7 @@
 	return msg
 }
 
-// takeToken takes a message from the tenant's quota; it reports false where the quota is used up.
+// takeToken charges a message to the tenant's quota. It reports false if the quota is exhausted.
 func (t *tenant) takeToken(now int64) bool {
 	if t.quotaPerSecond <= 0 {
 		return true
@@ -61,8 +61,8 @@
 	return true
 }
 
-// countArrival counts a message in its destination's arrival rate. Those restored after a restart
-// had been counted when they arrived.
+// countArrival counts a message in its destination's arrival rate. Messages restored after a restart
+// were counted when they first arrived.
 func (s *Scheduler) countArrival(msg *message, event *Event) {
 	if event.Restored {
 		return
@@ -74,7 +74,8 @@
 	msg.acceptedAt = s.now
 }
 
-// delayFirstAttempt sets when a message may be sent first. A restored one keeps half of its time.
+// delayFirstAttempt sets the earliest time of a message's first attempt. A restored message is delayed
+// by at most half of the time until its send deadline.
 func (s *Scheduler) delayFirstAttempt(msg *message, event *Event) {
 	msg.notBefore = s.now + s.retryDelay(msg.destination)
 	if event.Restored {
@@ -83,8 +84,8 @@
 	}
 }
 
-// finishUndelivered gives a message that was not delivered its final answer. A rejection promises
-// the client that a repeat does no harm; where that is not certain the message has failed.
+// finishUndelivered gives an undelivered message its final answer. A rejection promises the client
+// that it may safely send the message again. Without that certainty the final answer is failed.
 func (s *Scheduler) finishUndelivered(msg *message) {
 	action := Action{Kind: Fail, ID: msg.id}
 	notRun := msg.firstRunAt == 0 && msg.call == nil
@@ -100,8 +101,8 @@
 	s.actions = append(s.actions, action)
 }
 
-// removeMessage forgets a message that has its final answer. While an attempt of it is in flight it
-// stays known, for the outcome.
+// removeMessage drops a message that has its final answer. While an attempt is in flight, the message
+// stays in s.messages so that the outcome can be recorded.
 func (s *Scheduler) removeMessage(msg *message) {
 	msg.ended = true
 	s.acceptedCount--
--- a/scheduler/breaker.go
+++ b/scheduler/breaker.go
@@ -3,28 +3,28 @@
 import "math"
 
 const (
-	outageAfterUs               = 3_000_000  // without a success; from then on failures are an outage
-	failureShareGain            = 0.22       // weight of one outcome
-	failureShareUnavailable     = 0.5        // failure share from which a route is unavailable
-	lastingShareDecayUs         = 5_000_000  // for so long a failure share counts as recent
+	outageAfterUs               = 3_000_000  // failures are an outage after this time without a success
+	failureShareGain            = 0.22       // weight of one outcome in the failure share
+	failureShareUnavailable     = 0.5        // failure share above which a route is unavailable
+	lastingShareDecayUs         = 5_000_000  // time constant with which lastingFailureShare follows failureShare
 	probeIntervalMinUs          = 500_000    // between probe attempts
 	probeIntervalMaxUs          = 2_500_000  // between probe attempts
-	probeIntervalGrowth         = 1.5        // each gap against the one before
-	probeIntervalManyMaxUs      = 12_000_000 // longest gap between one sender's probes among many
-	unresponsiveLatencyMultiple = 1.5        // a route is silent after so many expected latencies
+	probeIntervalGrowth         = 1.5        // factor from one probe interval to the next
+	probeSpreadMaxUs            = 12_000_000 // maximum time over which many senders spread their probe attempts
+	unresponsiveLatencyMultiple = 1.5        // a route is unresponsive after this multiple of its expected latency
 )
 
-// healthState is what a route's failures tell.
+// healthState is the health of a route, as derived from its failures.
 type healthState struct {
 	unavailable           bool
-	consecutiveFailures   int // of any kind, rejections too
+	consecutiveFailures   int // of any kind, rejections included
 	consecutiveRejections int
 	consecutiveTimeouts   int
 	failingSince          int64
 	lastFailureAt         int64
 	lastFailureAmbiguous  bool // the attempt may have run
 	failureShare          float64
-	lastingFailureShare   float64 // the part of it that had lasted at failureShareAt
+	lastingFailureShare   float64 // the part of failureShare that was not recent, as of failureShareAt
 	failureShareAt        int64
 }
 
@@ -32,17 +32,18 @@
 type probeState struct {
 	nextAt         int64
 	intervalUs     int64
-	delegatedUntil int64 // until then another sender alone probes
+	delegatedUntil int64 // only another sender probes until then
 }
 
-// The indexes of endpoint.failures. The classes' streaks come after them, by requestClass.index.
+// The indexes of endpoint.failures. From classFailures on, each class has a streak, ordered by
+// requestClass.index.
 const (
 	connectFailures = iota
 	rejections
 	classFailures
 )
 
-// failureStreak counts failures in a row of one kind at one endpoint.
+// failureStreak counts the consecutive failures of one kind at one endpoint.
 type failureStreak struct {
 	count  int
 	since  int64
@@ -57,12 +58,12 @@
 	streak.lastAt = now
 }
 
-// classFailures is the streak of the call's endpoint and class.
+// classFailures returns the failure streak of the call's endpoint and class.
 func (c *call) classFailures() *failureStreak {
 	return &c.endpoint.failures[classFailures+c.messages[0].class.index]
 }
 
-// recordFailure records a failure other than a rejection. It leaves the rate as it is.
+// recordFailure records a failure other than a rejection. It does not change the route's rate.
 func (s *Scheduler) recordFailure(rt *route, call *call, mayHaveRun bool) {
 	s.updateFailureShare(rt, 1)
 	if call.sentAt >= rt.health.lastFailureAt {
@@ -75,12 +76,12 @@
 	case rt.health.unavailable, noSuccess && (repeated || mostlyFailing), rt.latency.samples == 0 && mostlyFailing:
 		s.markUnavailable(rt)
 	case rt.health.failureShare-s.lastingFailureShare(rt) > failureShareUnavailable:
-		// Some calls succeed: probes would waste the capacity that is left.
+		// Some calls succeed: with single probe attempts the remaining capacity would be wasted.
 		rt.slowStart.until = s.now + s.settings.Rules.SlowStartUs
 	}
 }
 
-// countFailure counts a failure of a call that had left after the last one was known.
+// countFailure counts a failure of a call that was sent after the previous failure was recorded.
 func (s *Scheduler) countFailure(rt *route, mayHaveRun bool) {
 	rt.health.consecutiveFailures++
 	if rt.health.consecutiveFailures == 1 {
@@ -90,7 +91,7 @@
 	rt.health.lastFailureAmbiguous = mayHaveRun
 }
 
-// clearFailures makes a route available.
+// clearFailures marks a route as available.
 func (s *Scheduler) clearFailures(rt *route) {
 	rt.health.unavailable = false
 	rt.health.consecutiveFailures = 0
@@ -99,8 +100,8 @@
 	rt.probe.intervalUs = probeIntervalMinUs
 }
 
-// markUnavailable records an outage, or that it lasts: from here on the route gets single probe
-// attempts with growing gaps.
+// markUnavailable records that an outage has begun or continues. The route gets only single probe
+// attempts, at increasing intervals.
 func (s *Scheduler) markUnavailable(rt *route) {
 	if !rt.health.unavailable {
 		rt.health.unavailable = true
@@ -109,8 +110,8 @@
 		rt.slowStart.until = 0
 		s.logRoute("%s is out: %d failures without a success for %d ms, trial calls only", rt, s.now)
 	}
-	// The probes of all senders together stay below what the route takes in slow start.
-	spreadUs := s.contention * min(1.2e6/s.slowStartRate(rt), probeIntervalManyMaxUs)
+	// The probe attempts of all senders together stay below the load that the route accepts in slow start.
+	spreadUs := s.contention * min(1.2e6/s.slowStartRate(rt), probeSpreadMaxUs)
 	rt.probe.nextAt = s.now + int64(max(float64(rt.probe.intervalUs), spreadUs)*(0.8+0.4*s.rng.Float64()))
 	rt.probe.nextAt = max(rt.probe.nextAt, rt.retryAfterUntil+int64(spreadUs*s.rng.Float64()))
 	rt.probe.intervalUs = min(probeIntervalMaxUs, int64(float64(rt.probe.intervalUs)*probeIntervalGrowth))
@@ -119,14 +120,14 @@
 	}
 }
 
-// isProbing tells whether calls to a route leave one by one: it is failing, or holds calls and has
-// been silent for longer than expected, before any time-out shows it.
+// isProbing reports whether calls to a route are sent one at a time: it is failing, or it has calls in
+// flight and has been unresponsive for longer than expected. The latter shows before any timeout.
 func (s *Scheduler) isProbing(rt *route) bool {
 	unresponsive := len(rt.calls) > 0 && s.isUnresponsiveSince(rt, max(rt.calls[0].sentAt, rt.lastOutcomeAt))
 	return unresponsive || s.isFailing(rt)
 }
 
-// isFailing tells whether a route is unavailable, or without a success since a failure some time ago.
+// isFailing reports whether a route is unavailable, or has had only failures for outageAfterUs.
 func (s *Scheduler) isFailing(rt *route) bool {
 	health := &rt.health
 	if health.unavailable {
@@ -137,8 +138,9 @@
 	return failed && s.now-health.failingSince > outageAfterUs
 }
 
-// unresponsiveSinceStart tells whether this incarnation has begun in an outage without failures: it holds
-// calls, and the route has never answered.
+// unresponsiveSinceStart reports whether a route has never responded to this incarnation and its oldest
+// call in flight has waited for longer than expected: the incarnation may have started during an outage
+// that causes no failures.
 func (s *Scheduler) unresponsiveSinceStart(rt *route) bool {
 	return rt.latency.samples == 0 && len(rt.calls) > 0 && s.isUnresponsiveSince(rt, rt.calls[0].sentAt)
 }
@@ -147,23 +149,23 @@
 	return s.now-since > int64(unresponsiveLatencyMultiple*float64(s.expectedLatencyUs(rt)))
 }
 
-// lastingFailureShare is the part of a route's failure share that is not recent. Waiting does not
-// reduce it.
+// lastingFailureShare returns the part of a route's failure share that is not recent. Without further
+// outcomes it approaches the failure share, not zero.
 func (s *Scheduler) lastingFailureShare(rt *route) float64 {
 	health := &rt.health
 	return health.failureShare + (health.lastingFailureShare-health.failureShare)*
 		math.Exp(-float64(s.now-health.failureShareAt)/lastingShareDecayUs)
 }
 
-// updateFailureShare records an outcome in the route's failure share: 1 for a failure, else 0.
+// updateFailureShare records an outcome in the route's failure share: 1 for a failure, 0 otherwise.
 func (s *Scheduler) updateFailureShare(rt *route, failed float64) {
 	rt.health.lastingFailureShare = s.lastingFailureShare(rt)
 	rt.health.failureShareAt = s.now
 	rt.health.failureShare += (failed - rt.health.failureShare) * failureShareGain
 }
 
-// siblingConnects tells whether another endpoint of the same route has had no failed connect lately.
-// In a rolling restart single addresses fail while the route is available.
+// siblingConnects reports whether another endpoint of the same route has had no failed connect recently.
+// In a rolling restart single addresses fail while the route stays available.
 func (s *Scheduler) siblingConnects(ep *endpoint) bool {
 	for _, other := range ep.route.destination.endpoints {
 		if other == ep || other.ownLimit || !other.live {
--- a/scheduler/choice.go
+++ b/scheduler/choice.go
@@ -5,19 +5,19 @@
 	"math"
 )
 
-// The cost of an endpoint is in the unit of the settings' fees.
+// The costs of an endpoint are in units of priority weight, like Calls.ZoneFees.
 const (
-	inFlightCost        = 0.03      // of each call in flight at the endpoint
-	preferenceWeight    = 0.2       // of this sender's random preference, the most
-	preferenceFadeUs    = 2_000_000 // the preference fades where there is more than a call in this time
-	failureCost         = 0.3       // of each failure in a row; it decays
+	inFlightCost        = 0.03      // of each call in flight to the endpoint
+	preferenceWeight    = 0.2       // maximum cost due to this sender's random preference
+	preferenceFadeUs    = 2_000_000 // the preference fades as the route's calls come more often than this
+	failureCost         = 0.3       // of each consecutive failure; it decays
 	maxCountedFailures  = 3
-	failureShareCost    = 0.5       // of a route on which all fails
+	failureShareCost    = 0.5       // at a failure share of 1
 	failureShareUnsafe  = 0.3       // failure share above which unsafe messages wait
-	probeMinRemainingUs = 1_000_000 // time that a message for a probe attempt has left at least
+	probeMinRemainingUs = 1_000_000 // minimum time that a message for a probe attempt has left
 )
 
-// chooseEndpoint picks the endpoint of least cost for a message; nil where it has to wait.
+// chooseEndpoint returns the endpoint with the lowest cost for a message, or nil if the message has to wait.
 func (s *Scheduler) chooseEndpoint(msg *message, endpoints []*endpoint) *endpoint {
 	var chosen *endpoint
 	lowestCost := math.Inf(1)
@@ -32,8 +32,8 @@
 	return chosen
 }
 
-// mayUse tells whether a message may go to an endpoint now. Where it is only to wait, it notes for
-// how long.
+// mayUse reports whether a message may be sent to an endpoint now. If the message only has to wait,
+// the time is recorded in the destination's nextDispatchAt.
 func (s *Scheduler) mayUse(msg *message, ep *endpoint) bool {
 	rt := ep.route
 	keyOutOfScope := msg.firstRunAt != 0 && msg.class.idempotentByKey &&
@@ -56,9 +56,9 @@
 	return s.shutdownAt <= 0 || s.now+s.callDurationUs(msg, rt) <= s.shutdownAt
 }
 
-// probeAllowedAt is when a message with so much time left may be a route's probe attempt; 0 where
-// nothing stands against it. A probe that its message's deadline ends proves nothing, but is sent
-// where no other message comes.
+// probeAllowedAt returns when a message may be sent as a route's probe attempt, or 0 for at once. A
+// probe attempt cut short by the deadline of its message proves nothing. A message with little time
+// left is therefore delayed, and sent if no other message arrives until then.
 func (s *Scheduler) probeAllowedAt(rt *route, remainingUs int64) int64 {
 	if !s.isProbing(rt) || remainingUs >= max(probeMinRemainingUs, int64(timeoutLatencyMultiple*rt.latency.baselineUs)) {
 		return 0
@@ -66,8 +66,8 @@
 	return max(rt.lastSendAt, rt.retryAfterUntil, rt.probe.nextAt) + 2*probeIntervalMaxUs
 }
 
-// unsafeAllowedAt is when a message may go to a route on which attempts may be lost; 0 where it is
-// safe or the route is healthy.
+// unsafeAllowedAt returns when an unsafe message may be sent to a route that may lose attempts. It
+// returns 0, for at once, for other messages and for a healthy route.
 func (s *Scheduler) unsafeAllowedAt(msg *message, rt *route) int64 {
 	if !msg.class.unsafe || !rt.health.lastFailureAmbiguous && len(rt.calls) == 0 {
 		return 0
@@ -78,7 +78,8 @@
 	return max(rt.lastSendAt, rt.health.lastFailureAt) + probeIntervalMaxUs
 }
 
-// endpointCost weighs an endpoint's fee, load, recent failures and connections.
+// endpointCost returns the cost of sending a message to an endpoint, from its fee, load, recent
+// failures and connections.
 func (s *Scheduler) endpointCost(msg *message, ep *endpoint) float64 {
 	rt := ep.route
 	cost := ep.zoneFee + s.preferenceCost(ep) + inFlightCost*float64(ep.callsInFlight) +
@@ -104,8 +105,8 @@
 	return cost
 }
 
-// preferenceCost spreads many senders over a destination's routes, by each sender's random
-// preference and the routes' capacities: by fees alone all would overload the cheapest one.
+// preferenceCost spreads many senders over a destination's routes, according to each sender's random
+// preference and the routes' capacities. By fees alone all senders would overload the cheapest route.
 func (s *Scheduler) preferenceCost(ep *endpoint) float64 {
 	if s.contention == 0 {
 		return 0
@@ -119,7 +120,7 @@
 	return preferenceWeight * preference / (1 + preference) * s.contention / (1 + callsPerFade*callsPerFade)
 }
 
-// callDurationUs is how long a call should take, with a margin for an unsafe message.
+// callDurationUs returns the expected duration of a call, with a margin for an unsafe message.
 func (s *Scheduler) callDurationUs(msg *message, rt *route) int64 {
 	if msg.class.unsafe {
 		return 2 * s.expectedLatencyUs(rt)
--- a/scheduler/concurrency.go
+++ b/scheduler/concurrency.go
@@ -5,26 +5,26 @@
 	"slices"
 )
 
-// The multiples are of a route's expected latency, or where they say so of its usual one.
+// The multiples are of a route's expected latency unless they name the baseline latency.
 const (
-	maxDestinationCallShare = 0.75 // most calls in flight to one destination, as a share of all
-	maxSlowRouteCallShare   = 0.5  // most calls in flight to slow, silent or failing routes, as a share of all
-	slowLatencyMultiple     = 3.0  // a route is slow: multiple of the usual latency
-	overdueLatencyMultiple  = 4.0  // a call is overdue
-	cancelLatencyMultiple   = 3.0  // a call to a silent route may be canceled
+	maxDestinationCallShare = 0.75 // maximum calls in flight to one destination, as a share of all
+	maxSlowRouteCallShare   = 0.5  // maximum calls in flight to slow, unresponsive or failing routes, as a share of all
+	slowLatencyMultiple     = 3.0  // of the baseline latency, above which a route is slow
+	overdueLatencyMultiple  = 4.0  // after which a call is overdue
+	cancelLatencyMultiple   = 3.0  // after which a stuck call may be canceled
 	defaultLatencyUs        = 500_000
-	slowRouteRetryUs        = probeIntervalMinUs / 4 // when to ask again for a call to a slow route
+	slowRouteRetryUs        = probeIntervalMinUs / 4 // delay before the next attempt to send to a slow route
 )
 
-// latencyEstimate follows the time from an attempt's start to its answer.
+// latencyEstimate tracks the time from the start of an attempt to its response.
 type latencyEstimate struct {
-	smoothedUs  float64
-	deviationUs float64
-	baselineUs  float64 // over many more answers
+	smoothedUs  float64 // moving average over 8 responses
+	deviationUs float64 // mean deviation from smoothedUs
+	baselineUs  float64 // moving average over 64 responses
 	samples     float64
 }
 
-// observe takes up the latency of one answer.
+// observe records the latency of one response.
 func (latency *latencyEstimate) observe(latencyUs float64) {
 	latency.samples++
 	if latency.samples == 1 {
@@ -35,7 +35,8 @@
 	latency.baselineUs += (min(latencyUs, 4*latency.baselineUs) - latency.baselineUs) / min(64, latency.samples)
 }
 
-// expectedLatencyUs is the time within which a route normally answers: the mean and two deviations.
+// expectedLatencyUs returns the time within which a route normally responds: the smoothed latency plus
+// two deviations.
 func (s *Scheduler) expectedLatencyUs(rt *route) int64 {
 	if rt.latency.smoothedUs == 0 {
 		return max(s.settings.Limits.ConnectTimeoutUs, defaultLatencyUs)
@@ -43,8 +44,9 @@
 	return int64((rt.latency.smoothedUs + 2*rt.latency.deviationUs) * s.slowdown)
 }
 
-// updateSlowdown notes that a route has answered, and takes the median over all routes of the
-// latency against the usual one: where all are slow, none counts as slow.
+// updateSlowdown records that a route has responded, and updates the slowdown: the median, over all
+// responding routes, of the latency as a multiple of the baseline. If all routes are slow, none counts
+// as slow.
 func (s *Scheduler) updateSlowdown(answered *route) {
 	if !slices.Contains(s.respondingRoutes, answered) {
 		s.respondingRoutes = append(s.respondingRoutes, answered)
@@ -61,7 +63,7 @@
 	s.slowdown = max(1, elementOrZero(ratios, len(ratios)/2))
 }
 
-// raiseMaxInFlight doubles a route's concurrency limit for a success.
+// raiseMaxInFlight doubles a route's concurrency limit after a success.
 func (s *Scheduler) raiseMaxInFlight(rt *route) {
 	limit := s.maxCallsPerDestination
 	if s.isSlow(rt) {
@@ -70,17 +72,17 @@
 	rt.maxInFlight = min(limit, rt.maxInFlight*2)
 }
 
-// isSlow tells whether a route answers much slower than usual, while others do not.
+// isSlow reports whether a route responds much slower than its baseline while others do not.
 func (s *Scheduler) isSlow(rt *route) bool {
 	return rt.latency.smoothedUs > slowLatencyMultiple*rt.latency.baselineUs*s.slowdown
 }
 
-// isOverdue tells whether a call without an outcome has probably been lost.
+// isOverdue reports whether a call without an outcome has probably been lost.
 func (s *Scheduler) isOverdue(rt *route, sentAt int64) bool {
 	return s.now-sentAt > int64(overdueLatencyMultiple*float64(s.expectedLatencyUs(rt)))
 }
 
-// countCallsToSlowRoutes updates callsToSlowRoutes.
+// countCallsToSlowRoutes updates callsToSlowRoutes. A route that endpoints share is counted once.
 func (s *Scheduler) countCallsToSlowRoutes() {
 	s.callsToSlowRoutes = 0
 	for _, dest := range s.active {
@@ -94,8 +96,9 @@
 	}
 }
 
-// cancelStuckCall cancels one call where all are in use, some by routes that are silent or
-// unavailable, while a route that works has pending messages. A canceled unsafe message fails.
+// cancelStuckCall cancels one call if the limit of concurrent calls is reached, unresponsive or
+// unavailable routes use some of them, and a working route has pending messages. A canceled unsafe
+// message fails.
 func (s *Scheduler) cancelStuckCall() {
 	if s.callsInFlight < s.maxCalls {
 		return
@@ -118,8 +121,8 @@
 	}
 }
 
-// cancellationCost is what canceling the oldest call of a route costs: most for an unsafe message,
-// less the longer it has waited. False where it may not be canceled.
+// cancellationCost returns the cost of canceling the oldest call of a route: highest for an unsafe
+// message, and lower the older the call is. It reports false if the call may not be canceled.
 func (s *Scheduler) cancellationCost(rt *route, probing bool) (float64, bool) {
 	if len(rt.calls) == 0 {
 		return 0, false
@@ -135,7 +138,8 @@
 	return 100*float64(oldest.messages[0].class.repeatRisk) - age, true
 }
 
-// cancelOvertaken cancels overdue calls that left before one that is answered now: they were lost.
+// cancelOvertaken cancels the overdue calls of a route that were sent before one that has its response
+// now: they have been lost.
 func (s *Scheduler) cancelOvertaken(rt *route, answered *call) {
 	rt.overtakenUntil = max(rt.overtakenUntil, answered.sentAt-1)
 	for _, other := range rt.calls {
@@ -145,8 +149,8 @@
 	}
 }
 
-// cancelCall cancels the attempts of a call that have no response yet, those of unsafe messages
-// only where unsafe is set.
+// cancelCall cancels the attempts of a call that have no response yet. Attempts of unsafe messages are
+// canceled only if unsafe is set.
 func (s *Scheduler) cancelCall(call *call, unsafe bool) {
 	if !call.canceled && s.settings.Limits.CanCancel {
 		for _, msg := range call.messages {
@@ -158,8 +162,8 @@
 	call.canceled = true
 }
 
-// cancelAfterUs is how long a call gets at least: the latency objective where it has an unsafe
-// message, else half of it, so that a retry has as long.
+// cancelAfterUs returns the minimum age at which a call may be canceled: the latency objective if it
+// carries an unsafe message, otherwise half of it, which leaves the other half for a retry.
 func (c *call) cancelAfterUs() int64 {
 	afterUs := c.messages[0].class.LatencyObjectiveUs / 2
 	for _, msg := range c.messages {
--- a/scheduler/connections.go
+++ b/scheduler/connections.go
@@ -3,28 +3,28 @@
 import "cmp"
 
 const (
-	connectFailureGain      = 0.05    // weight of one connect in the share of failed ones
-	connectFailureThreshold = 0.01    // share of failed connects from which idle connections are closed
-	minKeepIdleRate         = 0.7     // messages a second from which an idle connection is kept
-	connectRejectedDelayUs  = 100_000 // first gap before a new connection after a rejected one
-	maxIdleGrowthDivisor    = 100     // each use raises the age at which idle connections are closed by 1/100
+	connectFailureGain      = 0.05    // weight of one connect in the share of failed connects
+	connectFailureThreshold = 0.01    // share of failed connects above which rarely used connections are closed
+	minKeepIdleRate         = 0.7     // messages per second from which an idle connection is kept open
+	connectRejectedDelayUs  = 100_000 // initial delay before a new connection after a rejected one
+	maxIdleGrowthDivisor    = 100     // each use raises maxIdleUs by 1/100
 )
 
-// connectionState is what is known of an endpoint's connections.
+// connectionState describes the connections to an endpoint.
 type connectionState struct {
 	open         int
-	limit        int   // while limitedUntil lasts
-	limitedUntil int64 // no connection beyond the limit is opened before
-	maxIdleUs    int64 // age at which an idle connection is closed; 0: not known
+	limit        int   // applies until limitedUntil
+	limitedUntil int64 // no connection beyond the limit is opened earlier
+	maxIdleUs    int64 // idle time after which a connection is closed; 0: unknown
 	lastUsedAt   int64
 }
 
-// hasFreeStream tells whether a further call finds a connection with a free stream.
+// hasFreeStream reports whether an open connection has a free stream for another call.
 func (s *Scheduler) hasFreeStream(ep *endpoint) bool {
 	return ep.connections.open*max(1, s.settings.Limits.StreamsPerConnection) > ep.callsInFlight
 }
 
-// takeConnection finds a connection for a call that leaves, or opens one.
+// takeConnection assigns an open connection to a new call, or counts a connection that it opens.
 func (s *Scheduler) takeConnection(ep *endpoint, call *call) {
 	connections := &ep.connections
 	maxIdleUs := s.maxIdleAgeUs(ep)
@@ -40,8 +40,8 @@
 	connections.lastUsedAt = s.now
 }
 
-// maxIdleAgeUs is the age at which an idle connection to an endpoint is closed, so that it is not
-// lost to a middlebox that drops idle connections.
+// maxIdleAgeUs returns the idle time after which a connection to an endpoint is closed, before a
+// middlebox silently drops it.
 func (s *Scheduler) maxIdleAgeUs(ep *endpoint) int64 {
 	age := cmp.Or(ep.connections.maxIdleUs, never)
 	if s.maxIdleUs > 0 && s.now-s.maxIdleLearnedAt < idleResetUs {
@@ -51,8 +51,8 @@
 	return age
 }
 
-// recordConnectionUse learns from a call how long connections may be idle. It reports whether the
-// outcome tells of the connection alone: a reset of one that had been idle.
+// recordConnectionUse learns from the outcome of a call how long connections may stay idle. It reports
+// whether the outcome concerns only the connection, and not the route: the reset of an idle connection.
 func (s *Scheduler) recordConnectionUse(call *call, outcome Outcome) bool {
 	ep := call.endpoint
 	if !outcome.isAmbiguous() {
@@ -69,22 +69,22 @@
 	if outcome != OutcomeReset || ep.callsInFlight > 0 {
 		return false
 	}
-	// What drops idle connections is on the way to most endpoints.
+	// A middlebox that drops idle connections is usually on the path to most endpoints.
 	s.maxIdleUs = min(cmp.Or(s.maxIdleUs, call.idleUs), reducedUs)
 	s.maxIdleLearnedAt = s.now
 	s.closeIdleConnections(ep)
 	return true
 }
 
-// isConnectionRejection tells whether a rejection is one of the connection, not of the message:
-// where answers hold load reports, it comes without one.
+// isConnectionRejection reports whether a rejection is one of the connection and not of the message.
+// Where responses carry load reports, it comes without one.
 func (s *Scheduler) isConnectionRejection(call *call, event *Event) bool {
 	return event.Outcome == OutcomeRejected && call.openedConnection &&
 		len(event.LoadReport) == 0 && event.RetryAfterMs == 0 &&
 		s.settings.LoadReport.Mode == ReportInAnswers
 }
 
-// recordConnect updates the share of failed connects of a machine type.
+// recordConnect updates the share of failed connects to a machine type.
 func (s *Scheduler) recordConnect(call *call, outcome Outcome, rejected bool) {
 	if !call.openedConnection || !outcome.involvesEndpoint() {
 		return
@@ -94,8 +94,8 @@
 	s.connectFailureShare[machineType] += (failed - s.connectFailureShare[machineType]) * connectFailureGain
 }
 
-// limitConnections keeps an endpoint that rejected a connection at those in use, for a random time
-// that grows with each rejection in a row.
+// limitConnections limits an endpoint that rejected a connection to the connections in use, for a
+// random time that grows with each consecutive rejection.
 func (s *Scheduler) limitConnections(ep *endpoint) {
 	ep.connections.open = ep.callsInFlight
 	ep.connections.limit = ep.callsInFlight
@@ -105,8 +105,9 @@
 	ep.connections.limitedUntil = s.now + int64((0.5+s.rng.Float64())*float64(delayUs))
 }
 
-// closeIfRarelyUsed closes idle connections at once where this sender comes rarely: where connects
-// fail, and among many senders always, since the endpoint may lack room for the others'.
+// closeIfRarelyUsed closes the idle connections to an endpoint to which this sender rarely sends. It
+// does so where connects fail, and among many senders always, since the endpoint may not have enough
+// connections for all of them.
 func (s *Scheduler) closeIfRarelyUsed(ep *endpoint) {
 	if ep.callsInFlight > 0 || ep.connections.open == 0 {
 		return
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	timeoutLatencyMultiple = 10.0 // time-out of an attempt, in expected latencies
-	timeoutTenths          = 6    // tenths of the time left that an attempt gets at most, so that a retry fits
-	minHorizonUs           = 1_000_000
-	minLatencySeconds      = 0.02 // lower values do not raise a message's score
+	timeoutLatencyMultiple = 10.0      // timeout of an attempt, as a multiple of the expected latency
+	timeoutTenths          = 6         // maximum tenths of the remaining time for one attempt, so that a retry fits
+	minHorizonUs           = 1_000_000 // minimum wait over which the score measures the loss of value
+	minLatencySeconds      = 0.02      // lower latencies do not raise a message's score further
 )
 
 // call is one request to an endpoint; it carries one or more messages.
@@ -19,24 +19,25 @@
 	messages []*message
 
 	sentAt           int64
-	step             int64 // of Step
-	idleUs           int64 // age of the idle connection that it took; 0: none
-	size             int   // messages sent with it
-	unfinished       int   // messages without an outcome
+	step             int64 // Scheduler.step in which it was started
+	idleUs           int64 // idle time of the connection that it reused; 0: none
+	size             int   // number of messages sent with it
+	unfinished       int   // number of its messages that have no outcome yet
 	recorded         bool  // its first outcome has been recorded
 	canceled         bool
 	openedConnection bool
-	afterRejections  bool // it left after rejections with no success since
+	afterRejections  bool // the route's last outcomes before it were rejections
 }
 
-// candidate is the message of a destination that loses most by waiting, and where it may go.
+// candidate is the message of a destination that loses most by waiting, and the endpoint to send it to.
 type candidate struct {
-	message  *message // nil: none can leave now
+	message  *message // nil: no message can be sent now
 	endpoint *endpoint
-	score    float64 // priority weight a second that waiting costs
+	score    float64 // see Scheduler.score
 }
 
-// dispatch sends while calls are free, from all destinations the message that loses most by waiting.
+// dispatch sends messages until the limit of concurrent calls is reached or no message can be sent. Of
+// all destinations' messages the one that loses most by waiting goes first.
 func (s *Scheduler) dispatch() {
 	s.countCallsToSlowRoutes()
 	for _, dest := range s.active {
@@ -55,7 +56,8 @@
 	}
 }
 
-// mostUrgentDestination is the one whose best message loses most by waiting; nil where none can leave.
+// mostUrgentDestination returns the destination whose best message loses most by waiting, or nil if no
+// message can be sent.
 func (s *Scheduler) mostUrgentDestination() *destination {
 	var urgent *destination
 	for _, dest := range s.active {
@@ -66,7 +68,7 @@
 	return urgent
 }
 
-// sendCall sends a destination's best message, and more with the same call where they fit.
+// sendCall sends a destination's best message, and further messages in the same call if it has room.
 func (s *Scheduler) sendCall(dest *destination) {
 	ep := dest.nextCandidate.endpoint
 	for msg := dest.nextCandidate.message; msg != nil; msg = s.bestMessage(dest, ep).message {
@@ -77,8 +79,9 @@
 	}
 }
 
-// bestMessage picks the pending message of a destination that loses most by waiting, and its
-// endpoint. With join it picks one more message for the call that goes to that endpoint now.
+// bestMessage selects the pending message of a destination that loses most by waiting, and its
+// endpoint. If batchEndpoint is not nil, it selects a further message for the current call to that
+// endpoint.
 func (s *Scheduler) bestMessage(dest *destination, batchEndpoint *endpoint) candidate {
 	var buffer [16]*endpoint
 	usable := buffer[:0]
@@ -109,7 +112,7 @@
 	return best
 }
 
-// appendUsable appends the endpoints of a destination that may get a call now.
+// appendUsable appends the endpoints of a destination to which a call may be sent now.
 func (s *Scheduler) appendUsable(usable []*endpoint, dest *destination) []*endpoint {
 	for _, ep := range dest.endpoints {
 		if ok, at := s.maySend(dest, ep); ok {
@@ -121,7 +124,7 @@
 	return usable
 }
 
-// isReady tells whether a message may leave by its delay and its key.
+// isReady reports whether neither a message's delay nor its key queue prevents it from being sent now.
 func (s *Scheduler) isReady(msg *message) bool {
 	dest := msg.destination
 	if msg.notBefore > s.now {
@@ -135,8 +138,8 @@
 	return true
 }
 
-// score is what a message loses by waiting, for each second of a route's latency. A probe attempt
-// goes with the message that loses least by it.
+// score returns the value that a message loses by waiting for the horizon, per second of the route's
+// latency. A probe attempt is made with the message for which a lost attempt does least harm.
 func (s *Scheduler) score(msg *message, rt *route, horizon int64) float64 {
 	if s.isProbing(rt) {
 		if msg.firstRunAt != 0 {
@@ -149,7 +152,7 @@
 	return loss/max(minLatencySeconds, rt.latency.smoothedUs/1e6) + 1e-3*msg.priorityWeight
 }
 
-// messagesForCall is how many messages a call to an endpoint would carry now.
+// messagesForCall returns the number of messages that a call to an endpoint would carry now.
 func (s *Scheduler) messagesForCall(dest *destination, ep *endpoint) float64 {
 	if ep == nil || ep.messagesPerCall == 1 || s.isProbing(ep.route) {
 		return 1
@@ -166,8 +169,8 @@
 	return float64(max(1, count))
 }
 
-// maySend tells whether an endpoint may get a call now, and if not when to ask again (never: after
-// an outcome). Every call passes here.
+// maySend reports whether a call may be sent to an endpoint now. If not, it also returns when that may
+// change without an outcome, or never. Every call is checked here.
 func (s *Scheduler) maySend(dest *destination, ep *endpoint) (bool, int64) {
 	rt := ep.route
 	if !ep.live || dest.callsInFlight >= s.maxCallsPerDestination || s.callsNotOverdue(rt) >= rt.maxInFlight {
@@ -197,7 +200,8 @@
 	return rt.admittedByPeers(s.now)
 }
 
-// callsNotOverdue counts the calls of a route that use up its concurrency limit.
+// callsNotOverdue returns the number of a route's calls that count towards its concurrency limit: those
+// that are not overdue.
 func (s *Scheduler) callsNotOverdue(rt *route) int {
 	for i, call := range rt.calls {
 		if !s.isOverdue(rt, call.sentAt) {
@@ -207,7 +211,8 @@
 	return 0
 }
 
-// nextProbeAt is when the next probe attempt may leave. The gap grows with the calls in flight.
+// nextProbeAt returns the earliest time of the next probe attempt. The interval grows with the number
+// of calls in flight.
 func (s *Scheduler) nextProbeAt(rt *route) int64 {
 	inFlight := len(rt.calls)
 	if inFlight == 0 {
@@ -217,7 +222,7 @@
 	return max(rt.probe.nextAt, rt.lastSendAt+intervalUs)
 }
 
-// send starts an attempt of a message, with a new call or with the one that leaves in this step.
+// send starts an attempt of a message, in a new call or in one that was started in this step.
 func (s *Scheduler) send(msg *message, ep *endpoint) {
 	rt := ep.route
 	call := ep.currentCall
@@ -239,7 +244,7 @@
 	})
 }
 
-// startCall begins a call and charges it to the limits of its route.
+// startCall starts a call and charges it to the limits of its route.
 func (s *Scheduler) startCall(dest *destination, ep *endpoint) *call {
 	rt := ep.route
 	started := &call{
@@ -261,8 +266,9 @@
 	return started
 }
 
-// attemptTimeoutUs is the time-out of an attempt. It grows with time-outs in a row, is never so
-// short that a failed connect looks like a lost answer, and leaves room for a retry.
+// attemptTimeoutUs returns the timeout of an attempt. It grows with consecutive timeouts, leaves time
+// for a retry, and is longer than the connect timeout, so that a failed connect is not mistaken for a
+// lost response.
 func (s *Scheduler) attemptTimeoutUs(msg *message, rt *route) int64 {
 	remainingUs := max(1, s.answerDeadline(msg)-s.now-2*s.settings.TickUs)
 	if msg.class.unsafe || msg.class.Stream {
@@ -282,7 +288,7 @@
 	return max(1, min(timeoutUs, remainingUs))
 }
 
-// InFlight lists the attempts that are in flight: the message, and which of its attempts.
+// InFlight returns the attempts in flight, each as its StartAttempt action with the attempt's number.
 func (s *Scheduler) InFlight() (list []Action) {
 	for id, msg := range s.messages {
 		if msg.call != nil {
--- a/scheduler/endpointlist.go
+++ b/scheduler/endpointlist.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// roughHintError is the factor by which a rough capacity hint may be too high.
+// roughHintError is the factor by which a rough capacity hint may exceed the capacity.
 const roughHintError = 1.5
 
-// updateEndpoints takes up a change of the endpoint list.
+// updateEndpoints applies an EndpointsUpdated event.
 func (s *Scheduler) updateEndpoints(event *Event) {
 	if event.Update == UpdateBroken {
 		if s.watching {
@@ -35,7 +35,7 @@
 	}
 }
 
-// unlistEndpoints marks all endpoints as not listed, before a full list names those that remain.
+// unlistEndpoints marks all endpoints as not listed, before a full list marks those that it contains.
 func (s *Scheduler) unlistEndpoints() {
 	for _, dest := range s.destinations {
 		for _, ep := range dest.endpoints {
@@ -44,8 +44,8 @@
 	}
 }
 
-// dropUnlisted drops a destination's endpoints that the list does not name, once they have no call
-// in flight and no Retry-After to keep.
+// dropUnlisted removes a destination's endpoints that are not live and listed, once they have no call in
+// flight and no pending Retry-After.
 func (s *Scheduler) dropUnlisted(dest *destination) {
 	kept := dest.endpoints[:0]
 	for _, ep := range dest.endpoints {
@@ -59,7 +59,7 @@
 	dest.endpoints = kept
 }
 
-// updateEndpoint takes up one entry of the endpoint list.
+// updateEndpoint applies one entry of the endpoint list.
 func (s *Scheduler) updateEndpoint(listed Endpoint) {
 	ep := s.endpoints[listed.Addr]
 	if ep != nil && ep.Destination != listed.Destination { // the address has another destination now
@@ -69,7 +69,7 @@
 	if ep == nil {
 		ep = s.newEndpoint(listed)
 	}
-	// Where the list had no live endpoint, all senders have saved tokens and hear of this one at once.
+	// If the list had no live endpoint, all senders have saved tokens and receive this entry at the same time.
 	live := listed.State == StatusLive
 	if live && s.hasSharedLimit(ep.route) && !slices.ContainsFunc(ep.route.destination.endpoints, isLive) {
 		s.randomizeTokens(ep.route)
@@ -80,7 +80,7 @@
 	}
 }
 
-// newEndpoint makes an endpoint, with a route of its own where its machine type has own limits.
+// newEndpoint adds an endpoint. It has its own route if endpoints of its machine type have their own limits.
 func (s *Scheduler) newEndpoint(listed Endpoint) *endpoint {
 	dest := s.destination(listed.Destination)
 	calls := &s.settings.Calls
@@ -102,7 +102,7 @@
 	return ep
 }
 
-// hintFactor is the factor on the list's capacity hints; 0 where it has none.
+// hintFactor returns the factor to apply to the list's capacity hints, or 0 if it has none.
 func (s *Scheduler) hintFactor() float64 {
 	switch s.settings.CapacityHints {
 	case HintsExact:
@@ -115,14 +115,14 @@
 
 func isLive(ep *endpoint) bool { return ep.live }
 
-// watchEndpoints asks for a watch of the endpoint list, where the list comes on request only and no
-// watch is open. Senders ask at random times, with a backoff.
+// watchEndpoints requests a watch of the endpoint list if the list arrives only on request and no watch
+// is open. Requests are sent at random times, with a backoff.
 func (s *Scheduler) watchEndpoints() {
 	if s.settings.Discovery != DiscoveryOnRequest || s.watching {
 		return
 	}
 	maxIntervalUs := max(s.settings.Rules.MaxPollIntervalUs, s.settings.Limits.ConnectTimeoutUs, s.settings.TickUs)
-	if s.watchIntervalUs == 0 { // at the start, and after a watch has ended
+	if s.watchIntervalUs == 0 { // after the start, and after a watch has ended
 		s.watchIntervalUs = maxIntervalUs / 4
 		s.nextWatchAt = s.now + int64(s.contention*s.rng.Float64()*float64(maxIntervalUs/2))
 	}
@@ -133,8 +133,8 @@
 	}
 }
 
-// Avoids tells whether an endpoint gets no ordinary traffic: it is not live, or its route is
-// unavailable. It changes nothing.
+// Avoids reports whether an endpoint gets no regular traffic: it is unknown or not live, or its route is
+// unavailable. It has no side effects.
 func (s *Scheduler) Avoids(addr string) bool {
 	ep := s.endpoints[addr]
 	return ep == nil || !ep.live || ep.route.health.unavailable
--- a/scheduler/enums.go
+++ b/scheduler/enums.go
@@ -1,56 +1,56 @@
 package scheduler
 
-// The enumerations of the service's protocol. Their values are the protocol's words, which stand
-// here and nowhere else in this package; an unknown word is a value like any other and matches no
-// constant.
+// The enumerations of the service's protocol. The protocol's keywords are written out only in this
+// file of the package. An unknown keyword is kept as a value that equals none of the constants.
 
 // Outcome is how an attempt ended.
 type Outcome string
 
-// The outcomes. Only OutcomeRejected, OutcomeConnectFailed and OutcomeNotSent prove that the attempt did not run.
+// The outcomes. Only OutcomeRejected, OutcomeConnectFailed and OutcomeNotSent prove that the endpoint
+// has not run the message.
 const (
 	OutcomeSuccess       Outcome = "GOOD"
-	OutcomeFailed        Outcome = "BAD"    // an answer that tells of an error
+	OutcomeFailed        Outcome = "BAD"    // an error response
 	OutcomeRejected      Outcome = "FULL"   // the endpoint shed it
-	OutcomeTimedOut      Outcome = "LATE"   // no answer within the attempt's time-out
-	OutcomeConnectFailed Outcome = "NOCONN" // no connection came up
-	OutcomeReset         Outcome = "RST"    // the connection ended before the answer
+	OutcomeTimedOut      Outcome = "LATE"   // no response within the attempt's timeout
+	OutcomeConnectFailed Outcome = "NOCONN" // no connection could be opened
+	OutcomeReset         Outcome = "RST"    // the connection ended before the response
 	OutcomeCanceled      Outcome = "CXL"    // canceled by the scheduler
-	OutcomeNotSent       Outcome = "NOP"    // it ended before its first byte was written
+	OutcomeNotSent       Outcome = "NOP"    // the attempt ended before its first byte was written
 )
 
-// UpdateKind says what an EndpointsUpdated event brings.
+// UpdateKind is the content of an EndpointsUpdated event.
 type UpdateKind string
 
 // The kinds of updates of the endpoint list.
 const (
 	UpdatePatch  UpdateKind = "patch"      // the endpoints that changed
 	UpdateFull   UpdateKind = "whole"      // all endpoints
-	UpdateStale  UpdateKind = "stale_copy" // all endpoints, from a copy that may be old
-	UpdateBroken UpdateKind = "broken"     // the watch has ended; the list stays as it is
+	UpdateStale  UpdateKind = "stale_copy" // all endpoints, from a copy that may be out of date
+	UpdateBroken UpdateKind = "broken"     // the watch has ended; the list is unchanged
 )
 
-// EndpointStatus is what the registry says of an endpoint.
+// EndpointStatus is the status of an endpoint in the registry.
 type EndpointStatus string
 
 // The statuses of an endpoint.
 const (
 	StatusLive     EndpointStatus = "live"
-	StatusDraining EndpointStatus = "quiescing" // it takes no new attempts
+	StatusDraining EndpointStatus = "quiescing" // accepts no new attempts
 	StatusDead     EndpointStatus = "dead"
 )
 
-// Idempotency says whether a message of a class may be repeated.
+// Idempotency specifies whether a message of a class may be sent again after an attempt that may have run.
 type Idempotency string
 
 // The kinds of idempotency.
 const (
-	Idempotent      Idempotency = "repeatable" // a repeat does no harm
-	IdempotentByKey Idempotency = "by_key"     // a repeat does no harm while the endpoints remember its key
-	NotIdempotent   Idempotency = "once"       // it must not be repeated once it may have run
+	Idempotent      Idempotency = "repeatable" // it may
+	IdempotentByKey Idempotency = "by_key"     // it may, while the endpoints keep its idempotency key
+	NotIdempotent   Idempotency = "once"       // it must not: the message is unsafe
 )
 
-// KeyScope says which endpoints share their memory of idempotency keys.
+// KeyScope specifies which endpoints share their idempotency keys.
 type KeyScope string
 
 // The scopes of idempotency keys.
@@ -59,7 +59,7 @@
 	KeyScopeZone KeyScope = "zone"
 )
 
-// Discovery says how the endpoint list arrives.
+// Discovery specifies how the endpoint list arrives.
 type Discovery string
 
 // The ways of discovery.
@@ -68,7 +68,7 @@
 	DiscoveryOnRequest Discovery = "on_request"
 )
 
-// CapacityHints says what the endpoint list tells of the endpoints' capacities.
+// CapacityHints specifies how exact the capacity hints in the endpoint list are.
 type CapacityHints string
 
 // The kinds of capacity hints.
@@ -78,7 +78,7 @@
 	HintsRough CapacityHints = "rough"
 )
 
-// ValueDecay says how a message loses its priority weight between its latency objective and its deadline.
+// ValueDecay specifies how a message's priority weight decays between its latency objective and its deadline.
 type ValueDecay string
 
 // The kinds of value decay.
@@ -87,7 +87,7 @@
 	DecayHalving ValueDecay = "halves"
 )
 
-// ReportMode says how endpoints tell of their load.
+// ReportMode specifies how load reports of endpoints arrive.
 type ReportMode string
 
 // The modes of load reports.
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -7,47 +7,51 @@
 	MachineType  string         `json:"Kind"`
 	Destination  int64          `json:"Dest"`
 	State        EndpointStatus `json:"State"`
-	CapacityHint float64        `json:"Hint"` // calls a second; 0: none
-	SlowStart    bool           `json:"Cold"` // it returns from an outage and needs a slow start
+	CapacityHint float64        `json:"Hint"` // calls per second; 0: none
+	SlowStart    bool           `json:"Cold"` // it is recovering from an outage and needs a slow start
 }
 
-// EventKind says which fields of an Event count.
+// EventKind is the kind of an Event. It determines which of its fields are set.
 type EventKind uint8
 
-// The events that Step takes, with the fields that count beside Kind.
+// The kinds of events that Step processes, each with the fields that it sets.
 const (
-	// RequestAccepted hands in a message: ID, Class, Tenant, Destination, Deadline, Key, HasKey,
+	// RequestAccepted adds an accepted message: ID, Class, Tenant, Destination, Deadline, Key, HasKey,
 	// WorkUs; after a restart also Restored, Attempts, FirstRunUs and Zone.
 	RequestAccepted EventKind = iota
-	// AttemptFinished: ID, Attempt, Endpoint, Outcome, RttUs, Final, RetryAfterMs, LoadReport.
+	// AttemptFinished is the end of an attempt: ID, Attempt, Endpoint, Outcome, RttUs, Final,
+	// RetryAfterMs, LoadReport.
 	AttemptFinished
-	// ResponseStarted: ID, Attempt, Endpoint. The first part of an answer has reached the client.
+	// ResponseStarted means that the first part of a response has reached the client: ID, Attempt,
+	// Endpoint.
 	ResponseStarted
-	// RequestWithdrawn: ID.
+	// RequestWithdrawn means that the client has withdrawn a message: ID.
 	RequestWithdrawn
-	// TimerFired has no fields.
+	// TimerFired is the end of the delay of SetTimer. It sets no further field.
 	TimerFired
-	// EndpointsUpdated: Update, Endpoints.
+	// EndpointsUpdated is a change of the endpoint list: Update, Endpoints.
 	EndpointsUpdated
-	// HealthChecked: Endpoint, Outcome, RttUs. Not used.
+	// HealthChecked is not used: Endpoint, Outcome, RttUs.
 	HealthChecked
 	// PeerMessage is not used.
 	PeerMessage
-	// ShutdownStarted: Deadline. The sender ends then; its next incarnation goes on with its messages.
+	// ShutdownStarted means that the sender stops at the deadline: Deadline. The next incarnation
+	// continues with its messages.
 	ShutdownStarted
-	// QuotaAssigned: Destination, Quota, EvenQuota, Deadline. Until the deadline this sender's part
-	// of the limit is Quota, after it EvenQuota.
+	// QuotaAssigned assigns this sender's share of a destination's limit: Destination, Quota,
+	// EvenQuota, Deadline. The share is Quota until the deadline and EvenQuota after it.
 	QuotaAssigned
-	// RetryAfterShared: Destination, Deadline. Another sender got a Retry-After until then.
+	// RetryAfterShared means that another sender received a Retry-After that lasts until the
+	// deadline: Destination, Deadline.
 	RetryAfterShared
-	// ProbeDelegated: Destination, Deadline. Another sender alone probes the unavailable destination,
-	// until then at most.
+	// ProbeDelegated means that until the deadline only another sender probes an unavailable
+	// destination: Destination, Deadline.
 	ProbeDelegated
-	// RecoveryObserved: Destination. It has answered another sender.
+	// RecoveryObserved means that a destination has responded to another sender: Destination.
 	RecoveryObserved
 )
 
-// Event is one thing that has happened. Times are in microseconds.
+// Event is one input of Step. Times are in microseconds.
 type Event struct {
 	Kind         EventKind
 	ID           string
@@ -57,22 +61,22 @@
 	Deadline     int64
 	Key          int64
 	HasKey       bool
-	WorkUs       int64
+	WorkUs       int64 // processing time that the message announces
 	Attempt      int
 	Endpoint     string
 	Outcome      Outcome
 	RttUs        int64
 	Final        bool
 	RetryAfterMs int64
-	LoadReport   []float64 // in the order of Settings.LoadReport.Fields; empty: none
+	LoadReport   []float64 // values in the order of Settings.LoadReport.Fields; empty: none
 	Update       UpdateKind
 	Endpoints    []Endpoint
-	Quota        int64 // calls in 1,000 s
-	EvenQuota    int64
+	Quota        int64 // calls per 1,000 s
+	EvenQuota    int64 // calls per 1,000 s
 
-	// What a restarted sender knows of a message without a final answer. All are zero for a new one.
+	// The history of a message that an earlier incarnation accepted. All are zero for a new message.
 	Restored   bool   // accepted by an earlier incarnation
-	Attempts   int    // sent so far
-	FirstRunUs int64  // when the first attempt left that may have run; 0: none
-	Zone       string // of the endpoint of that attempt
+	Attempts   int    // number of attempts so far
+	FirstRunUs int64  // send time of the first attempt that may have run; 0: none
+	Zone       string // zone of that attempt's endpoint
 }
--- a/scheduler/helpers.go
+++ b/scheduler/helpers.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// boolToFloat is 1 for true and 0 for false.
+// boolToFloat returns 1 for true and 0 for false.
 func boolToFloat(condition bool) float64 {
 	if condition {
 		return 1
@@ -10,7 +10,7 @@
 	return 0
 }
 
-// elementOrZero is the element of an index, or the zero value where there is none.
+// elementOrZero returns the element at an index, or the zero value if the index is out of range.
 func elementOrZero[T any](list []T, i int) (element T) {
 	if i >= 0 && i < len(list) {
 		element = list[i]
@@ -18,7 +18,7 @@
 	return element
 }
 
-// remove deletes the first element of a value, if there is one.
+// remove deletes the first occurrence of a value, if there is one.
 func remove[T comparable](list []T, value T) []T {
 	if i := slices.Index(list, value); i >= 0 {
 		return slices.Delete(list, i, i+1)
--- a/scheduler/keyorder.go
+++ b/scheduler/keyorder.go
@@ -1,17 +1,18 @@
 package scheduler
 
-// keyQueueSweepSlack is how many key queues beside twice those in use may exist before unused ones are dropped.
+// keyQueueSweepSlack is the number of key queues, in addition to twice those in use, from which unused
+// ones are dropped.
 const keyQueueSweepSlack = 64
 
-// keyQueue holds the messages of one key that are delivered in order.
+// keyQueue contains the messages of one key, which are delivered in order.
 type keyQueue struct {
 	messages         []*message
 	inFlight         int
 	quarantinedUntil int64
-	ambiguous        *message // the one with the ambiguous outcome; the quarantine does not hold it
+	ambiguous        *message // the message with the ambiguous outcome; the quarantine does not block it
 }
 
-// joinKeyQueue puts a message at the end of its key's queue, if its class is ordered by key.
+// joinKeyQueue appends a message to its key's queue if its class is ordered by key.
 func (s *Scheduler) joinKeyQueue(msg *message, event *Event) {
 	if !msg.class.OrderedByKey || !event.HasKey {
 		return
@@ -26,8 +27,8 @@
 	msg.keyQueue = queue
 }
 
-// quarantineKey ends an attempt of a message ordered by key. After an ambiguous outcome the other
-// messages of its key wait.
+// quarantineKey records the end of an attempt in the message's key queue. After an ambiguous outcome the
+// other messages of the key are in quarantine.
 func (s *Scheduler) quarantineKey(msg *message, outcome Outcome) {
 	queue := msg.keyQueue
 	if queue == nil {
@@ -40,13 +41,13 @@
 	}
 }
 
-// blocks tells whether a message has to wait for others of its key.
+// blocks reports whether a message has to wait for others of its key.
 func (q *keyQueue) blocks(msg *message, now int64) bool {
 	return q.messages[0] != msg || q.inFlight > 0 || now < q.quarantinedUntil && q.ambiguous != msg
 }
 
-// sortDelays puts the random delays of a key's messages in the order of the messages: otherwise the
-// longest would delay all of them.
+// sortDelays reassigns the random delays of a key's messages in ascending order. Otherwise a long delay
+// of the first message would hold up all the others.
 func (q *keyQueue) sortDelays() {
 	if q == nil {
 		return
@@ -59,7 +60,7 @@
 	}
 }
 
-// sweepKeyQueues drops the queues that nothing needs, each time their number has doubled.
+// sweepKeyQueues drops the unused queues each time the number of queues has doubled.
 func (s *Scheduler) sweepKeyQueues() {
 	if len(s.keyQueues) < s.keyQueueSweepSize {
 		return
--- a/scheduler/learned.go
+++ b/scheduler/learned.go
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// learnedRoute is a route of which the next incarnation may learn something.
+// learnedRoute is a route whose state is useful to the next incarnation.
 type learnedRoute struct {
 	destination int64
 	route       *route
-	endpoint    *Endpoint // whose own route it is; nil: the destination's
+	endpoint    *Endpoint // the endpoint that has this route as its own; nil: the destination's route
 }
 
-// LearnedState is what the next incarnation may know, of so many routes at most: first those that
-// are unavailable, in slow start or in a Retry-After, then those that were sent to last. It changes
-// nothing. docs/design/coming-back.md has the reasons.
+// LearnedState returns the learned state for the next incarnation, of at most maxRoutes routes: first
+// those that are unavailable, in slow start or in a Retry-After, then those most recently sent to. It
+// has no side effects. docs/design/coming-back.md gives the reasons.
 func (s *Scheduler) LearnedState(maxRoutes int) State {
 	list := s.learnedRoutes()
 	slices.SortFunc(list, func(a, b learnedRoute) int {
@@ -39,7 +39,7 @@
 	return state
 }
 
-// learnedRoutes lists the routes of which anything is known.
+// learnedRoutes returns the routes that have learned state.
 func (s *Scheduler) learnedRoutes() []learnedRoute {
 	var list []learnedRoute
 	for id, dest := range s.destinationByID {
@@ -52,13 +52,13 @@
 			}
 		}
 	}
-	for _, learned := range s.learnedEndpoints { // still waiting for the list to name them
+	for _, learned := range s.learnedEndpoints { // not in the endpoint list yet
 		list = append(list, learnedRoute{destination: learned.Destination, route: learned.route, endpoint: &learned.Endpoint})
 	}
 	return list
 }
 
-// learnedPriority orders the routes of a learned state.
+// learnedPriority returns the priority with which a route is included in the learned state.
 func (s *Scheduler) learnedPriority(rt *route) int64 {
 	if rt.health.unavailable || rt.retryAfterUntil > s.now || rt.slowStart.until > s.now {
 		return never
@@ -66,12 +66,12 @@
 	return rt.lastSendAt
 }
 
-// hasLearnedState tells whether there is anything to learn of a route.
+// hasLearnedState reports whether a route has any state that is useful to the next incarnation.
 func (s *Scheduler) hasLearnedState(rt *route) bool {
 	return rt.latency.samples > 0 || rt.advertisedLimit.Known() || rt.health.unavailable || rt.retryAfterUntil > s.now
 }
 
-// learnedState is a destination's learned state before any of its routes.
+// learnedState returns a destination's learned state without that of its routes.
 func (dest *destination) learnedState(id int64) DestinationState {
 	return DestinationState{
 		Destination: id,
@@ -81,7 +81,8 @@
 	}
 }
 
-// addLearned adds the learned state of the destination's route, or of an endpoint's own.
+// addLearned adds the learned state of the destination's route, or of an endpoint's own route if ep is
+// not nil.
 func (state *DestinationState) addLearned(ep *Endpoint, route RouteState) {
 	if ep == nil {
 		state.Route = route
@@ -95,8 +96,8 @@
 	})
 }
 
-// learnedRouteState is a route's learned state. What is not used after a restart is zero, so that
-// the snapshot stays small.
+// learnedRouteState returns a route's learned state. Values that are not used after a restart are zero,
+// which keeps the snapshot small.
 func (s *Scheduler) learnedRouteState(source *route) RouteState {
 	rt := *source
 	rt.capacityHint = 0
@@ -126,7 +127,7 @@
 	return rt.state()
 }
 
-// roundToThreeDigits rounds a number to three significant digits.
+// roundToThreeDigits rounds a number to three significant digits. It returns 0 for an infinity or NaN.
 func roundToThreeDigits(number float64) float64 {
 	if number == 0 || math.IsInf(number, 0) || math.IsNaN(number) {
 		return 0
@@ -135,10 +136,11 @@
 	return math.Round(number*scale) / scale
 }
 
-// Fingerprint is a number that changes when the next incarnation should learn of a change: in a
-// limit, an outage, a return or a Retry-After, or an arrival rate that has doubled or halved.
+// Fingerprint returns a number that changes when the learned state has changed enough to be saved again:
+// with a limit, an outage, a slow start, a Retry-After, a doubled number of responses, or an arrival rate
+// that has doubled or halved.
 func (s *Scheduler) Fingerprint() (sum uint64) {
-	for id, dest := range s.destinationByID { // a sum does not depend on the order
+	for id, dest := range s.destinationByID { // a sum does not depend on the iteration order
 		sum += dest.route.fingerprint(id)
 		for i, ep := range dest.endpoints {
 			if ep.ownLimit {
@@ -149,7 +151,7 @@
 	return sum
 }
 
-// The multipliers spread the bits of a fingerprint.
+// These constants spread the bits of a fingerprint.
 const (
 	fingerprintID          = 0x9e3779b97f4a7c15
 	fingerprintUnavailable = 0x5bd1e995
@@ -168,7 +170,8 @@
 	return bits * fingerprintFactor
 }
 
-// ShiftTimes moves all times of a learned state by a time: the clock was set between two incarnations.
+// ShiftTimes adds deltaUs to all times of a learned state, to account for a clock change between two
+// incarnations.
 func (state *State) ShiftTimes(deltaUs int64) {
 	if deltaUs == 0 {
 		return
@@ -203,7 +206,7 @@
 	}
 	limit := rt.advertisedLimit.State()
 	*state = rt.state()
-	if limit[2] != 0 { // when the limit was seen
+	if limit[2] != 0 { // time of the last observation of the limit
 		state.AdvertisedLimit[2] = limit[2] + float64(deltaUs)
 	}
 }
--- a/scheduler/learned_test.go
+++ b/scheduler/learned_test.go
@@ -235,7 +235,7 @@
 	sched.Step(now, []Event{{Kind: EndpointsUpdated, Update: UpdateFull, Endpoints: []Endpoint{waiting, unavailable}}})
 	for _, addr := range []string{"waiting", "unavailable"} {
 		if rt := sched.endpoints[addr].route; rt.firstCallAt > now+retrySpreadMinUs ||
-			rt.probe.nextAt > now+2*probeIntervalManyMaxUs || rt.advertisedLimit.Known() != true {
+			rt.probe.nextAt > now+2*probeSpreadMaxUs || rt.advertisedLimit.Known() != true {
 			t.Errorf("%s: first call in %d ms, probe in %d", addr, (rt.firstCallAt-now)/1000, (rt.probe.nextAt-now)/1000)
 		}
 	}
--- a/scheduler/message.go
+++ b/scheduler/message.go
@@ -2,16 +2,16 @@
 
 import "math"
 
-// requestClass is a class of the settings, with what follows from its idempotency.
+// requestClass is a class of the settings, with values derived from its idempotency.
 type requestClass struct {
 	Class
 	idempotentByKey bool
-	unsafe          bool // it must not be repeated once it may have run
+	unsafe          bool // a message must not be sent again once it may have run
 	index           int  // among the classes of the settings
-	repeatRisk      int  // 0: a repeat is harmless; 1: by key; 2: unsafe
+	repeatRisk      int  // see Class.repeatRisk
 }
 
-// tenant is the token bucket of a customer's quota, this sender's part of it.
+// tenant is the token bucket of this sender's share of a tenant's quota.
 type tenant struct {
 	quotaPerSecond float64
 	bucketSize     float64
@@ -19,33 +19,33 @@
 	refilledAt     float64 // in seconds
 }
 
-// message is an accepted message without a final answer, or one whose attempt is still in flight.
+// message is an accepted message that has no final answer yet, or whose last attempt is still in flight.
 type message struct {
 	id             string
 	class          *requestClass
 	destination    *destination
-	keyQueue       *keyQueue // nil: not ordered by a key
+	keyQueue       *keyQueue // nil: not ordered by key
 	priorityWeight float64
 
 	// Times in microseconds.
-	acceptedAt   int64 // 0: before this incarnation
-	objectiveAt  int64 // from then on the priority weight decays
+	acceptedAt   int64 // 0: accepted by an earlier incarnation
+	objectiveAt  int64 // end of the latency objective; the priority weight decays from then on
 	deadline     int64
-	dueAt        int64 // its place in the deadline queue
-	notBefore    int64 // the next attempt leaves then at the earliest
-	backoffUntil int64 // the part of notBefore that a success does not shorten
+	dueAt        int64 // time under which it stands in the deadline queue
+	notBefore    int64 // earliest time of the next attempt
+	backoffUntil int64 // end of the backoff, which bounds notBefore after a success of the destination
 
 	// Attempts.
 	call            *call // the one in flight; nil: the message is pending
-	attempts        int   // sent so far
-	retries         int   // of these, those that count for the backoff
-	firstRunAt      int64 // when the first attempt left that may have run; 0: none
+	attempts        int   // number of attempts so far
+	retries         int   // number of attempts that count towards the backoff
+	firstRunAt      int64 // send time of the first attempt that may have run; 0: none
 	firstRunZone    string
 	responseStarted bool
 	ended           bool // it has its final answer
 }
 
-// valueAt is what is left of a message's priority weight if it is delivered at a time.
+// valueAt returns what remains of a message's priority weight if it is delivered at a time.
 func (s *Scheduler) valueAt(msg *message, at int64) float64 {
 	switch {
 	case at >= msg.deadline:
@@ -61,12 +61,14 @@
 	return msg.priorityWeight * (1 - (1-msg.class.LateValue)*lateUs/float64(max(1, msg.deadline-msg.objectiveAt)))
 }
 
-// answerDeadline is when a message must have its answer: ahead of the deadline by the time between two steps.
+// answerDeadline returns the time by which a message must have its final answer. It is earlier than the
+// deadline, since a step may be late by its interval.
 func (s *Scheduler) answerDeadline(msg *message) int64 {
 	return msg.deadline - 2*s.settings.TickUs - 1000
 }
 
-// resendDeadline is the last moment at which a message may be sent again.
+// resendDeadline returns the latest time at which a message may be sent again: one that may have run only
+// within its idempotency window.
 func (s *Scheduler) resendDeadline(msg *message) int64 {
 	if msg.firstRunAt == 0 || !msg.class.idempotentByKey {
 		return s.answerDeadline(msg)
@@ -74,13 +76,14 @@
 	return min(s.answerDeadline(msg), msg.firstRunAt+msg.class.KeyWindowUs-s.settings.TickUs)
 }
 
-// sendDeadline is the last moment at which an attempt may leave and still be answered in time.
+// sendDeadline returns the latest time at which an attempt may start and still get its response in time.
 func (s *Scheduler) sendDeadline(msg *message) int64 {
 	return min(s.resendDeadline(msg),
 		s.answerDeadline(msg)-2*s.settings.TickUs-int64(msg.destination.route.latency.baselineUs))
 }
 
-// retryAfterTooLong tells whether all routes of a message are in a Retry-After that ends too late for it.
+// retryAfterTooLong reports whether all routes of a message are in a Retry-After that ends after its send
+// deadline.
 func (s *Scheduler) retryAfterTooLong(msg *message) bool {
 	anyLive, latest := false, s.sendDeadline(msg)
 	for _, ep := range msg.destination.endpoints {
@@ -95,15 +98,15 @@
 	return anyLive
 }
 
-// attemptsExhausted tells whether a message may not be sent again, for its class, its time or the
-// attempts that it has had.
+// attemptsExhausted reports whether a message may not be sent again, because of its class, its send
+// deadline or its number of attempts.
 func (s *Scheduler) attemptsExhausted(msg *message) bool {
 	maxAttempts := s.settings.Limits.MaxAttempts
 	return msg.class.unsafe && msg.firstRunAt != 0 || s.now >= s.sendDeadline(msg) ||
 		maxAttempts > 0 && msg.attempts >= maxAttempts
 }
 
-// Holds tells whether a message has been accepted and has no final answer yet.
+// Holds reports whether a message has been accepted and has no final answer yet.
 func (s *Scheduler) Holds(id string) bool {
 	msg := s.messages[id]
 	return msg != nil && !msg.ended
--- a/scheduler/outcome.go
+++ b/scheduler/outcome.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// handleOutcome takes up the end of an attempt: what it tells of the route, then what becomes of
-// the message.
+// handleOutcome processes the end of an attempt: it updates the state of the route, and then ends the
+// message or schedules a retry.
 func (s *Scheduler) handleOutcome(msg *message, event *Event) {
 	if msg.call == nil || event.Attempt != msg.attempts-1 {
 		s.handleControlEvent(event)
@@ -33,7 +33,7 @@
 	}
 }
 
-// detachAttempt takes a message off its call; with its last message the call is no longer in flight.
+// detachAttempt removes a message from its call. With its last message the call is no longer in flight.
 func (s *Scheduler) detachAttempt(msg *message) {
 	call := msg.call
 	msg.call = nil
@@ -47,7 +47,7 @@
 	s.closeIfRarelyUsed(call.endpoint)
 }
 
-// recordFirstRun notes when and in which zone a message may have run first.
+// recordFirstRun records when and in which zone a message may have run first.
 func (s *Scheduler) recordFirstRun(msg *message, call *call, outcome Outcome) {
 	if msg.firstRunAt != 0 || outcome.provesNotRun() {
 		return
@@ -58,8 +58,8 @@
 	}
 }
 
-// recordOutcome records what a call tells of its route and its endpoint, once a call however many
-// messages it carries.
+// recordOutcome updates the state of a call's route and endpoint. It is called once per call, whatever
+// the number of its messages.
 func (s *Scheduler) recordOutcome(call *call, event *Event) {
 	if event.Outcome.involvesEndpoint() {
 		call.route.lastOutcomeAt = s.now
@@ -104,10 +104,10 @@
 	rt, ep := call.route, call.endpoint
 	ep.failures[connectFailures].count = 0
 	ep.failures[rejections] = failureStreak{count: 1, since: s.now, lastAt: s.now}
-	// With headroom left of the limit it is the endpoint's own queue that is full.
+	// If headroom is left in the limit, the endpoint rejected because its own queue is full.
 	if s.reportedValue(event, reportHeadroom) < limitHeadroomShare || s.hasSharedLimit(rt) {
 		s.decreaseRate(rt, call)
-		if s.hasSharedLimit(rt) && !rt.health.unavailable { // it tells nothing of the route's health
+		if s.hasSharedLimit(rt) && !rt.health.unavailable { // no evidence about the route's health
 			return
 		}
 	}
@@ -116,7 +116,7 @@
 		rt.health.consecutiveRejections++
 		s.countFailure(rt, false)
 	}
-	// Rejections between successes are a limit; nothing but rejections for a while is an outage.
+	// Rejections between successes are due to a limit. Only rejections for longer than outageAfterUs are an outage.
 	rejectionOutage := float64(rt.health.consecutiveRejections) >= 3*s.senderFactor &&
 		s.now-rt.health.failingSince > outageAfterUs
 	if rt.health.unavailable || rejectionOutage || event.RetryAfterMs*1000 > outageAfterUs {
@@ -126,7 +126,7 @@
 
 func (s *Scheduler) onConnectFailure(call *call) {
 	rt, ep := call.route, call.endpoint
-	if ep.lastSuccessAt >= call.sentAt && ep.callsInFlight > 0 { // it answers, but takes few connections
+	if ep.lastSuccessAt >= call.sentAt && ep.callsInFlight > 0 { // available, but with a limit of connections
 		ep.connections.limit = max(1, ep.callsInFlight)
 		ep.connections.limitedUntil = s.now + s.settings.Limits.KeepAliveUs
 		ep.connections.open = min(ep.connections.open, ep.callsInFlight)
@@ -139,7 +139,7 @@
 	}
 }
 
-// onTimeout also halves the concurrency limit: the destination may be overloaded.
+// onTimeout also halves the concurrency limit, since the destination may be overloaded.
 func (s *Scheduler) onTimeout(call *call) {
 	rt := call.route
 	rt.maxInFlight = max(1, rt.maxInFlight/2)
@@ -147,8 +147,8 @@
 	s.onFailure(call)
 }
 
-// onFailure records a failure after which the attempt may have run. What goes on failing for one
-// class at one endpoint while the route has successes tells nothing of the route.
+// onFailure records a failure of an attempt that may have run. Continuing failures of one class at one
+// endpoint, while the route has successes, are no evidence about the route.
 func (s *Scheduler) onFailure(call *call) {
 	streak := call.classFailures()
 	streak.record(s.now)
@@ -157,11 +157,11 @@
 	}
 }
 
-// recordSuccess updates all that a route's success tells of it.
+// recordSuccess updates the state of a route after a success.
 func (s *Scheduler) recordSuccess(rt *route, call *call) {
 	unresponsive := s.unresponsiveSinceStart(rt)
 	rt.latency.observe(float64(s.now - call.sentAt))
-	// An answer sent before the destination asked for a Retry-After does not end the outage.
+	// During a Retry-After a success does not end the outage: the response was sent before the Retry-After.
 	staysUnavailable := rt.health.unavailable && s.now < rt.retryAfterUntil
 	if (s.isFailing(rt) || unresponsive) && !staysUnavailable {
 		s.beginRecovery(rt)
@@ -180,7 +180,8 @@
 	s.increaseRate(rt)
 }
 
-// recordLoadReport takes up the limit that an answer tells, where the endpoint list tells none.
+// recordLoadReport records the limit that a response advertises, unless the endpoint list has capacity
+// hints.
 func (s *Scheduler) recordLoadReport(rt *route, event *Event) {
 	limit := s.reportedValue(event, reportLimit)
 	if limit <= 0 || s.settings.CapacityHints != HintsNone {
@@ -195,12 +196,12 @@
 
 // The values of a load report that the scheduler reads.
 const (
-	reportHeadroom = "x0" // share of the limit that is left
-	reportLimit    = "x1" // calls a second
+	reportHeadroom = "x0" // unused share of the limit
+	reportLimit    = "x1" // calls per second
 )
 
-// reportedValue is a value of an outcome's load report; 0 where there is none or it is not a
-// positive number.
+// reportedValue returns a value of an outcome's load report, or 0 if it is missing or not a positive
+// finite number.
 func (s *Scheduler) reportedValue(event *Event, name string) float64 {
 	value := elementOrZero(event.LoadReport, slices.Index(s.settings.LoadReport.Fields, name))
 	if !(value > 0) || math.IsInf(value, 1) {
@@ -209,17 +210,17 @@
 	return value
 }
 
-// involvesEndpoint tells whether the endpoint, or the way to it, had a part in the outcome.
+// involvesEndpoint reports whether the endpoint, or the network path to it, determined the outcome.
 func (outcome Outcome) involvesEndpoint() bool {
 	return outcome != OutcomeCanceled && outcome != OutcomeNotSent
 }
 
-// isAmbiguous tells whether the attempt may have run without an answer.
+// isAmbiguous reports whether the attempt may have run without a response.
 func (outcome Outcome) isAmbiguous() bool {
 	return outcome == OutcomeCanceled || outcome == OutcomeTimedOut || outcome == OutcomeReset
 }
 
-// provesNotRun tells whether the attempt has surely not run.
+// provesNotRun reports whether the attempt has certainly not run.
 func (outcome Outcome) provesNotRun() bool {
 	return outcome == OutcomeRejected || outcome == OutcomeConnectFailed || outcome == OutcomeNotSent
 }
--- a/scheduler/pacing.go
+++ b/scheduler/pacing.go
@@ -8,44 +8,43 @@
 )
 
 // The token bucket of a route follows ATB of "Rethinking HTTP API Rate Limiting: A Client-Side
-// Approach", Table III: DECREASE_RATE halves the rate and marks it, and each success raises it, by
-// more below the mark than above. Rates are calls a second. The least rate and the least increase
-// are those of all senders together.
+// Approach", Table III: DECREASE_RATE records the rate as the mark and halves it, and each success
+// raises it, faster below the mark than above. Rates are in calls per second. The minimum rate and the
+// minimum increase are those of all senders together.
 const (
-	minTotalRate          = 0.6        // calls a second, of all senders
-	minRateShare          = 0.25       // least rate, as a share of the rate at which messages arrive
-	minRateJitter         = 0.1        // share of the least rate
-	minRateIncrease       = 1.2        // calls a second, of all senders
-	rateGrowthBelowMark   = 1.12       // factor for a success
-	rateGrowthAboveMark   = 1.03       // factor for a success
-	rateGrowthUs          = 4_000_000  // among many senders a low rate climbs e-fold in this time
-	bucketSizeUs          = 400_000    // the bucket holds the tokens of this time, one at least
-	sharedBucketTokens    = 2.0        // further tokens where many senders share an advertised limit
-	tokenCostJitter       = 0.5        // tokens: a call costs up to so many more or less there
-	limitHeadroomShare    = 0.5        // share of the limit left from which a rejection does not lower the rate
+	minTotalRate          = 0.6        // calls per second, of all senders together
+	minRateShare          = 0.25       // minimum rate, as a share of the arrival rate of messages
+	minRateJitter         = 0.1        // as a share of the minimum rate
+	minRateIncrease       = 1.2        // calls per second, of all senders together
+	rateGrowthBelowMark   = 1.12       // factor per success
+	rateGrowthAboveMark   = 1.03       // factor per success
+	rateGrowthUs          = 4_000_000  // time in which a low rate of one of many senders grows by a factor of e
+	bucketSizeUs          = 400_000    // the bucket holds the tokens of this time, at least one
+	sharedBucketTokens    = 2.0        // additional bucket size where many senders share an advertised limit
+	tokenCostJitter       = 0.5        // maximum deviation of a call's cost from one token there
+	limitHeadroomShare    = 0.5        // unused share of the limit from which a rejection does not lower the rate
 	throughputDecayUs     = 2_000_000  // time constant of the mean send and success rates
-	idleResetUs           = 30_000_000 // an idle bucket does not limit any more
-	inheritedRateGrowthUs = 1_000_000  // an inherited rate grows e-fold in this time
-	unlimitedRate         = 1e6        // calls a second: a rate that limits nobody
+	idleResetUs           = 30_000_000 // idle time after which the bucket no longer limits its route
+	inheritedRateGrowthUs = 1_000_000  // time in which an inherited rate grows by a factor of e
+	unlimitedRate         = 1e6        // calls per second: higher than any sender can send
 )
 
-// tokenBucket is the pace of a route, in calls a second.
+// tokenBucket limits the rate of calls to a route.
 type tokenBucket struct {
-	limited     bool // without it calls need no token
+	limited     bool // if false, calls need no token
 	rate        float64
 	rateMark    float64 // the rate before the last decrease
 	tokens      float64
 	refilledAt  int64
 	decreasedAt int64
 
-	// After a restart: the rate is the last incarnation's, with no rejection behind it, and the most
-	// that this one sends until catchUpUntil is catchUpRate.
-	inherited    bool
-	catchUpRate  float64
+	// After a restart.
+	inherited    bool    // the rate follows from the previous incarnation's traffic, not from a rejection
+	catchUpRate  float64 // maximum rate until catchUpUntil
 	catchUpUntil int64
 }
 
-// throughput holds decaying means of calls a second.
+// throughput holds exponentially decaying means, in calls per second.
 type throughput struct {
 	sendRate        float64
 	sendRateAt      int64
@@ -54,7 +53,7 @@
 	peakSuccessRate float64
 }
 
-// decay is the share of a mean rate that is left after a time.
+// decay returns the share of a mean rate that remains after a time.
 func decay(us int64) float64 { return math.Exp(-float64(us) / throughputDecayUs) }
 
 func (tp *throughput) sendRateNow(now int64) float64 {
@@ -76,7 +75,7 @@
 	tp.peakSuccessRate = max(tp.peakSuccessRate*0.995, tp.successRate)
 }
 
-// increaseRate raises the rate for a success.
+// increaseRate raises the rate after a success.
 func (s *Scheduler) increaseRate(rt *route) {
 	bucket := &rt.bucket
 	if !bucket.limited {
@@ -90,7 +89,8 @@
 	bucket.rate = min(max(bucket.rate+minRateIncrease/s.senders, bucket.rate*growth), s.maxRate(rt))
 }
 
-// decreaseRate is the paper's DECREASE_RATE, once for all calls that had left before the last decrease.
+// decreaseRate is the paper's DECREASE_RATE. Rejections of calls that were sent before the last decrease do
+// not lower the rate again.
 func (s *Scheduler) decreaseRate(rt *route, call *call) {
 	s.dropInheritedRate(rt)
 	bucket := &rt.bucket
@@ -113,7 +113,7 @@
 	s.randomizeTokens(rt)
 }
 
-// minRate is the rate below which a route without a shared limit is not slowed down.
+// minRate returns the minimum rate of a route without a shared limit.
 func (s *Scheduler) minRate(rt *route, machineType string) float64 {
 	lowEstimate, highEstimate := s.arrivalRate(rt), max(rt.capacityHint, rt.throughput.peakSuccessRate)
 	if rt.capacityHint > 0 {
@@ -123,8 +123,8 @@
 		min(1, 1/cmp.Or(s.retrySpread[machineType], 1))*rt.capacityHint*s.contention)
 }
 
-// takeToken pays for a call. The cost varies where many senders follow the same answers, so that
-// they do not send in step.
+// takeToken charges a call to the bucket. The cost varies at random where many senders follow the same
+// advertised limit, so that they do not synchronize.
 func (s *Scheduler) takeToken(rt *route) {
 	rt.bucket.tokens = max(0, rt.bucket.tokens-1)
 	if s.hasSharedLimit(rt) {
@@ -132,7 +132,7 @@
 	}
 }
 
-// admittedByBucket tells whether a route has a token for a call, and if not when it will.
+// admittedByBucket reports whether a route has a token for a call, and if not, when it will have one.
 func (s *Scheduler) admittedByBucket(rt *route) (bool, int64) {
 	bucket := &rt.bucket
 	if !bucket.limited {
@@ -147,7 +147,7 @@
 	return false, s.now + int64((1-bucket.tokens)/bucket.rate*1e6) + 1
 }
 
-// refillBucket adds the tokens of the time since the last refill, and lets the rate climb with time.
+// refillBucket adds the tokens for the time since the last refill and raises the rate for that time.
 func (s *Scheduler) refillBucket(rt *route) {
 	bucket := &rt.bucket
 	size := max(1, bucket.rate*bucketSizeUs/1e6)
@@ -161,7 +161,8 @@
 	bucket.refilledAt = s.now
 }
 
-// raiseRateOverTime raises a low rate with time: among many senders one sender's successes are too few to do so.
+// raiseRateOverTime raises a low rate with elapsed time, since one of many senders has too few successes
+// to raise it.
 func (s *Scheduler) raiseRateOverTime(rt *route, elapsedUs float64) {
 	bucket := &rt.bucket
 	arriving := s.arrivalRate(rt) * s.recovery.YoungMeanFactor(s.now-s.startedAt, arrivalRateDecayUs)
@@ -176,9 +177,9 @@
 	}
 }
 
-// randomizeTokens puts the next token of a route at a random moment within the time of one, so that
-// many senders that were stopped at once do not send at once. Where they share a limit the mean is
-// zero: otherwise rejected calls alone could use the limit up.
+// randomizeTokens sets the tokens of a route at random, so that its next token becomes available at a
+// random time. Many senders that were stopped at the same time then do not resume at the same time.
+// Where they share a limit the mean is zero, since otherwise rejected calls alone could exhaust the limit.
 func (s *Scheduler) randomizeTokens(rt *route) {
 	rt.bucket.tokens = s.rng.Float64() * s.contention
 	rt.bucket.refilledAt = s.now
@@ -187,13 +188,13 @@
 	}
 }
 
-// hasSharedLimit tells whether answers advertise a limit of the route that many senders share.
+// hasSharedLimit reports whether responses advertise a limit of the route that many senders share.
 func (s *Scheduler) hasSharedLimit(rt *route) bool {
 	return s.contention > 0 && rt.advertisedLimit.Known()
 }
 
-// maxRate is the most that this sender should send: its part of the advertised limit, which binds
-// the less the fewer the senders are, and after a restart the rate of catching up.
+// maxRate returns the maximum rate of this sender: its share of the advertised limit, relaxed the fewer
+// senders there are, and after a restart also the catch-up rate.
 func (s *Scheduler) maxRate(rt *route) float64 {
 	limit := math.Inf(1)
 	if s.now < rt.bucket.catchUpUntil {
@@ -205,8 +206,9 @@
 	return min(limit, max(minTotalRate/s.senders, rt.advertisedLimit.MaxRate(s.now, s.senders)/s.contention))
 }
 
-// startSharedBucket begins the bucket of a route whose limit an answer has advertised, with the
-// tokens of an idle one. One of many senders that have restarted at once has saved no tokens.
+// startSharedBucket starts to limit a route whose limit a response has advertised. The bucket starts
+// full, like that of an idle route. In a mass restart its tokens are random instead, since none of the
+// senders has saved any.
 func (s *Scheduler) startSharedBucket(rt *route) {
 	rt.bucket.limited = true
 	rt.bucket.rate = s.maxRate(rt)
@@ -217,8 +219,9 @@
 	}
 }
 
-// backlogRate is the rate, in calls a second, that sends in time what the last incarnation had
-// accepted and not sent: twice the rate that just does. 0 once the route has answered.
+// backlogRate returns the rate, in calls per second, at which the messages that earlier incarnations
+// accepted and never sent are sent in time: twice the rate that would just suffice. It is 0 once the
+// route has responded.
 func (s *Scheduler) backlogRate(rt *route) float64 {
 	count, seconds := 0.0, 0.0
 	for _, msg := range rt.destination.pending {
@@ -237,8 +240,8 @@
 	return rate
 }
 
-// raiseInheritedRate raises with time a rate that only the last incarnation's low traffic explains.
-// A rejection ends this.
+// raiseInheritedRate raises, with elapsed time, a rate that is low only because the previous incarnation
+// had little traffic. The first rejection ends this.
 func (s *Scheduler) raiseInheritedRate(rt *route, elapsedUs float64) {
 	bucket := &rt.bucket
 	sinceCatchUpUs := float64(s.now - bucket.catchUpUntil)
@@ -247,8 +250,8 @@
 	}
 }
 
-// dropInheritedRate replaces, at the first rejection, the rate of the last incarnation by what this
-// one has sent and seen.
+// dropInheritedRate discards, at the first rejection, the rate of the previous incarnation. What this
+// incarnation has sent and measured replaces it.
 func (s *Scheduler) dropInheritedRate(rt *route) {
 	if rt.bucket.catchUpUntil > 0 && rt.bucket.decreasedAt == 0 {
 		rt.bucket.limited = false
@@ -256,8 +259,8 @@
 	}
 }
 
-// dropInheritedLimit forgets a limit that only the last incarnation saw advertised: after a success
-// without one nothing would correct it.
+// dropInheritedLimit discards an advertised limit that only the previous incarnation observed. If a
+// success advertises no limit, nothing would correct it.
 func (rt *route) dropInheritedLimit() {
 	if rt.advertisedLimit.Known() && rt.advertisedLimit.State()[2] == 0 {
 		rt.advertisedLimit, rt.capacityHint = quota.Limit{}, 0
--- a/scheduler/peers.go
+++ b/scheduler/peers.go
@@ -8,38 +8,38 @@
 )
 
 const (
-	peerHintMaxUs = 60_000_000    // what another sender tells counts for no longer
-	quotaPeriodUs = 1_000_000_000 // microseconds over which a quota counts calls
-	quotaBurstUs  = 100_000       // tokens of a quota are saved for this time
+	peerHintMaxUs = 60_000_000    // maximum validity of information from another sender
+	quotaPeriodUs = 1_000_000_000 // period over which a quota counts calls
+	quotaBurstUs  = 100_000       // the burst is the quota of this time
 )
 
-// Health is what this sender tells others of a destination.
+// Health is the health of a destination, as this sender reports it to other senders.
 type Health struct {
 	Destination  int64
 	Unavailable  bool
 	Recovering   bool  // in slow start
-	HasPending   bool  // messages wait for it
-	RetryAfterUs int64 // what is left of its Retry-After
-	RecoveringUs int64 // for how long it has been in slow start
+	HasPending   bool  // messages are pending for it
+	RetryAfterUs int64 // remaining time of its Retry-After
+	RecoveringUs int64 // time since the start of its slow start
 }
 
-// quotaLimit is this sender's part of a limit that senders side by side share. It binds beside the
-// token bucket of the route.
+// quotaLimit is this sender's assigned share of a limit that the members of its group share. It applies
+// in addition to the route's token bucket.
 type quotaLimit struct {
 	bucket    *limits.Bucket
-	quota     int64 // calls in a quotaPeriodUs
-	evenQuota int64 // what counts after until
+	quota     int64 // calls per quotaPeriodUs
+	evenQuota int64 // the quota that applies after until
 	until     int64
 	expired   bool
 }
 
-// handleControlEvent takes up events of other senders and of the process, and outcomes of messages
-// that are not known any more.
+// handleControlEvent processes events from other senders and from the process, and outcomes of messages
+// that have been dropped.
 func (s *Scheduler) handleControlEvent(event *Event) {
 	switch event.Kind {
 	case ShutdownStarted:
 		s.shutdownAt = event.Deadline
-	case AttemptFinished: // its Retry-After binds all the same
+	case AttemptFinished: // its Retry-After applies nevertheless
 		if ep := s.endpoints[event.Endpoint]; ep != nil {
 			s.applyRetryAfter(ep.route, ep.route.destination, event)
 		}
@@ -55,13 +55,13 @@
 	}
 }
 
-// peerDeadline is until when an event of another sender counts.
+// peerDeadline returns the time until which an event from another sender is valid.
 func (s *Scheduler) peerDeadline(event *Event) int64 {
 	return min(event.Deadline, s.now+peerHintMaxUs)
 }
 
-// advanceProbe lets this sender probe a route that has answered another one. Its own probe decides
-// whether the route is available to it.
+// advanceProbe schedules an early probe attempt to a route that has responded to another sender. The
+// route becomes available only by a success of this sender's own attempt.
 func (s *Scheduler) advanceProbe(rt *route) {
 	if !rt.health.unavailable || rt.probe.delegatedUntil == 0 {
 		return
@@ -70,7 +70,7 @@
 	rt.probe.nextAt = min(rt.probe.nextAt, s.now+int64(s.rng.Float64()*float64(probeIntervalMinUs)))
 }
 
-// Health lists the destinations that are not healthy. Endpoints with limits of their own are left out.
+// Health returns the destinations that are not healthy. Endpoints with their own limits are omitted.
 func (s *Scheduler) Health(now int64) (list []Health) {
 	for id, dest := range s.destinationByID {
 		rt := dest.route
@@ -92,7 +92,7 @@
 	return list
 }
 
-// assignQuota takes up a QuotaAssigned event.
+// assignQuota applies a QuotaAssigned event.
 func (s *Scheduler) assignQuota(event *Event) {
 	rt := s.destination(event.Destination).route
 	if rt.quota == nil {
@@ -104,7 +104,7 @@
 	rt.quota.apply(s.now)
 }
 
-// apply sets the bucket to the quota that counts now.
+// apply sets the bucket to the quota that applies now.
 func (q *quotaLimit) apply(now int64) {
 	rate := q.quota
 	q.expired = now >= q.until
@@ -114,10 +114,10 @@
 	q.bucket.Set(now, rate, quotaPeriodUs, rate*quotaBurstUs/quotaPeriodUs)
 }
 
-// admittedByPeers tells whether a call may leave beside the other senders' calls, and if not when
-// it may.
+// admittedByPeers reports whether the limits that are shared with other senders allow a call now, and if
+// not, when they will.
 func (rt *route) admittedByPeers(now int64) (bool, int64) {
-	if now < rt.firstCallAt { // many senders restarted at once
+	if now < rt.firstCallAt { // mass restart
 		return false, rt.firstCallAt
 	}
 	if rt.health.unavailable && now < rt.probe.delegatedUntil {
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-// Shedding an accepted message costs shedCostShare of its priority weight, until
-// shedFreeShare of its time is over.
+// Shedding a message that was accepted earlier costs shedCostShare of its priority weight, until
+// shedFreeShare of the time to its deadline has passed.
 const (
 	shedCostShare = 0.3
 	shedFreeShare = 0.7
 )
 
-// minDrainRate is the rate, in calls a second, at which a route drains its queue at least.
+// minDrainRate is the minimum rate, in calls per second, at which a route is assumed to drain its queue.
 const minDrainRate = 0.3
 
 // enqueue makes a message pending.
@@ -28,21 +28,21 @@
 	}
 }
 
-// dropIdleDestinations takes destinations without messages off the active ones.
+// dropIdleDestinations removes destinations without messages from the active ones.
 func (s *Scheduler) dropIdleDestinations() {
 	s.active = slices.DeleteFunc(s.active, func(dest *destination) bool {
 		return len(dest.pending) == 0 && dest.callsInFlight == 0
 	})
 }
 
-// setDeadline puts a message into the deadline queue, or moves it there.
+// setDeadline adds a message to the deadline queue, or moves it within the queue.
 func (s *Scheduler) setDeadline(msg *message, at int64) {
 	s.clearDeadline(msg)
 	msg.dueAt = at
 	s.deadlines = slices.Insert(s.deadlines, s.deadlineIndex(at+1), msg)
 }
 
-// clearDeadline takes a message off the deadline queue, if it is there.
+// clearDeadline removes a message from the deadline queue, if it is there.
 func (s *Scheduler) clearDeadline(msg *message) {
 	for i := s.deadlineIndex(msg.dueAt); i < len(s.deadlines) && s.deadlines[i].dueAt == msg.dueAt; i++ {
 		if s.deadlines[i] == msg {
@@ -52,7 +52,7 @@
 	}
 }
 
-// deadlineIndex is the index of the first message in the deadline queue that is due at a time or later.
+// deadlineIndex returns the index of the first message in the deadline queue that is due at a time or later.
 func (s *Scheduler) deadlineIndex(at int64) int {
 	i, _ := slices.BinarySearchFunc(s.deadlines, at, func(msg *message, at int64) int {
 		return cmp.Compare(msg.dueAt, at)
@@ -60,7 +60,7 @@
 	return i
 }
 
-// handleDeadlines gives the messages whose time is over their final answer.
+// handleDeadlines gives the messages whose deadline has passed their final answer.
 func (s *Scheduler) handleDeadlines() {
 	for len(s.deadlines) > 0 && s.deadlines[0].dueAt <= s.now {
 		msg := s.deadlines[0]
@@ -77,7 +77,7 @@
 	}
 }
 
-// drainTimeUs estimates how long the pending messages of a destination take.
+// drainTimeUs estimates the time until all pending messages of a destination have been sent.
 func (s *Scheduler) drainTimeUs(dest *destination) float64 {
 	rate, waitUs := 0.0, int64(never)
 	for _, ep := range dest.endpoints {
@@ -93,7 +93,8 @@
 	return float64(waitUs) + float64(len(dest.pending))/rate*1e6
 }
 
-// drainRate is at how many calls a second a route drains its queue, and after what wait.
+// drainRate returns the rate, in calls per second, at which a route drains its queue, and the wait before
+// it starts.
 func (s *Scheduler) drainRate(rt *route) (float64, int64) {
 	waitUs := max(0, rt.retryAfterUntil-s.now)
 	switch {
@@ -105,7 +106,8 @@
 	return max(rt.throughput.successRateNow(s.now), minDrainRate), waitUs
 }
 
-// shedIfFull sheds where a message that has just been accepted fills the queue.
+// shedIfFull sheds the least valuable message if a newly accepted message fills the queue, or the new
+// message itself if the queue is half full and the message is below the shed level.
 func (s *Scheduler) shedIfFull(accepted *message) {
 	maxMessages := s.settings.Limits.MaxMessages
 	switch {
@@ -117,7 +119,7 @@
 	}
 }
 
-// shedLeastValuable sheds the pending message whose loss costs least.
+// shedLeastValuable sheds the pending message with the lowest cost of shedding.
 func (s *Scheduler) shedLeastValuable() {
 	var leastValuable *message
 	lowestCost := math.Inf(1)
@@ -135,8 +137,8 @@
 	}
 }
 
-// isBelowShedLevel tells whether a message that has just been accepted has less value than what was
-// shed lately and what giving it up later costs. Now that costs nothing.
+// isBelowShedLevel reports whether a newly accepted message is worth less than the recently shed messages
+// plus the cost of shedding it later. Shedding it now has no such cost.
 func (s *Scheduler) isBelowShedLevel(msg *message) bool {
 	if s.contention == 0 || msg.acceptedAt != s.now {
 		return false
@@ -146,11 +148,11 @@
 	return value < level+shedCostShare*msg.priorityWeight
 }
 
-// shedCost is what it costs, beside its value, to give up a message that was accepted in an
-// earlier step and has not run. Among few senders it is zero: then the value alone decides.
+// shedCost returns the cost, in addition to its value, of shedding a message that was accepted in an
+// earlier step and has not run. With few senders it is zero: only the value decides.
 func (s *Scheduler) shedCost(msg *message) float64 {
 	acceptedAt := msg.acceptedAt
-	if acceptedAt == 0 { // before this incarnation: at the earliest
+	if acceptedAt == 0 { // accepted by an earlier incarnation: the earliest possible time
 		acceptedAt = msg.deadline - msg.class.DeadlineUs
 	}
 	nearDeadline := float64(s.now-acceptedAt) >= shedFreeShare*float64(msg.deadline-acceptedAt)
--- a/scheduler/restorelearned.go
+++ b/scheduler/restorelearned.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	learnedHalfLifeUs       = 60_000_000  // learned latencies and failure shares count half after this time
+	learnedHalfLifeUs       = 60_000_000  // half-life of the weight of learned latencies and failure shares
 	learnedMaxAgeUs         = 600_000_000 // older learned state is not used
-	learnedUnavailableUs    = 30_000_000  // for so long an outage is taken to last
-	learnedRateMarkMultiple = 10.0        // the rate mark, as a multiple of the learned rate
+	learnedUnavailableUs    = 30_000_000  // maximum age at which an outage is restored
+	learnedRateMarkMultiple = 10.0        // the restored rate mark, as a multiple of the learned rate
 )
 
-// learnedEndpoint is what the last incarnation left of an endpoint with a route of its own.
+// learnedEndpoint is the learned state of an endpoint with its own route, from the previous incarnation.
 type learnedEndpoint struct {
 	Endpoint
 	route       *route
-	arrivalRate float64 // messages a second, its part of the destination's
+	arrivalRate float64 // messages per second, its share of the destination's
 }
 
-// RestoreLearnedState takes up what the last incarnation left, before the first step. The times in
-// the state are of the same clock as now. After an error, for a state of another version, nothing
-// has been taken up.
+// RestoreLearnedState restores the learned state of the previous incarnation. It must be called before
+// the first step. The times in the state are of the same clock as now. It returns an error, and restores
+// nothing, for a state of another format version or with invalid contents.
 func (s *Scheduler) RestoreLearnedState(state State, now int64) error {
 	if err := state.checkLearned(); err != nil {
 		return err
@@ -37,10 +37,10 @@
 	return nil
 }
 
-// checkLearned tells why a state cannot be restored as a learned one.
+// checkLearned returns an error for a state that cannot be restored as learned state.
 func (state *State) checkLearned() error {
 	if state.Format != StateFormat {
-		return fmt.Errorf("memory: of form %d, this is %d", state.Format, StateFormat)
+		return fmt.Errorf("learned state: format version %d, expected %d", state.Format, StateFormat)
 	}
 	for i := range state.Destinations {
 		dest := &state.Destinations[i]
@@ -49,7 +49,7 @@
 			ok = ok && ep.OwnRoute != nil && newRoute("", nil).restore(*ep.OwnRoute)
 		}
 		if !ok {
-			return fmt.Errorf("memory: destination %d makes no sense", dest.Destination)
+			return fmt.Errorf("learned state: invalid state of destination %d", dest.Destination)
 		}
 	}
 	return nil
@@ -63,7 +63,7 @@
 	learned := newRoute("", dest)
 	learned.restore(state.Route)
 	s.restoreRoute(dest.route, learned, dest.arrivalRate)
-	for i := range state.Endpoints { // kept until the list names them
+	for i := range state.Endpoints { // kept until the endpoint list contains them
 		ep := &state.Endpoints[i]
 		ownRoute := newRoute("", dest)
 		ownRoute.restore(*ep.OwnRoute)
@@ -75,8 +75,8 @@
 	}
 }
 
-// adoptLearnedEndpoint restores the route of an endpoint that the list names, where the last
-// incarnation knew the same one.
+// adoptLearnedEndpoint restores the route of a newly listed endpoint, if there is learned state of the
+// same endpoint.
 func (s *Scheduler) adoptLearnedEndpoint(ep *endpoint, listed Endpoint) {
 	learned, ok := s.learnedEndpoints[listed.Addr]
 	delete(s.learnedEndpoints, listed.Addr)
@@ -87,22 +87,22 @@
 	}
 }
 
-// restoreRoute takes up what the last incarnation knew of a route, by its age. arrivalRate is that
-// of its messages, a second.
+// restoreRoute restores the learned state of a route according to its age. arrivalRate is the route's
+// arrival rate, in messages per second.
 func (s *Scheduler) restoreRoute(rt, learned *route, arrivalRate float64) {
 	rt.retryAfterUntil = min(learned.retryAfterUntil, s.now+peerHintMaxUs)
 	ageUs := s.now - max(learned.lastSendAt, learned.lastOutcomeAt, learned.health.lastFailureAt)
 	if ageUs < 0 || ageUs > learnedMaxAgeUs {
 		return
 	}
-	rt.lastOutcomeAt = s.now - ageUs // keeps the age, if this incarnation ends before it learns anything
+	rt.lastOutcomeAt = s.now - ageUs // preserves the age if this incarnation ends before it learns anything
 	restoreEstimates(rt, learned, ageUs, s.now)
 	s.restoreLimit(rt, learned, ageUs)
 	s.restoreRate(rt, learned, max(learned.throughput.successRate, arrivalRate), ageUs)
 	s.restoreOutage(rt, learned, ageUs)
 }
 
-// restoreEstimates takes up latencies and failure shares, with a weight that halves with their age.
+// restoreEstimates restores latencies and failure shares, with a weight that decays with their age.
 func restoreEstimates(rt, learned *route, ageUs, now int64) {
 	weight := math.Exp2(-float64(ageUs) / learnedHalfLifeUs)
 	rt.latency.samples = math.Floor(learned.latency.samples * weight)
@@ -117,7 +117,7 @@
 	rt.health.failureShareAt = now
 }
 
-// restoreLimit takes up an advertised limit, and when the first call may leave. What was left of the
+// restoreLimit restores an advertised limit, and sets the time of the first call. The unused part of the
 // limit is not known.
 func (s *Scheduler) restoreLimit(rt, learned *route, ageUs int64) {
 	limit := learned.advertisedLimit.State()
@@ -129,7 +129,8 @@
 	delayUs := s.recovery.FirstCallDelay(rt.advertisedLimit.EvenShare(s.senders), ageUs)
 	switch {
 	case learned.firstCallAt > s.now && learned.firstCallAt <= s.now+recovery.MaxSpreadUs:
-		rt.firstCallAt = learned.firstCallAt // drawn anew, it might never come in a row of short incarnations
+		// If it were drawn anew, a sequence of short incarnations might never reach it.
+		rt.firstCallAt = learned.firstCallAt
 	case delayUs == 0:
 		rt.firstCallAt = 0
 	default:
@@ -137,8 +138,8 @@
 	}
 }
 
-// restoreRate limits a route without an advertised limit to the last incarnation's rate, so that
-// senders that return together do not send their backlog at once. Successes raise the rate.
+// restoreRate limits a route without an advertised limit to the previous incarnation's rate, so that in a
+// mass restart the senders do not send their backlogs all at once. Successes raise the rate.
 func (s *Scheduler) restoreRate(rt, learned *route, rate float64, ageUs int64) {
 	if rt.advertisedLimit.Known() || rate <= 0 || ageUs >= learnedHalfLifeUs {
 		return
@@ -160,7 +161,7 @@
 	bucket.inherited = !learned.bucket.limited
 }
 
-// restoreOutage takes up an outage or a slow start that had not ended.
+// restoreOutage restores an outage or a slow start that had not ended.
 func (s *Scheduler) restoreOutage(rt, learned *route, ageUs int64) {
 	switch {
 	case learned.health.unavailable && ageUs < learnedUnavailableUs:
@@ -168,8 +169,8 @@
 		rt.health.lastFailureAt = s.now
 		rt.health.consecutiveFailures = 1
 		s.markUnavailable(rt)
-		if learned.probe.nextAt > s.now && learned.probe.nextAt <= s.now+2*probeIntervalManyMaxUs {
-			rt.probe.nextAt = learned.probe.nextAt // for the reason of firstCallAt
+		if learned.probe.nextAt > s.now && learned.probe.nextAt <= s.now+2*probeSpreadMaxUs {
+			rt.probe.nextAt = learned.probe.nextAt // for the same reason as firstCallAt
 		}
 	case learned.slowStart.until > s.now:
 		rt.slowStart.until = min(learned.slowStart.until, s.now+s.settings.Rules.SlowStartUs)
--- a/scheduler/route.go
+++ b/scheduler/route.go
@@ -8,31 +8,32 @@
 )
 
 const (
-	arrivalRateDecayUs = 8_000_000 // time constant of the mean arrival rates, and of what counts as lately
-	demandDrainUs      = 2_000_000 // within which a sender would send its pending messages
-	never              = math.MaxInt64
+	arrivalRateDecayUs = 8_000_000     // time constant of the mean arrival rates and of recent failures
+	demandDrainUs      = 2_000_000     // time within which a sender would send its pending messages
+	never              = math.MaxInt64 // a time that is not reached
 )
 
-// destination is what messages are for. Its endpoints share one route, or have one each.
+// destination is the receiver to which messages are addressed. Its endpoints share one route, or have
+// one each.
 type destination struct {
 	id            int64
-	index         int // by first mention
+	index         int // in Scheduler.destinations
 	endpoints     []*endpoint
 	route         *route
 	pending       []*message
 	callsInFlight int
 
-	arrivalRate    float64 // messages a second, as of arrivalRateAt
+	arrivalRate    float64 // messages per second, as of arrivalRateAt
 	arrivalRateAt  int64
-	nextDispatchAt int64 // when something pending may become sendable
+	nextDispatchAt int64 // earliest time at which a pending message may become sendable
 	nextCandidate  candidate
 }
 
-// route is what one limit, rate and health state belong to: a destination, or one endpoint of it.
+// route holds the limit, rate and health state of a destination, or of one of its endpoints.
 type route struct {
 	name        string
 	destination *destination
-	calls       []*call // in flight, oldest first
+	calls       []*call // calls in flight, oldest first
 	maxInFlight int
 
 	bucket          tokenBucket
@@ -42,15 +43,15 @@
 	probe           probeState
 	slowStart       slowStartState
 	advertisedLimit quota.Limit
-	capacityHint    float64     // calls a second, this sender's part; 0: none
+	capacityHint    float64     // calls per second, this sender's share; 0: none
 	quota           *quotaLimit // nil: no other sender has assigned one
 
 	retryAfterUntil int64
-	firstCallAt     int64 // no call of this incarnation leaves before
+	firstCallAt     int64 // no call of this incarnation is sent earlier
 	lastSuccessAt   int64
 	lastSendAt      int64
-	lastOutcomeAt   int64
-	overtakenUntil  int64 // an answer has overtaken the calls sent by then
+	lastOutcomeAt   int64 // of outcomes that involve the endpoint
+	overtakenUntil  int64 // a later call has had its response before the calls sent by then
 }
 
 // endpoint is one address of a destination.
@@ -58,28 +59,28 @@
 	Endpoint
 	route    *route
 	live     bool // it may get attempts
-	listed   bool // the current list names it
-	ownLimit bool // it has a route of its own
+	listed   bool // the current endpoint list contains it
+	ownLimit bool // it has its own route
 
 	zoneFee          float64
-	randomPreference float64 // drawn once: which endpoints this sender prefers among many senders
+	randomPreference float64 // drawn once; makes each of many senders prefer other endpoints
 	messagesPerCall  int
 
 	callsInFlight int
-	currentCall   *call // the one that this round's messages join
+	currentCall   *call // the call started last; messages sent in the same step join it
 	lastSuccessAt int64
 	connections   connectionState
-	failures      []failureStreak // failed connects, rejections, then failures of each class
+	failures      []failureStreak // failed connects, rejections, then the failures of each class
 }
 
-// newRoute makes a route of which nothing is known.
+// newRoute returns a route without any state.
 func newRoute(name string, dest *destination) *route {
 	rt := &route{name: name, destination: dest}
 	rt.maxInFlight, rt.probe.intervalUs = 1, probeIntervalMinUs
 	return rt
 }
 
-// destination is the destination of an id; it is made where there is none yet.
+// destination returns the destination with an id and adds it if it does not exist.
 func (s *Scheduler) destination(id int64) *destination {
 	dest := s.destinationByID[id]
 	if dest == nil {
@@ -91,7 +92,7 @@
 	return dest
 }
 
-// arrivalRate is the rate, in messages a second, at which messages for a route arrive.
+// arrivalRate returns the rate, in messages per second, at which messages for a route arrive.
 func (s *Scheduler) arrivalRate(rt *route) float64 {
 	dest := rt.destination
 	rate := dest.arrivalRate * math.Exp(float64(dest.arrivalRateAt-s.now)/arrivalRateDecayUs)
@@ -101,12 +102,12 @@
 	return rate
 }
 
-// arrivalRateNow is a destination's arrival rate at a time, in messages a second.
+// arrivalRateNow returns a destination's arrival rate at a time, in messages per second.
 func (dest *destination) arrivalRateNow(now int64) float64 {
 	return dest.arrivalRate * math.Exp(float64(min(0, dest.arrivalRateAt-now))/arrivalRateDecayUs)
 }
 
-// ArrivalRate is how many messages arrive a second for all destinations, as a decaying mean.
+// ArrivalRate returns the number of messages per second that arrive for all destinations, as a decaying mean.
 func (s *Scheduler) ArrivalRate(now int64) (perSecond float64) {
 	for _, dest := range s.destinations {
 		perSecond += dest.arrivalRateNow(now)
@@ -114,8 +115,8 @@
 	return perSecond
 }
 
-// Demand is how many calls in 1,000 s this sender would send to a destination: what arrives, and
-// what is pending within demandDrainUs.
+// Demand returns the number of calls per 1,000 s that this sender would send to a destination: at the
+// rate of arriving messages, plus the rate that sends the pending ones within demandDrainUs.
 func (s *Scheduler) Demand(now, destination int64) int64 {
 	dest := s.destinationByID[destination]
 	if dest == nil {
--- a/scheduler/savestate.go
+++ b/scheduler/savestate.go
@@ -10,10 +10,11 @@
 	"brackendale/internal/quota"
 )
 
-// errStateVersion is what SetState returns for a state of another version of the program.
-var errStateVersion = errors.New("saved state: of another version")
+// errStateVersion is returned by SetState for a state of another version of the program.
+var errStateVersion = errors.New("saved state: unsupported format version")
 
-// State returns all that the scheduler knows. It changes nothing; the maps are the scheduler's own.
+// State returns the complete state of the scheduler. It has no side effects. The maps of the result are
+// shared with the scheduler and must not be changed.
 func (s *Scheduler) State() State {
 	state := State{
 		Format:              StateFormat,
@@ -28,7 +29,7 @@
 	}
 	for _, dest := range s.destinations {
 		state.Destinations = append(state.Destinations, dest.state())
-		for _, msg := range dest.pending { // their order is kept
+		for _, msg := range dest.pending { // in the order in which they became pending
 			state.Messages = append(state.Messages, msg.state())
 		}
 	}
@@ -46,7 +47,7 @@
 	return state
 }
 
-// messagesInFlight lists the messages with an attempt in flight, by id.
+// messagesInFlight returns the messages with an attempt in flight, sorted by id.
 func (s *Scheduler) messagesInFlight() []*message {
 	var list []*message
 	for _, msg := range s.messages {
@@ -129,9 +130,9 @@
 	return state
 }
 
-// SetState makes a scheduler that has taken no step know what another one knew. The settings may be
-// newer: messages of a class that they do not name are left out. After an error the scheduler must
-// not be used.
+// SetState sets the complete state of a scheduler that has taken no step to that of another one. The
+// settings may be newer: messages of a class that they do not contain are dropped. After an error the
+// scheduler must not be used.
 func (s *Scheduler) SetState(state State, now int64) error {
 	if state.Format != StateFormat || !assign(s.floats(), state.Floats) || !assign(s.integers(), state.Integers) {
 		return errStateVersion
@@ -169,7 +170,7 @@
 	}
 }
 
-// restoreDestination reports false where the state is of another version.
+// restoreDestination reports false if the state is of another version.
 func (s *Scheduler) restoreDestination(state *DestinationState) bool {
 	dest := s.destination(state.Destination)
 	if !assign(dest.floats(), state.Floats) || !assign(dest.integers(), state.Integers) ||
@@ -184,7 +185,7 @@
 	return dest.route.restore(state.Route) // updateEndpoint may have changed it
 }
 
-// restoreEndpoint reports false where the state is of another version.
+// restoreEndpoint reports false if the state is of another version.
 func (s *Scheduler) restoreEndpoint(state *EndpointState) bool {
 	s.updateEndpoint(state.Endpoint)
 	ep := s.endpoints[state.Addr]
@@ -206,15 +207,15 @@
 	return true
 }
 
-// restore reports false where the state is of another version.
+// restore sets the state of a route. It reports false if the state is of another version.
 func (rt *route) restore(state RouteState) bool {
 	rt.advertisedLimit, rt.firstCallAt = quota.FromState(state.AdvertisedLimit), state.FirstCallAt
 	return assign(rt.floats(), state.Floats) && assign(rt.integers(), state.Integers) &&
 		assign(rt.counts(), state.Counts) && assign(rt.flags(), state.Flags)
 }
 
-// restoreMessage reports false where the state is of another version. Messages of unknown classes
-// are left out.
+// restoreMessage reports false if the state is of another version. Messages of unknown classes are
+// dropped.
 func (s *Scheduler) restoreMessage(state *MessageState) bool {
 	class := s.classes[state.Class]
 	if class == nil {
@@ -240,12 +241,12 @@
 	return true
 }
 
-// restoreCall puts a call in flight again whose messages have been restored.
+// restoreCall restores a call in flight, after its messages.
 func (s *Scheduler) restoreCall(state *CallState) error {
 	ep := s.endpoints[state.Endpoint]
 	restored := &call{endpoint: ep, size: state.Size, step: -1}
 	if ep == nil || !assign(restored.integers(), state.Integers) || !assign(restored.flags(), state.Flags) {
-		return fmt.Errorf("saved state: a call to %q makes no sense", state.Endpoint)
+		return fmt.Errorf("saved state: invalid state of a call to endpoint %q", state.Endpoint)
 	}
 	for _, id := range state.Messages {
 		if msg := s.messages[id]; msg != nil {
@@ -261,12 +262,12 @@
 	restored.route.calls = append(restored.route.calls, restored)
 	s.callsInFlight++
 	ep.callsInFlight++
-	ep.connections.open = max(ep.connections.open, ep.callsInFlight) // idle ones stay with the other process
+	ep.connections.open = max(ep.connections.open, ep.callsInFlight) // idle connections are not handed over
 	restored.messages[0].destination.callsInFlight++
 	return nil
 }
 
-// restoreQueues makes the messages without an attempt in flight pending, and sets all deadlines.
+// restoreQueues makes the messages without an attempt in flight pending and sets all deadlines.
 func (s *Scheduler) restoreQueues(states []MessageState) {
 	for i := range states {
 		msg := s.messages[states[i].ID]
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,11 +1,11 @@
-// Package scheduler decides for a sender: which message goes to which endpoint and when, and how
-// each message ends. Settings, events and actions have files of their own; each other file holds one
-// decision.
+// Package scheduler decides for one sender which message goes to which endpoint, when it is sent and
+// which final answer it gets. Settings, events and actions have files of their own; each other file
+// holds one kind of decision.
 //
-// A route is normally paced by ATB of "Rethinking HTTP API Rate Limiting: A Client-Side Approach"
-// (Table III): a token bucket whose rate a rejection halves and each success raises, under a
-// concurrency limit. docs/design.md tells what was kept, changed and added. Unless a name says
-// otherwise, times are in microseconds and rates are a second.
+// A route is normally paced by ATB, from "Rethinking HTTP API Rate Limiting: A Client-Side Approach"
+// (Table III): a token bucket whose rate is halved by a rejection and raised by each success. A
+// concurrency limit applies as well. docs/design.md describes what differs from the paper. Unless a
+// name says otherwise, times are in microseconds and rates are per second.
 package scheduler
 
 import (
@@ -16,8 +16,8 @@
 	"brackendale/internal/recovery"
 )
 
-// Scheduler decides for one sender: a state machine that Step drives. It reads no clock, starts no
-// goroutine and does no I/O. All its methods are for one goroutine at a time.
+// Scheduler makes the decisions of one sender. It is a state machine driven by Step: it reads no
+// clock, starts no goroutine and does no I/O. It is not safe for concurrent use.
 type Scheduler struct {
 	settings Settings
 	rng      *rand.Rand
@@ -27,8 +27,8 @@
 
 	// The senders that share the destinations.
 	senders      float64
-	senderFactor float64 // how many times as many senders as see enough by themselves
-	contention   float64 // 0 for few senders, nears 1 with their number
+	senderFactor float64 // how many times more senders there are than can rely on their own observations alone
+	contention   float64 // 0 for few senders, approaches 1 as their number grows
 
 	// The current step.
 	now     int64
@@ -37,20 +37,20 @@
 
 	// Messages.
 	messages          map[string]*message
-	acceptedCount     int        // accepted and without a final answer
-	deadlines         []*message // by dueAt
+	acceptedCount     int        // messages without a final answer
+	deadlines         []*message // sorted by dueAt
 	keyQueues         map[int64]*keyQueue
 	keyQueueSweepSize int     // number of key queues at which unused ones are dropped
-	shedLevel         float64 // value of the message shed last, as of shedLevelAt
+	shedLevel         float64 // value of the most recently shed message, as of shedLevelAt
 	shedLevelAt       int64
 
 	// Destinations and endpoints.
 	destinations     []*destination
-	active           []*destination // those with messages pending or in flight, by index
+	active           []*destination // those with messages pending or in flight, sorted by index
 	destinationByID  map[int64]*destination
 	endpoints        map[string]*endpoint
-	learnedEndpoints map[string]learnedEndpoint // by address: of the last incarnation, not listed yet
-	watching         bool                       // the endpoint list arrives by itself
+	learnedEndpoints map[string]learnedEndpoint // of the previous incarnation, by address; not in the list yet
+	watching         bool                       // updates of the endpoint list arrive without a request
 	nextWatchAt      int64
 	watchIntervalUs  int64
 
@@ -58,26 +58,26 @@
 	callsInFlight          int
 	maxCalls               int
 	maxCallsPerDestination int
-	callsToSlowRoutes      int // to routes that are slow, silent or failing
+	callsToSlowRoutes      int // to routes that are slow, unresponsive or failing
 	maxCallsToSlowRoutes   int
-	respondingRoutes       []*route // those that answered lately
-	slowdown               float64  // latency of all routes now, against the usual one
+	respondingRoutes       []*route // those with a recent success
+	slowdown               float64  // current latency as a multiple of the baseline: median over respondingRoutes
 
 	// Connections and retries, by machine type.
 	connectFailureShare map[string]float64
-	retrySpread         map[string]float64 // factor on the spread of retries after rejections
-	maxIdleUs           int64              // age at which idle connections are closed; 0: not known
+	retrySpread         map[string]float64 // learned factor on the retry spread after rejections
+	maxIdleUs           int64              // idle time after which connections are closed; 0: unknown
 	maxIdleLearnedAt    int64
 
 	// Times of this incarnation.
 	startedAt  int64
-	shutdownAt int64 // 0: none
+	shutdownAt int64 // 0: no shutdown has been announced
 	timerAt    int64
 	timerID    uint64
 }
 
-// New makes a scheduler for one incarnation of a sender. The seed decides all its random choices.
-// An error tells why the settings cannot be served.
+// New returns a scheduler for one incarnation of a sender. All its random choices derive from seed.
+// It returns an error for invalid settings.
 func New(settings Settings, seed int64) (*Scheduler, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
@@ -125,7 +125,7 @@
 	}
 }
 
-// addClass takes up a class of valid settings.
+// addClass adds a class from validated settings.
 func (s *Scheduler) addClass(class Class) {
 	s.classes[class.Name] = &requestClass{
 		Class:           class,
@@ -136,8 +136,8 @@
 	}
 }
 
-// Step takes the events since the last step and returns what to do now, in order. now is the time in
-// microseconds; it does not go back.
+// Step processes the events since the last step and returns the actions to take now, in order. now is
+// the current time in microseconds and must not decrease.
 func (s *Scheduler) Step(now int64, events []Event) []Action {
 	s.now, s.actions, s.startedAt = now, nil, cmp.Or(s.startedAt, now)
 	s.step++
@@ -153,7 +153,8 @@
 	return s.actions
 }
 
-// handleEvent passes an event on. Events of messages that are not known are control events.
+// handleEvent dispatches an event to its handler. Events that concern no known message go to
+// handleControlEvent.
 func (s *Scheduler) handleEvent(event *Event) {
 	msg := s.messages[event.ID]
 	switch {
@@ -173,7 +174,8 @@
 	}
 }
 
-// armTimer keeps one timer: the earliest moment at which something may change by itself.
+// armTimer sets the timer for the earliest time at which a step without new events may have something
+// to do. There is one timer.
 func (s *Scheduler) armTimer() {
 	earliest := int64(never)
 	if len(s.deadlines) > 0 {
@@ -197,8 +199,8 @@
 	s.actions = append(s.actions, Action{Kind: SetTimer, DelayUs: s.timerAt - s.now, TimerID: s.timerID})
 }
 
-// logRoute adds a log line on a route: its name, its failures in a row and the time since its last
-// success in milliseconds.
+// logRoute adds a log line about a route. The format takes its name, its number of consecutive
+// failures and the milliseconds since its last success.
 func (s *Scheduler) logRoute(format string, rt *route, now int64) {
 	s.actions = append(s.actions, Action{
 		Kind: WriteLog,
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -6,17 +6,18 @@
 	"slices"
 )
 
-// Settings are a scheduler's settings for its whole time. Fields in Us are times in microseconds.
+// Settings are the settings of a scheduler. They do not change during its lifetime. Fields that end in Us are
+// times in microseconds.
 type Settings struct {
 	Zone            string
 	Zones           []string
-	Senders         int   // how many senders share the destinations, this one too
-	SenderIndex     int   // of this sender among them
-	TickUs          int64 // the least time between two steps
+	Senders         int   // number of senders that share the destinations, this one included
+	SenderIndex     int   // index of this sender among them
+	TickUs          int64 // minimum time between two steps
 	Discovery       Discovery
 	CapacityHints   CapacityHints
 	MachineTypes    []string
-	OverQuotaWeight float64 // factor on the priority weight of messages of a tenant over its quota
+	OverQuotaWeight float64 // factor on the priority weight of messages that exceed their tenant's quota
 	Classes         []Class
 	Tenants         []Tenant
 	Limits          Limits
@@ -26,40 +27,40 @@
 	Rules           Rules
 }
 
-// Tenant is a customer whose messages share a quota.
+// Tenant is a group of clients whose messages share a quota.
 type Tenant struct {
 	Name           string
-	QuotaPerSecond float64 // messages a second over all senders; 0: no quota
+	QuotaPerSecond float64 // messages per second over all senders; 0: no quota
 }
 
-// Limits bounds what a sender may do.
+// Limits are the capabilities and limits of a sender.
 type Limits struct {
 	CanCancel            bool // attempts can be canceled
 	ConnectTimeoutUs     int64
-	KeepAliveUs          int64 // an idle connection may be used for so long
-	MaxAttempts          int   // of one message; 0: any number
-	MaxRetryAfterUs      int64 // the longest Retry-After that clients get
-	MaxMessages          int   // accepted and without a final answer; 0: any number
+	KeepAliveUs          int64 // maximum idle time after which a connection is still reused
+	MaxAttempts          int   // of one message; 0: unlimited
+	MaxRetryAfterUs      int64 // maximum Retry-After sent to clients
+	MaxMessages          int   // maximum number of messages without a final answer; 0: unlimited
 	HealthChecks         bool  // not used
-	CanSendRetryAfter    bool  // clients understand a Retry-After
+	CanSendRetryAfter    bool  // clients support Retry-After
 	HedgedRequests       bool  // not used
-	StreamsPerConnection int   // attempts that share a connection
+	StreamsPerConnection int   // maximum number of concurrent attempts on one connection
 }
 
-// Costs are prices in units of priority weight.
+// Costs are costs in units of priority weight.
 type Costs struct {
 	Handshake     float64 // of a new connection
 	CrossZone     float64 // not used
 	WastedAttempt float64 // not used
 }
 
-// Calls is how messages travel to endpoints. A call carries one or several messages.
+// Calls describes the calls that carry messages to endpoints. A call carries one or more messages.
 type Calls struct {
-	ZoneFees        []float64 // price of a call by zone, for endpoints with limits of their own
+	ZoneFees        []float64 // cost of a call, by zone; for endpoints with their own limits
 	ValueDecay      ValueDecay
-	EndpointLimits  []bool // by machine type: each endpoint has a limit of its own
-	MessagesPerCall []int  // by machine type: the most messages of one call
-	ConcurrentCalls int    // the most calls in flight
+	EndpointLimits  []bool // whether each endpoint has its own limit, by machine type
+	MessagesPerCall []int  // maximum number of messages in one call, by machine type
+	ConcurrentCalls int    // maximum number of calls in flight
 }
 
 // LoadReport describes the load reports of endpoints.
@@ -68,37 +69,37 @@
 	Mode   ReportMode
 }
 
-// Rules are the rules of the service that a scheduler has to keep.
+// Rules are the service's requirements on senders.
 type Rules struct {
 	AnswerMarginUs        int64   // not used
-	MaxPollIntervalUs     int64   // the longest time between two polls of the endpoint list
-	SlowStartInitialShare float64 // share of its capacity that a recovering destination takes at first
-	OverloadMultiple      float64 // a recovering destination fails above so many times what it takes
-	OverloadWindowUs      int64   // the window over which that is counted
-	SlowStartUs           int64   // until a recovering destination takes its whole capacity
-	DrainWithinUs         int64   // attempts to a draining endpoint end within this time
-	KeyQuarantineUs       int64   // a key of ordered messages waits so long after an ambiguous outcome
+	MaxPollIntervalUs     int64   // maximum time between two polls of the endpoint list
+	SlowStartInitialShare float64 // share of its capacity that a recovering destination accepts at first
+	OverloadMultiple      float64 // multiple of that share above which a recovering destination fails again
+	OverloadWindowUs      int64   // window over which that load is counted
+	SlowStartUs           int64   // time until a recovering destination accepts its full capacity
+	DrainWithinUs         int64   // time within which attempts to a draining endpoint end
+	KeyQuarantineUs       int64   // quarantine of a key of ordered messages after an ambiguous outcome
 }
 
-// Class is a request class. Its times are in microseconds from when a message came in.
+// Class is a request class. Its times are in microseconds after the acceptance of a message.
 type Class struct {
 	Name               string
 	LatencyObjectiveUs int64
-	ObjectiveStretch   float64 // microseconds more for each microsecond of work that a message announces
+	ObjectiveStretch   float64 // added to the latency objective for each microsecond of announced work
 	DeadlineUs         int64
 	Idempotency        Idempotency
 	KeyScope           KeyScope
-	KeyWindowUs        int64   // for so long endpoints remember an idempotency key
-	OrderedByKey       bool    // messages of one key are delivered in order
-	LateValue          float64 // share of the priority weight that is left at the deadline
-	Stream             bool    // answers arrive in pieces
+	KeyWindowUs        int64   // idempotency window: how long endpoints keep an idempotency key
+	OrderedByKey       bool    // messages with the same key are delivered in order
+	LateValue          float64 // share of the priority weight that remains at the deadline
+	Stream             bool    // responses are streamed
 	PriorityWeight     float64
 }
 
-// errNegativeSetting is what New returns for a time, count or factor below zero.
+// errNegativeSetting is returned by New for a time, count or factor below zero.
 var errNegativeSetting = errors.New("settings: a negative time or limit")
 
-// validate tells why the settings cannot be served.
+// validate returns an error for settings that the scheduler cannot work with.
 func (settings *Settings) validate() error {
 	if len(settings.Classes) == 0 || settings.Calls.ConcurrentCalls < 1 {
 		return fmt.Errorf("settings: %d classes and %d slots",
@@ -121,8 +122,8 @@
 	return nil
 }
 
-// repeatRisk is 0 where a repeat is harmless, 1 where it is by key, 2 where it is not, and -1 for an
-// unknown idempotency.
+// repeatRisk is the risk of sending a message again after an attempt that may have run: 0 if it is
+// idempotent, 1 if it is idempotent by key, 2 if it is unsafe, and -1 for an unknown idempotency.
 func (class *Class) repeatRisk() int {
 	return slices.Index([]Idempotency{Idempotent, IdempotentByKey, NotIdempotent}, class.Idempotency)
 }
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -4,18 +4,19 @@
 
 const (
 	slowStartMarginMax = 1.3  // factor on the slow-start budget
-	slowStartMarginMin = 1.15 // factor on the slow-start budget where it holds many calls
-	slowStartBatchCost = 0.25 // cost of each further message of a call
-	peakMinSamples     = 30   // answers after which the peak success rate tells the capacity
+	slowStartMarginMin = 1.15 // factor on the slow-start budget if the budget is many calls
+	slowStartBatchCost = 0.25 // cost of each further message of a call, relative to the first
+	peakMinSamples     = 30   // number of responses after which the peak success rate estimates the capacity
 )
 
-// slowStartState paces the return of a route.
+// slowStartState paces the calls to a recovering route.
 type slowStartState struct {
 	until      int64
 	nextCallAt int64
 }
 
-// startListedSlowStart starts the slow start of a route whose only endpoint the list names as returning.
+// startListedSlowStart starts the slow start of a route if the endpoint list marks its only live endpoint as
+// recovering.
 func (s *Scheduler) startListedSlowStart(listed Endpoint) {
 	ep := s.endpoints[listed.Addr]
 	if !listed.SlowStart || ep == nil || !ep.live {
@@ -32,7 +33,7 @@
 	rt.slowStart.nextCallAt = s.now
 }
 
-// beginRecovery starts the slow start of a route that answers again.
+// beginRecovery starts the slow start of a route that responds again.
 func (s *Scheduler) beginRecovery(rt *route) {
 	rt.slowStart.until = s.now + s.settings.Rules.SlowStartUs
 	rt.slowStart.nextCallAt = s.now + int64(1e6/s.slowStartRate(rt))
@@ -40,7 +41,7 @@
 	s.logRoute("%s answers again after %d failures and %d ms, its load returns in steps", rt, s.now)
 }
 
-// chargeSlowStart puts the next call of a route in slow start off by the cost of one message.
+// chargeSlowStart delays the next call to a route in slow start by the cost of one message.
 func (s *Scheduler) chargeSlowStart(rt *route, call *call) {
 	if s.now < rt.slowStart.until {
 		cost := 1 - (1-slowStartBatchCost)*float64(min(call.size, 1))
@@ -48,11 +49,11 @@
 	}
 }
 
-// slowStartRate is this sender's part, in calls a second, of what a route takes in slow start, by a
-// low estimate of its capacity.
+// slowStartRate returns this sender's share, in calls per second, of the load that a route accepts in
+// slow start, by a low estimate of its capacity.
 func (s *Scheduler) slowStartRate(rt *route) float64 {
 	rules := &s.settings.Rules
-	elapsedShare := 0.0 // share of the slow start that is over
+	elapsedShare := 0.0 // share of the slow start that has passed
 	if rt.slowStart.until > 0 && rules.SlowStartUs > 0 {
 		elapsedShare = 1 - max(0, float64(rt.slowStart.until-s.now)/float64(rules.SlowStartUs))
 	}
@@ -62,8 +63,8 @@
 	return max(rate, 1e6/(float64(max(rules.OverloadWindowUs, 500_000))*float64(s.settings.Senders)))
 }
 
-// capacityEstimate is this sender's part of a route's capacity, in calls a second, guessed low.
-// Among many senders the sum of what arrives at each is the best guess.
+// capacityEstimate returns a low estimate of this sender's share of a route's capacity, in calls per
+// second. With many senders the sum of their arrival rates is the best estimate of the capacity.
 func (s *Scheduler) capacityEstimate(rt *route) float64 {
 	if s.hasSharedLimit(rt) {
 		return rt.advertisedLimit.EvenShare(s.senders)
@@ -76,8 +77,9 @@
 	return capacity
 }
 
-// slowStartMargin is the factor by which all senders together may exceed the low estimate of a
-// budget. rate is this sender's part of it. The more calls the budget holds, the less chance counts.
+// slowStartMargin returns the factor by which all senders together may exceed the low estimate of a
+// budget. rate is this sender's share of the budget. The factor decreases with the number of calls in
+// the budget, since their random variation matters less.
 func (s *Scheduler) slowStartMargin(rate float64) float64 {
 	totalCalls := rate * s.senders * float64(s.settings.Rules.OverloadWindowUs) / 1e6
 	if totalCalls <= 0 {
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -1,24 +1,24 @@
 package scheduler
 
-// State is all that a scheduler knows, for the successor in a hot restart; LearnedState returns a
-// part of it. The tags and the order of the lists of numbers are the stored form: a change of the
-// lists needs a new StateFormat.
+// State is the complete state of a scheduler, for the successor in a hot restart. LearnedState returns
+// a part of it. The stored form consists of the tags and the order of the values in the lists: a change
+// of the lists needs a new StateFormat.
 type State struct {
 	Format              int                   `json:"Form"` // StateFormat
 	Floats              []float64             `json:"Bits"`
 	Integers            []int64               `json:"Ints"`
 	ConnectFailureShare map[string]float64    `json:"Crowd"`
 	RetrySpread         map[string]float64    `json:"Ease"`
-	Tenants             map[string][2]float64 `json:"Tenant"` // tokens, and when they were refilled, in seconds
+	Tenants             map[string][2]float64 `json:"Tenant"` // tokens, and the time of their last refill in seconds
 	Destinations        []DestinationState    `json:"Dests"`
 	Messages            []MessageState        `json:"Msgs"`
 	Calls               []CallState           `json:"Calls"`
 }
 
-// StateFormat changes with what the lists hold.
+// StateFormat is the version of the stored form. It changes with the contents of the lists.
 const StateFormat = 1
 
-// DestinationState is a destination, with its routes and endpoints.
+// DestinationState is the state of a destination, its routes and its endpoints.
 type DestinationState struct {
 	Destination int64           `json:"Dest"`
 	Floats      []float64       `json:"Bits"`
@@ -27,28 +27,28 @@
 	Endpoints   []EndpointState `json:"Eps"`
 }
 
-// RouteState is a route.
+// RouteState is the state of a route.
 type RouteState struct {
 	Floats          []float64  `json:"Bits"`
 	Integers        []int64    `json:"Ints"`
 	Counts          []int      `json:"Counts"`
 	Flags           []bool     `json:"Flags"`
 	AdvertisedLimit [3]float64 `json:"Told"`
-	FirstCallAt     int64      `json:"First,omitempty"` // no call leaves before
+	FirstCallAt     int64      `json:"First,omitempty"` // no call is sent earlier
 }
 
-// EndpointState is an endpoint. OwnRoute is nil where it shares the destination's route.
+// EndpointState is the state of an endpoint. OwnRoute is nil if it shares the destination's route.
 type EndpointState struct {
 	Endpoint
 	Floats   []float64   `json:"Bits"`
 	Integers []int64     `json:"Ints"`
 	Counts   []int       `json:"Counts"`
 	Flags    []bool      `json:"Flags"`
-	Failures [][3]int64  `json:"Blames"` // count, since, last time of each endpoint.failures
+	Failures [][3]int64  `json:"Blames"` // count, since and lastAt of each streak in endpoint.failures
 	OwnRoute *RouteState `json:"Own,omitempty"`
 }
 
-// MessageState is a message that is pending or in flight.
+// MessageState is the state of a message that is pending or in flight.
 type MessageState struct {
 	ID             string  `json:"ID"`
 	Class          string  `json:"Class"`
@@ -61,16 +61,16 @@
 	Ended          bool    `json:"Ended"`
 }
 
-// CallState is a call in flight.
+// CallState is the state of a call in flight.
 type CallState struct {
 	Endpoint string   `json:"Addr"`
 	Integers []int64  `json:"Ints"`
 	Flags    []bool   `json:"Flags"`
-	Messages []string `json:"Msgs"` // ids of those without an outcome
+	Messages []string `json:"Msgs"` // ids of the messages that have no outcome yet
 	Size     int      `json:"Size"`
 }
 
-// The numbers of each type, in the order of the lists in its stored form.
+// The methods below return the variables of each type in the order of the lists in its stored form.
 
 func (s *Scheduler) floats() []*float64 { return []*float64{&s.slowdown} }
 
@@ -159,7 +159,7 @@
 	return []*bool{&c.recorded, &c.canceled, &c.openedConnection, &c.afterRejections}
 }
 
-// values is a list of what the pointers point to.
+// values returns the values of variables.
 func values[T any](variables []*T) []T {
 	list := make([]T, len(variables))
 	for i, variable := range variables {
@@ -168,7 +168,8 @@
 	return list
 }
 
-// assign gives the variables their values; it reports false where their numbers differ.
+// assign sets the variables to the values of a list. It reports false, and changes nothing, if their
+// numbers differ.
 func assign[T any](variables []*T, list []T) bool {
 	if len(variables) != len(list) {
 		return false
