--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,246 +1,248 @@
-// Package settings is the edge between the settings on the wire, with the protocol's field names, and those of the
-// scheduler. The platform's configuration file and the simulator's first message have the same form.
+// Package settings converts between the JSON form of the settings, which has the protocol's keys, and the settings of
+// the scheduler. The platform's configuration file and the simulator's first message use the JSON form. A field has the
+// same Go name in both forms; its tag is the protocol's key.
 package settings
 
 import "brackendale/scheduler"
 
-// Settings is the wire form. Keys that are not listed here are ignored.
+// Settings is the wire form of scheduler.Settings. Keys that are not listed here are ignored.
 type Settings struct {
-	AZ             string     `json:"az"`
-	Zones          []string   `json:"zones"`
-	ReplicasOfMe   int        `json:"replicasOfMe"`
-	Rank           int        `json:"rank"`
-	TickUs         int64      `json:"tickUs"`
-	Discovery      string     `json:"discovery"`
-	Weights        string     `json:"weights"`
-	MachineTypes   []string   `json:"machineTypes"`
-	OverShareWorth float64    `json:"overShareWorth"`
-	Lanes          []Lane     `json:"lanes"`
-	Customers      []Customer `json:"customers"`
-	Caps           Caps       `json:"caps"`
-	Charges        Charges    `json:"charges"`
-	FamilyInfo     FamilyInfo `json:"familyInfo"`
-	Report         Report     `json:"report"`
-	Rules          Rules      `json:"rules"`
+	Zone            string     `json:"az"`
+	Zones           []string   `json:"zones"`
+	Senders         int        `json:"replicasOfMe"`
+	SenderIndex     int        `json:"rank"`
+	TickUs          int64      `json:"tickUs"`
+	Discovery       string     `json:"discovery"`
+	CapacityHints   string     `json:"weights"`
+	MachineTypes    []string   `json:"machineTypes"`
+	OverQuotaWeight float64    `json:"overShareWorth"`
+	Classes         []Class    `json:"lanes"`
+	Tenants         []Tenant   `json:"customers"`
+	Limits          Limits     `json:"caps"`
+	Costs           Costs      `json:"charges"`
+	Calls           Calls      `json:"familyInfo"`
+	LoadReport      LoadReport `json:"report"`
+	Rules           Rules      `json:"rules"`
 }
 
-// Customer is the wire form of scheduler.Tenant.
-type Customer struct {
-	Name      string  `json:"name"`
-	QuotaPerS float64 `json:"quotaPerS"`
+// Tenant is the wire form of scheduler.Tenant.
+type Tenant struct {
+	Name           string  `json:"name"`
+	QuotaPerSecond float64 `json:"quotaPerS"`
 }
 
-// Caps is the wire form of scheduler.Limits.
-type Caps struct {
-	Cancel           bool  `json:"cancel"`
-	ConnectTimeoutUs int64 `json:"connectTimeoutUs"`
-	KeepaliveUs      int64 `json:"keepaliveUs"`
-	MaxAttempts      int   `json:"maxAttempts"`
-	MaxRetryAfterUs  int64 `json:"maxRetryAfterUs"`
-	OpenCap          int   `json:"openCap"`
-	Probes           bool  `json:"probes"`
-	RetryAfter       bool  `json:"retryAfter"`
-	SecondCopies     bool  `json:"secondCopies"`
-	StreamsPerConn   int   `json:"streamsPerConn"`
+// Limits is the wire form of scheduler.Limits.
+type Limits struct {
+	CanCancel            bool  `json:"cancel"`
+	ConnectTimeoutUs     int64 `json:"connectTimeoutUs"`
+	KeepAliveUs          int64 `json:"keepaliveUs"`
+	MaxAttempts          int   `json:"maxAttempts"`
+	MaxRetryAfterUs      int64 `json:"maxRetryAfterUs"`
+	MaxMessages          int   `json:"openCap"`
+	HealthChecks         bool  `json:"probes"`
+	CanSendRetryAfter    bool  `json:"retryAfter"`
+	HedgedRequests       bool  `json:"secondCopies"`
+	StreamsPerConnection int   `json:"streamsPerConn"`
 }
 
-// Charges is the wire form of scheduler.Costs.
-type Charges struct {
-	Handshake float64 `json:"handshake"`
-	CrossZone float64 `json:"crossZone"`
-	Waste     float64 `json:"waste"`
+// Costs is the wire form of scheduler.Costs.
+type Costs struct {
+	Handshake     float64 `json:"handshake"`
+	CrossZone     float64 `json:"crossZone"`
+	WastedAttempt float64 `json:"waste"`
 }
 
-// FamilyInfo is the wire form of scheduler.Calls.
-type FamilyInfo struct {
-	Carriage  []float64 `json:"carriage"`
-	Decay     string    `json:"decay"`
-	OwnLimits []bool    `json:"ownLimits"`
-	PerCall   []int     `json:"perCall"`
-	Workers   int       `json:"workers"`
+// Calls is the wire form of scheduler.Calls.
+type Calls struct {
+	ZoneFees        []float64 `json:"carriage"`
+	ValueDecay      string    `json:"decay"`
+	EndpointLimits  []bool    `json:"ownLimits"`
+	MessagesPerCall []int     `json:"perCall"`
+	ConcurrentCalls int       `json:"workers"`
 }
 
-// Report is the wire form of scheduler.LoadReport.
-type Report struct {
+// LoadReport is the wire form of scheduler.LoadReport.
+type LoadReport struct {
 	Fields []string `json:"fields"`
-	How    string   `json:"how"`
+	Mode   string   `json:"how"`
 }
 
 // Rules is the wire form of scheduler.Rules.
 type Rules struct {
-	AnswerSlackUs       int64   `json:"answerSlackUs"`
-	AskWithinUs         int64   `json:"askWithinUs"`
-	ColdFrom            float64 `json:"coldFrom"`
-	FallMultiple        float64 `json:"fallMultiple"`
-	FallUs              int64   `json:"fallUs"`
-	WarmAfterUs         int64   `json:"warmAfterUs"`
-	StopSendingWithinUs int64   `json:"stopSendingWithinUs"`
-	KeyRestUs           int64   `json:"keyRestUs"`
+	AnswerMarginUs        int64   `json:"answerSlackUs"`
+	MaxPollIntervalUs     int64   `json:"askWithinUs"`
+	SlowStartInitialShare float64 `json:"coldFrom"`
+	OverloadMultiple      float64 `json:"fallMultiple"`
+	OverloadWindowUs      int64   `json:"fallUs"`
+	SlowStartUs           int64   `json:"warmAfterUs"`
+	DrainWithinUs         int64   `json:"stopSendingWithinUs"`
+	KeyQuarantineUs       int64   `json:"keyRestUs"`
 }
 
-// Lane is the wire form of scheduler.Class.
-type Lane struct {
-	Name        string  `json:"name"`
-	AimUs       int64   `json:"aimUs"`
-	AimStretch  float64 `json:"aimStretch"`
-	HardLimitUs int64   `json:"hardLimitUs"`
-	Effect      string  `json:"effect"`
-	Group       string  `json:"group"`
-	WindowUs    int64   `json:"windowUs"`
-	KeepOrder   bool    `json:"keepOrder"`
-	LateValue   float64 `json:"lateValue"`
-	Stream      bool    `json:"stream"`
-	Worth       float64 `json:"worth"`
+// Class is the wire form of scheduler.Class.
+type Class struct {
+	Name               string  `json:"name"`
+	LatencyObjectiveUs int64   `json:"aimUs"`
+	ObjectivePerWork   float64 `json:"aimStretch"`
+	DeadlineUs         int64   `json:"hardLimitUs"`
+	Idempotency        string  `json:"effect"`
+	KeyScope           string  `json:"group"`
+	KeyWindowUs        int64   `json:"windowUs"`
+	OrderedByKey       bool    `json:"keepOrder"`
+	LateValue          float64 `json:"lateValue"`
+	Stream             bool    `json:"stream"`
+	PriorityWeight     float64 `json:"worth"`
 }
 
-// Scheduler turns the wire form into the scheduler's settings.
-func (s *Settings) Scheduler() scheduler.Settings {
-	out := scheduler.Settings{
-		Zone:            s.AZ,
-		Zones:           s.Zones,
-		Senders:         s.ReplicasOfMe,
-		SenderIndex:     s.Rank,
-		TickUs:          s.TickUs,
-		Discovery:       scheduler.Discovery(s.Discovery),
-		CapacityHints:   scheduler.CapacityHints(s.Weights),
-		MachineTypes:    s.MachineTypes,
-		OverQuotaWeight: s.OverShareWorth,
+// Scheduler returns the scheduler's settings of a wire form.
+func (wire *Settings) Scheduler() scheduler.Settings {
+	settings := scheduler.Settings{
+		Zone:            wire.Zone,
+		Zones:           wire.Zones,
+		Senders:         wire.Senders,
+		SenderIndex:     wire.SenderIndex,
+		TickUs:          wire.TickUs,
+		Discovery:       scheduler.Discovery(wire.Discovery),
+		CapacityHints:   scheduler.CapacityHints(wire.CapacityHints),
+		MachineTypes:    wire.MachineTypes,
+		OverQuotaWeight: wire.OverQuotaWeight,
 		Limits: scheduler.Limits{
-			CanCancel:            s.Caps.Cancel,
-			ConnectTimeoutUs:     s.Caps.ConnectTimeoutUs,
-			KeepAliveUs:          s.Caps.KeepaliveUs,
-			MaxAttempts:          s.Caps.MaxAttempts,
-			MaxRetryAfterUs:      s.Caps.MaxRetryAfterUs,
-			MaxMessages:          s.Caps.OpenCap,
-			HealthChecks:         s.Caps.Probes,
-			CanSendRetryAfter:    s.Caps.RetryAfter,
-			HedgedRequests:       s.Caps.SecondCopies,
-			StreamsPerConnection: s.Caps.StreamsPerConn,
+			CanCancel:            wire.Limits.CanCancel,
+			ConnectTimeoutUs:     wire.Limits.ConnectTimeoutUs,
+			KeepAliveUs:          wire.Limits.KeepAliveUs,
+			MaxAttempts:          wire.Limits.MaxAttempts,
+			MaxRetryAfterUs:      wire.Limits.MaxRetryAfterUs,
+			MaxMessages:          wire.Limits.MaxMessages,
+			HealthChecks:         wire.Limits.HealthChecks,
+			CanSendRetryAfter:    wire.Limits.CanSendRetryAfter,
+			HedgedRequests:       wire.Limits.HedgedRequests,
+			StreamsPerConnection: wire.Limits.StreamsPerConnection,
 		},
 		Costs: scheduler.Costs{
-			Handshake:     s.Charges.Handshake,
-			CrossZone:     s.Charges.CrossZone,
-			WastedAttempt: s.Charges.Waste,
+			Handshake:     wire.Costs.Handshake,
+			CrossZone:     wire.Costs.CrossZone,
+			WastedAttempt: wire.Costs.WastedAttempt,
 		},
 		Calls: scheduler.Calls{
-			ZoneFees:        s.FamilyInfo.Carriage,
-			ValueDecay:      scheduler.ValueDecay(s.FamilyInfo.Decay),
-			EndpointLimits:  s.FamilyInfo.OwnLimits,
-			MessagesPerCall: s.FamilyInfo.PerCall,
-			ConcurrentCalls: s.FamilyInfo.Workers,
+			ZoneFees:        wire.Calls.ZoneFees,
+			ValueDecay:      scheduler.ValueDecay(wire.Calls.ValueDecay),
+			EndpointLimits:  wire.Calls.EndpointLimits,
+			MessagesPerCall: wire.Calls.MessagesPerCall,
+			ConcurrentCalls: wire.Calls.ConcurrentCalls,
 		},
 		LoadReport: scheduler.LoadReport{
-			Fields: s.Report.Fields,
-			Mode:   scheduler.ReportMode(s.Report.How),
+			Fields: wire.LoadReport.Fields,
+			Mode:   scheduler.ReportMode(wire.LoadReport.Mode),
 		},
 		Rules: scheduler.Rules{
-			AnswerMarginUs:        s.Rules.AnswerSlackUs,
-			MaxPollIntervalUs:     s.Rules.AskWithinUs,
-			SlowStartInitialShare: s.Rules.ColdFrom,
-			OverloadMultiple:      s.Rules.FallMultiple,
-			OverloadWindowUs:      s.Rules.FallUs,
-			SlowStartUs:           s.Rules.WarmAfterUs,
-			DrainWithinUs:         s.Rules.StopSendingWithinUs,
-			KeyQuarantineUs:       s.Rules.KeyRestUs,
+			AnswerMarginUs:        wire.Rules.AnswerMarginUs,
+			MaxPollIntervalUs:     wire.Rules.MaxPollIntervalUs,
+			SlowStartInitialShare: wire.Rules.SlowStartInitialShare,
+			OverloadMultiple:      wire.Rules.OverloadMultiple,
+			OverloadWindowUs:      wire.Rules.OverloadWindowUs,
+			SlowStartUs:           wire.Rules.SlowStartUs,
+			DrainWithinUs:         wire.Rules.DrainWithinUs,
+			KeyQuarantineUs:       wire.Rules.KeyQuarantineUs,
 		},
 	}
-	for _, lane := range s.Lanes {
-		out.Classes = append(out.Classes, lane.class())
+	for _, class := range wire.Classes {
+		settings.Classes = append(settings.Classes, class.schedulerClass())
 	}
-	for _, c := range s.Customers {
-		out.Tenants = append(out.Tenants, scheduler.Tenant{Name: c.Name, QuotaPerSecond: c.QuotaPerS})
+	for _, tenant := range wire.Tenants {
+		settings.Tenants = append(settings.Tenants,
+			scheduler.Tenant{Name: tenant.Name, QuotaPerSecond: tenant.QuotaPerSecond})
 	}
-	return out
+	return settings
 }
 
-func (l *Lane) class() scheduler.Class {
+func (c *Class) schedulerClass() scheduler.Class {
 	return scheduler.Class{
-		Name:               l.Name,
-		LatencyObjectiveUs: l.AimUs,
-		ObjectiveStretch:   l.AimStretch,
-		DeadlineUs:         l.HardLimitUs,
-		Idempotency:        scheduler.Idempotency(l.Effect),
-		KeyScope:           scheduler.KeyScope(l.Group),
-		KeyWindowUs:        l.WindowUs,
-		OrderedByKey:       l.KeepOrder,
-		LateValue:          l.LateValue,
-		Stream:             l.Stream,
-		PriorityWeight:     l.Worth,
+		Name:               c.Name,
+		LatencyObjectiveUs: c.LatencyObjectiveUs,
+		ObjectiveStretch:   c.ObjectivePerWork,
+		DeadlineUs:         c.DeadlineUs,
+		Idempotency:        scheduler.Idempotency(c.Idempotency),
+		KeyScope:           scheduler.KeyScope(c.KeyScope),
+		KeyWindowUs:        c.KeyWindowUs,
+		OrderedByKey:       c.OrderedByKey,
+		LateValue:          c.LateValue,
+		Stream:             c.Stream,
+		PriorityWeight:     c.PriorityWeight,
 	}
 }
 
-// Wire turns the scheduler's settings into the wire form.
-func Wire(s *scheduler.Settings) Settings {
-	out := Settings{
-		AZ:             s.Zone,
-		Zones:          s.Zones,
-		ReplicasOfMe:   s.Senders,
-		Rank:           s.SenderIndex,
-		TickUs:         s.TickUs,
-		Discovery:      string(s.Discovery),
-		Weights:        string(s.CapacityHints),
-		MachineTypes:   s.MachineTypes,
-		OverShareWorth: s.OverQuotaWeight,
-		Caps: Caps{
-			Cancel:           s.Limits.CanCancel,
-			ConnectTimeoutUs: s.Limits.ConnectTimeoutUs,
-			KeepaliveUs:      s.Limits.KeepAliveUs,
-			MaxAttempts:      s.Limits.MaxAttempts,
-			MaxRetryAfterUs:  s.Limits.MaxRetryAfterUs,
-			OpenCap:          s.Limits.MaxMessages,
-			Probes:           s.Limits.HealthChecks,
-			RetryAfter:       s.Limits.CanSendRetryAfter,
-			SecondCopies:     s.Limits.HedgedRequests,
-			StreamsPerConn:   s.Limits.StreamsPerConnection,
+// Wire returns the wire form of the scheduler's settings.
+func Wire(settings *scheduler.Settings) Settings {
+	wire := Settings{
+		Zone:            settings.Zone,
+		Zones:           settings.Zones,
+		Senders:         settings.Senders,
+		SenderIndex:     settings.SenderIndex,
+		TickUs:          settings.TickUs,
+		Discovery:       string(settings.Discovery),
+		CapacityHints:   string(settings.CapacityHints),
+		MachineTypes:    settings.MachineTypes,
+		OverQuotaWeight: settings.OverQuotaWeight,
+		Limits: Limits{
+			CanCancel:            settings.Limits.CanCancel,
+			ConnectTimeoutUs:     settings.Limits.ConnectTimeoutUs,
+			KeepAliveUs:          settings.Limits.KeepAliveUs,
+			MaxAttempts:          settings.Limits.MaxAttempts,
+			MaxRetryAfterUs:      settings.Limits.MaxRetryAfterUs,
+			MaxMessages:          settings.Limits.MaxMessages,
+			HealthChecks:         settings.Limits.HealthChecks,
+			CanSendRetryAfter:    settings.Limits.CanSendRetryAfter,
+			HedgedRequests:       settings.Limits.HedgedRequests,
+			StreamsPerConnection: settings.Limits.StreamsPerConnection,
 		},
-		Charges: Charges{
-			Handshake: s.Costs.Handshake,
-			CrossZone: s.Costs.CrossZone,
-			Waste:     s.Costs.WastedAttempt,
+		Costs: Costs{
+			Handshake:     settings.Costs.Handshake,
+			CrossZone:     settings.Costs.CrossZone,
+			WastedAttempt: settings.Costs.WastedAttempt,
 		},
-		FamilyInfo: FamilyInfo{
-			Carriage:  s.Calls.ZoneFees,
-			Decay:     string(s.Calls.ValueDecay),
-			OwnLimits: s.Calls.EndpointLimits,
-			PerCall:   s.Calls.MessagesPerCall,
-			Workers:   s.Calls.ConcurrentCalls,
+		Calls: Calls{
+			ZoneFees:        settings.Calls.ZoneFees,
+			ValueDecay:      string(settings.Calls.ValueDecay),
+			EndpointLimits:  settings.Calls.EndpointLimits,
+			MessagesPerCall: settings.Calls.MessagesPerCall,
+			ConcurrentCalls: settings.Calls.ConcurrentCalls,
 		},
-		Report: Report{
-			Fields: s.LoadReport.Fields,
-			How:    string(s.LoadReport.Mode),
+		LoadReport: LoadReport{
+			Fields: settings.LoadReport.Fields,
+			Mode:   string(settings.LoadReport.Mode),
 		},
 		Rules: Rules{
-			AnswerSlackUs:       s.Rules.AnswerMarginUs,
-			AskWithinUs:         s.Rules.MaxPollIntervalUs,
-			ColdFrom:            s.Rules.SlowStartInitialShare,
-			FallMultiple:        s.Rules.OverloadMultiple,
-			FallUs:              s.Rules.OverloadWindowUs,
-			WarmAfterUs:         s.Rules.SlowStartUs,
-			StopSendingWithinUs: s.Rules.DrainWithinUs,
-			KeyRestUs:           s.Rules.KeyQuarantineUs,
+			AnswerMarginUs:        settings.Rules.AnswerMarginUs,
+			MaxPollIntervalUs:     settings.Rules.MaxPollIntervalUs,
+			SlowStartInitialShare: settings.Rules.SlowStartInitialShare,
+			OverloadMultiple:      settings.Rules.OverloadMultiple,
+			OverloadWindowUs:      settings.Rules.OverloadWindowUs,
+			SlowStartUs:           settings.Rules.SlowStartUs,
+			DrainWithinUs:         settings.Rules.DrainWithinUs,
+			KeyQuarantineUs:       settings.Rules.KeyQuarantineUs,
 		},
 	}
-	for i := range s.Classes {
-		out.Lanes = append(out.Lanes, wireLane(&s.Classes[i]))
+	for i := range settings.Classes {
+		wire.Classes = append(wire.Classes, wireClass(&settings.Classes[i]))
 	}
-	for _, tenant := range s.Tenants {
-		out.Customers = append(out.Customers, Customer{Name: tenant.Name, QuotaPerS: tenant.QuotaPerSecond})
+	for _, tenant := range settings.Tenants {
+		wire.Tenants = append(wire.Tenants, Tenant{Name: tenant.Name, QuotaPerSecond: tenant.QuotaPerSecond})
 	}
-	return out
+	return wire
 }
 
-func wireLane(c *scheduler.Class) Lane {
-	return Lane{
-		Name:        c.Name,
-		AimUs:       c.LatencyObjectiveUs,
-		AimStretch:  c.ObjectiveStretch,
-		HardLimitUs: c.DeadlineUs,
-		Effect:      string(c.Idempotency),
-		Group:       string(c.KeyScope),
-		WindowUs:    c.KeyWindowUs,
-		KeepOrder:   c.OrderedByKey,
-		LateValue:   c.LateValue,
-		Stream:      c.Stream,
-		Worth:       c.PriorityWeight,
+func wireClass(class *scheduler.Class) Class {
+	return Class{
+		Name:               class.Name,
+		LatencyObjectiveUs: class.LatencyObjectiveUs,
+		ObjectivePerWork:   class.ObjectiveStretch,
+		DeadlineUs:         class.DeadlineUs,
+		Idempotency:        string(class.Idempotency),
+		KeyScope:           string(class.KeyScope),
+		KeyWindowUs:        class.KeyWindowUs,
+		OrderedByKey:       class.OrderedByKey,
+		LateValue:          class.LateValue,
+		Stream:             class.Stream,
+		PriorityWeight:     class.PriorityWeight,
 	}
 }
