--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -81,7 +81,7 @@
 	return []bound{
 		{key + "hardLimitUs", float64(class.DeadlineUs), 1, maxTimeUs},
 		{key + "aimUs", float64(class.LatencyObjectiveUs), 0, maxTimeUs},
-		{key + "aimStretch", class.ObjectiveStretch, 0, 1e9},
+		{key + "aimStretch", class.ObjectivePerWork, 0, 1e9},
 		{key + "windowUs", float64(class.KeyWindowUs), 0, maxTimeUs},
 		{key + "worth", class.PriorityWeight, 0, 1e12},
 		{key + "lateValue", class.LateValue, 0, 1},
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -159,7 +159,7 @@
 	return scheduler.Class{
 		Name:               c.Name,
 		LatencyObjectiveUs: c.LatencyObjectiveUs,
-		ObjectiveStretch:   c.ObjectivePerWork,
+		ObjectivePerWork:   c.ObjectivePerWork,
 		DeadlineUs:         c.DeadlineUs,
 		Idempotency:        scheduler.Idempotency(c.Idempotency),
 		KeyScope:           scheduler.KeyScope(c.KeyScope),
@@ -235,7 +235,7 @@
 	return Class{
 		Name:               class.Name,
 		LatencyObjectiveUs: class.LatencyObjectiveUs,
-		ObjectivePerWork:   class.ObjectiveStretch,
+		ObjectivePerWork:   class.ObjectivePerWork,
 		DeadlineUs:         class.DeadlineUs,
 		Idempotency:        string(class.Idempotency),
 		KeyScope:           string(class.KeyScope),
--- a/scheduler/arrival.go
+++ b/scheduler/arrival.go
@@ -27,7 +27,7 @@
 
 // newMessage returns the message of a RequestAccepted event and charges it to its tenant's quota.
 func (s *Scheduler) newMessage(event *Event, class *requestClass) *message {
-	objectiveUs := class.LatencyObjectiveUs + int64(class.ObjectiveStretch*float64(event.WorkUs))
+	objectiveUs := class.LatencyObjectiveUs + int64(class.ObjectivePerWork*float64(event.WorkUs))
 	msg := &message{
 		id:             event.ID,
 		class:          class,
--- a/scheduler/golden_test.go
+++ b/scheduler/golden_test.go
@@ -114,7 +114,7 @@
 			OrderedByKey: true, LateValue: 0.2, PriorityWeight: 2,
 		},
 		Class{
-			Name: "stream", Idempotency: Idempotent, LatencyObjectiveUs: 1500 * ms, ObjectiveStretch: 1.5,
+			Name: "stream", Idempotency: Idempotent, LatencyObjectiveUs: 1500 * ms, ObjectivePerWork: 1.5,
 			DeadlineUs: 8000 * ms, Stream: true,
 			LateValue: 0.1, PriorityWeight: 3,
 		})
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -85,7 +85,7 @@
 type Class struct {
 	Name               string
 	LatencyObjectiveUs int64
-	ObjectiveStretch   float64 // added to the latency objective for each microsecond of announced work
+	ObjectivePerWork   float64 // added to the latency objective for each microsecond of announced work
 	DeadlineUs         int64
 	Idempotency        Idempotency
 	KeyScope           KeyScope
