--- a/scheduler/endpointlist.go
+++ b/scheduler/endpointlist.go
@@ -133,9 +133,9 @@
 	}
 }
 
-// Avoids reports whether an endpoint gets no regular traffic: it is unknown or not live, or its route is
+// IsUnavailable reports whether an endpoint gets no regular traffic: it is unknown or not live, or its route is
 // unavailable. It has no side effects.
-func (s *Scheduler) Avoids(addr string) bool {
+func (s *Scheduler) IsUnavailable(addr string) bool {
 	ep := s.endpoints[addr]
 	return ep == nil || !ep.live || ep.route.health.unavailable
 }
--- a/scheduler/goldenworld_test.go
+++ b/scheduler/goldenworld_test.go
@@ -147,12 +147,12 @@
 		fmt.Fprintf(world.out, "want %d\n", world.sched.Demand(world.now, d))
 	}
 	for _, listed := range world.endpoints {
-		fmt.Fprintf(world.out, "avoids %t\n", world.sched.Avoids(listed.Addr))
+		fmt.Fprintf(world.out, "avoids %t\n", world.sched.IsUnavailable(listed.Addr))
 	}
 	attempts := world.sched.InFlight()
 	slices.SortFunc(attempts, func(action, b Action) int { return strings.Compare(action.ID, b.ID) })
 	for _, action := range attempts {
-		fmt.Fprintf(world.out, "out %s holds %t\n", describe(action), world.sched.Holds(action.ID))
+		fmt.Fprintf(world.out, "out %s holds %t\n", describe(action), world.sched.HasMessage(action.ID))
 	}
 	fmt.Fprintf(world.out, "worth %d came %v\n", world.sched.Fingerprint(), world.sched.ArrivalRate(world.now))
 }
--- a/scheduler/message.go
+++ b/scheduler/message.go
@@ -106,8 +106,8 @@
 		maxAttempts > 0 && msg.attempts >= maxAttempts
 }
 
-// Holds reports whether a message has been accepted and has no final answer yet.
-func (s *Scheduler) Holds(id string) bool {
+// HasMessage reports whether a message has been accepted and has no final answer yet.
+func (s *Scheduler) HasMessage(id string) bool {
 	msg := s.messages[id]
 	return msg != nil && !msg.ended
 }
--- a/sender/hot_restart.go
+++ b/sender/hot_restart.go
@@ -136,7 +136,7 @@
 	}
 	for _, message := range checkpoint.Scheduler.Messages {
 		entry := s.journal.Get(message.ID)
-		if s.scheduler.Holds(message.ID) && (entry == nil || entry.FinalAnswer != "") {
+		if s.scheduler.HasMessage(message.ID) && (entry == nil || entry.FinalAnswer != "") {
 			s.addEvents(scheduler.Event{Kind: scheduler.RequestWithdrawn, ID: message.ID})
 		}
 	}
--- a/sender/restore.go
+++ b/sender/restore.go
@@ -66,7 +66,7 @@
 		return
 	}
 	s.pending++
-	if s.options.Checkpoint != nil && s.scheduler.Holds(entry.ID) {
+	if s.options.Checkpoint != nil && s.scheduler.HasMessage(entry.ID) {
 		return
 	}
 	if entry.InFlightSince != 0 {
--- a/sender/state.go
+++ b/sender/state.go
@@ -122,7 +122,7 @@
 	if time.Since(gauge.countedAt) > avoidedCountInterval {
 		gauge.countedAt, gauge.count = time.Now(), 0
 		for name, route := range s.routes {
-			if route.State != scheduler.StatusLive || s.journal.Excluded(name) || s.scheduler.Avoids(name) {
+			if route.State != scheduler.StatusLive || s.journal.Excluded(name) || s.scheduler.IsUnavailable(name) {
 				gauge.count++
 			}
 		}
