--- a/scheduler/golden_state_test.go
+++ b/scheduler/golden_state_test.go
@@ -157,7 +157,7 @@
 	checkGoldenJSON(t, "remembered-unmet.json", goldenJSON(t, world.sched.LearnedState(20)))
 }
 
-// TestGoldenErrors records the texts of the errors that New, SetState and RestoreLearnedState
+// TestGoldenErrors records the texts of the errors that New, RestoreState and RestoreLearnedState
 // return.
 func TestGoldenErrors(t *testing.T) {
 	var lines strings.Builder
@@ -207,7 +207,7 @@
 	} {
 		state := goldenState(t, goldenJSON(t, saved))
 		tc.spoil(&state)
-		note("load, "+tc.what, errorOf(t, func(sched *Scheduler) error { return sched.SetState(state, 2e9) }))
+		note("load, "+tc.what, errorOf(t, func(sched *Scheduler) error { return sched.RestoreState(state, 2e9) }))
 	}
 	for _, tc := range []struct {
 		what  string
--- a/scheduler/goldenworld_test.go
+++ b/scheduler/goldenworld_test.go
@@ -175,7 +175,7 @@
 func (world *goldenWorld) handOver(text []byte) {
 	world.t.Helper()
 	world.sched = world.newSchedulerOf()
-	if err := world.sched.SetState(goldenState(world.t, text), world.now); err != nil {
+	if err := world.sched.RestoreState(goldenState(world.t, text), world.now); err != nil {
 		world.t.Fatal(err)
 	}
 }
--- a/scheduler/savestate.go
+++ b/scheduler/savestate.go
@@ -10,8 +10,8 @@
 	"brackendale/internal/quota"
 )
 
-// errStateVersion is returned by SetState for a state of another version of the program.
-var errStateVersion = errors.New("saved state: unsupported format version")
+// errStateFormat is returned by RestoreState for a state of another version of the program.
+var errStateFormat = errors.New("saved state: unsupported format version")
 
 // State returns the complete state of the scheduler. It has no side effects. The maps of the result are
 // shared with the scheduler and must not be changed.
@@ -130,12 +130,12 @@
 	return state
 }
 
-// SetState sets the complete state of a scheduler that has taken no step to that of another one. The
+// RestoreState gives a scheduler that has taken no step the complete state of another one. The
 // settings may be newer: messages of a class that they do not contain are dropped. After an error the
 // scheduler must not be used.
-func (s *Scheduler) SetState(state State, now int64) error {
+func (s *Scheduler) RestoreState(state State, now int64) error {
 	if state.Format != StateFormat || !assign(s.floats(), state.Floats) || !assign(s.integers(), state.Integers) {
-		return errStateVersion
+		return errStateFormat
 	}
 	s.now = now
 	maps.Copy(s.connectFailureShare, state.ConnectFailureShare)
@@ -143,13 +143,13 @@
 	s.restoreTenants(state.Tenants)
 	for i := range state.Destinations {
 		if !s.restoreDestination(&state.Destinations[i]) {
-			return errStateVersion
+			return errStateFormat
 		}
 	}
 	s.watching = true
 	for i := range state.Messages {
 		if !s.restoreMessage(&state.Messages[i]) {
-			return errStateVersion
+			return errStateFormat
 		}
 	}
 	for i := range state.Calls {
--- a/scheduler/savestate_test.go
+++ b/scheduler/savestate_test.go
@@ -143,7 +143,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := to.SetState(back, p.now); err != nil {
+		if err := to.RestoreState(back, p.now); err != nil {
 			t.Fatal(err)
 		}
 		if again := to.State(); !reflect.DeepEqual(stateJSON(again), stateJSON(saved)) {
@@ -181,7 +181,7 @@
 }
 
 // A state of another version or with missing parts is an error: the journal alone counts then.
-func TestSetStateRejectsBadState(t *testing.T) {
+func TestRestoreStateRejectsInvalidState(t *testing.T) {
 	sched, err := New(stateSettings(1), 1)
 	if err != nil {
 		t.Fatal(err)
@@ -205,7 +205,7 @@
 		}
 		change(&state)
 		to, _ := New(stateSettings(1), 1)
-		if to.SetState(state, 1) == nil {
+		if to.RestoreState(state, 1) == nil {
 			t.Errorf("%s: accepted", name)
 		}
 	}
--- a/sender/hot_restart.go
+++ b/sender/hot_restart.go
@@ -175,5 +175,5 @@
 	if err != nil {
 		return err
 	}
-	return core.SetState(checkpoint.Scheduler, int64(now))
+	return core.RestoreState(checkpoint.Scheduler, int64(now))
 }
--- a/sender/sender.go
+++ b/sender/sender.go
@@ -135,7 +135,7 @@
 		return nil, err
 	}
 	if options.Checkpoint != nil {
-		if err := core.SetState(options.Checkpoint.Scheduler, int64(clock.Steady())); err != nil {
+		if err := core.RestoreState(options.Checkpoint.Scheduler, int64(clock.Steady())); err != nil {
 			return nil, err
 		}
 	}
