--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -5,7 +5,7 @@
 
 // The kinds of actions that Step returns, each with the fields that it sets.
 const (
-	// StartAttempt sends a message: ID, Endpoint, TimeoutUs.
+	// StartAttempt starts an attempt of a message: ID, Endpoint, TimeoutUs.
 	StartAttempt ActionKind = iota
 	// Reject ends a message that has not run, or that may be sent again safely: ID, RetryAfterUs.
 	Reject
--- a/scheduler/choice.go
+++ b/scheduler/choice.go
@@ -32,8 +32,8 @@
 	return chosen
 }
 
-// mayUse reports whether a message may be sent to an endpoint now. If the message only has to wait,
-// the time is recorded in the destination's nextDispatchAt.
+// mayUse reports whether a message may be sent to an endpoint now. If the message only has to wait, it
+// updates the destination's nextDispatchAt.
 func (s *Scheduler) mayUse(msg *message, ep *endpoint) bool {
 	rt := ep.route
 	keyOutOfScope := msg.firstRunAt != 0 && msg.class.idempotentByKey &&
@@ -56,9 +56,9 @@
 	return s.shutdownAt <= 0 || s.now+s.callDurationUs(msg, rt) <= s.shutdownAt
 }
 
-// probeAllowedAt returns when a message may be sent as a route's probe attempt, or 0 for at once. A
-// probe attempt cut short by the deadline of its message proves nothing. A message with little time
-// left is therefore delayed, and sent if no other message arrives until then.
+// probeAllowedAt returns when a message may be sent as a route's probe attempt; 0 means at once. A probe
+// attempt cut short by the deadline of its message proves nothing. A message with little time left is
+// therefore delayed, and sent if no other message has been sent by then.
 func (s *Scheduler) probeAllowedAt(rt *route, remainingUs int64) int64 {
 	if !s.isProbing(rt) || remainingUs >= max(probeMinRemainingUs, int64(timeoutLatencyMultiple*rt.latency.baselineUs)) {
 		return 0
@@ -66,8 +66,8 @@
 	return max(rt.lastSendAt, rt.retryAfterUntil, rt.probe.nextAt) + 2*probeIntervalMaxUs
 }
 
-// unsafeAllowedAt returns when an unsafe message may be sent to a route that may lose attempts. It
-// returns 0, for at once, for other messages and for a healthy route.
+// unsafeAllowedAt returns when an unsafe message may be sent to a route that may lose attempts; 0 means
+// at once. It returns 0 for other messages and for a healthy route.
 func (s *Scheduler) unsafeAllowedAt(msg *message, rt *route) int64 {
 	if !msg.class.unsafe || !rt.health.lastFailureAmbiguous && len(rt.calls) == 0 {
 		return 0
--- a/scheduler/concurrency.go
+++ b/scheduler/concurrency.go
@@ -47,9 +47,9 @@
 // updateSlowdown records that a route has responded, and updates the slowdown: the median, over all
 // responding routes, of the latency as a multiple of the baseline. If all routes are slow, none counts
 // as slow.
-func (s *Scheduler) updateSlowdown(answered *route) {
-	if !slices.Contains(s.respondingRoutes, answered) {
-		s.respondingRoutes = append(s.respondingRoutes, answered)
+func (s *Scheduler) updateSlowdown(responding *route) {
+	if !slices.Contains(s.respondingRoutes, responding) {
+		s.respondingRoutes = append(s.respondingRoutes, responding)
 	}
 	s.respondingRoutes = slices.DeleteFunc(s.respondingRoutes, func(rt *route) bool {
 		return s.now-rt.lastSuccessAt >= outageAfterUs
@@ -88,8 +88,8 @@
 	for _, dest := range s.active {
 		for i, ep := range dest.endpoints {
 			rt := ep.route
-			counted := !ep.ownLimit && i > 0
-			if !counted && len(rt.calls) > 0 && (s.isSlow(rt) || s.isProbing(rt)) {
+			alreadyCounted := !ep.ownLimit && i > 0
+			if !alreadyCounted && len(rt.calls) > 0 && (s.isSlow(rt) || s.isProbing(rt)) {
 				s.callsToSlowRoutes += len(rt.calls)
 			}
 		}
@@ -131,19 +131,19 @@
 	if probing && s.callsToSlowRoutes <= s.maxCallsToSlowRoutes || !probing && oldest.sentAt > rt.overtakenUntil {
 		return 0, false
 	}
-	age := float64(s.now-oldest.sentAt) / float64(s.expectedLatencyUs(rt))
-	if oldest.canceled || age <= cancelLatencyMultiple || s.now-oldest.sentAt <= oldest.cancelAfterUs() {
+	ageInLatencies := float64(s.now-oldest.sentAt) / float64(s.expectedLatencyUs(rt))
+	if oldest.canceled || ageInLatencies <= cancelLatencyMultiple || s.now-oldest.sentAt <= oldest.cancelAfterUs() {
 		return 0, false
 	}
-	return 100*float64(oldest.messages[0].class.repeatRisk) - age, true
+	return 100*float64(oldest.messages[0].class.repeatRisk) - ageInLatencies, true
 }
 
 // cancelOvertaken cancels the overdue calls of a route that were sent before one that has its response
 // now: they have been lost.
-func (s *Scheduler) cancelOvertaken(rt *route, answered *call) {
-	rt.overtakenUntil = max(rt.overtakenUntil, answered.sentAt-1)
+func (s *Scheduler) cancelOvertaken(rt *route, completed *call) {
+	rt.overtakenUntil = max(rt.overtakenUntil, completed.sentAt-1)
 	for _, other := range rt.calls {
-		if other.sentAt < answered.sentAt && s.isOverdue(rt, other.sentAt) && s.now-other.sentAt > other.cancelAfterUs() {
+		if other.sentAt < completed.sentAt && s.isOverdue(rt, other.sentAt) && s.now-other.sentAt > other.cancelAfterUs() {
 			s.cancelCall(other, false)
 		}
 	}
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -93,7 +93,7 @@
 	if len(usable) == 0 || len(dest.pending) == 0 {
 		return candidate{}
 	}
-	horizon := max(minHorizonUs, int64(s.drainTimeUs(dest)))
+	horizonUs := max(minHorizonUs, int64(s.drainTimeUs(dest)))
 	best := candidate{score: math.Inf(-1)}
 	for _, msg := range dest.pending {
 		if !s.isReady(msg) {
@@ -103,7 +103,7 @@
 		if ep == nil {
 			continue
 		}
-		score := s.score(msg, ep.route, horizon)
+		score := s.score(msg, ep.route, horizonUs)
 		if score > best.score+1e-9 || score > best.score-1e-9 && msg.objectiveAt < best.message.objectiveAt {
 			best = candidate{message: msg, endpoint: ep, score: score}
 		}
@@ -112,7 +112,8 @@
 	return best
 }
 
-// appendUsable appends the endpoints of a destination to which a call may be sent now.
+// appendUsable appends the endpoints of a destination to which a call may be sent now. For the others it
+// updates the destination's nextDispatchAt.
 func (s *Scheduler) appendUsable(usable []*endpoint, dest *destination) []*endpoint {
 	for _, ep := range dest.endpoints {
 		if ok, at := s.maySend(dest, ep); ok {
@@ -124,7 +125,8 @@
 	return usable
 }
 
-// isReady reports whether neither a message's delay nor its key queue prevents it from being sent now.
+// isReady reports whether a message's delay and its key queue allow it to be sent now. If not, it updates
+// the destination's nextDispatchAt.
 func (s *Scheduler) isReady(msg *message) bool {
 	dest := msg.destination
 	if msg.notBefore > s.now {
@@ -140,15 +142,15 @@
 
 // score returns the value that a message loses by waiting for the horizon, per second of the route's
 // latency. A probe attempt is made with the message for which a lost attempt does least harm.
-func (s *Scheduler) score(msg *message, rt *route, horizon int64) float64 {
+func (s *Scheduler) score(msg *message, rt *route, horizonUs int64) float64 {
 	if s.isProbing(rt) {
 		if msg.firstRunAt != 0 {
 			return 3e-3
 		}
 		return 1e-3 * float64(2-msg.class.repeatRisk)
 	}
-	answerAt := s.now + int64(rt.latency.smoothedUs)
-	loss := s.valueAt(msg, answerAt) - s.valueAt(msg, answerAt+horizon)
+	responseAt := s.now + int64(rt.latency.smoothedUs)
+	loss := s.valueAt(msg, responseAt) - s.valueAt(msg, responseAt+horizonUs)
 	return loss/max(minLatencySeconds, rt.latency.smoothedUs/1e6) + 1e-3*msg.priorityWeight
 }
 
@@ -169,8 +171,8 @@
 	return float64(max(1, count))
 }
 
-// maySend reports whether a call may be sent to an endpoint now. If not, it also returns when that may
-// change without an outcome, or never. Every call is checked here.
+// maySend reports whether a call may be sent to an endpoint now. If not, it also returns when to check
+// again; never means only after an outcome. Every call is checked here.
 func (s *Scheduler) maySend(dest *destination, ep *endpoint) (bool, int64) {
 	rt := ep.route
 	if !ep.live || dest.callsInFlight >= s.maxCallsPerDestination || s.callsNotOverdue(rt) >= rt.maxInFlight {
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -66,7 +66,7 @@
 	Endpoint     string
 	Outcome      Outcome
 	RttUs        int64
-	Final        bool
+	Final        bool // the outcome ends the message: it has its final answer
 	RetryAfterMs int64
 	LoadReport   []float64 // values in the order of Settings.LoadReport.Fields; empty: none
 	Update       UpdateKind
--- a/scheduler/keyorder.go
+++ b/scheduler/keyorder.go
@@ -27,9 +27,9 @@
 	msg.keyQueue = queue
 }
 
-// quarantineKey records the end of an attempt in the message's key queue. After an ambiguous outcome the
-// other messages of the key are in quarantine.
-func (s *Scheduler) quarantineKey(msg *message, outcome Outcome) {
+// recordKeyOutcome records the end of an attempt in the message's key queue. An ambiguous outcome puts the
+// key in quarantine: its other messages wait.
+func (s *Scheduler) recordKeyOutcome(msg *message, outcome Outcome) {
 	queue := msg.keyQueue
 	if queue == nil {
 		return
--- a/scheduler/message.go
+++ b/scheduler/message.go
@@ -31,9 +31,9 @@
 	acceptedAt   int64 // 0: accepted by an earlier incarnation
 	objectiveAt  int64 // end of the latency objective; the priority weight decays from then on
 	deadline     int64
-	dueAt        int64 // time under which it stands in the deadline queue
+	dueAt        int64 // its time in the deadline queue
 	notBefore    int64 // earliest time of the next attempt
-	backoffUntil int64 // end of the backoff, which bounds notBefore after a success of the destination
+	backoffUntil int64 // end of the backoff; a success of the destination does not shorten notBefore below it
 
 	// Attempts.
 	call            *call // the one in flight; nil: the message is pending
--- a/scheduler/outcome.go
+++ b/scheduler/outcome.go
@@ -20,7 +20,7 @@
 		s.recordOutcome(call, event)
 	}
 	s.recordFirstRun(msg, call, event.Outcome)
-	s.quarantineKey(msg, event.Outcome)
+	s.recordKeyOutcome(msg, event.Outcome)
 	switch {
 	case msg.ended:
 		delete(s.messages, msg.id)
--- a/scheduler/pacing.go
+++ b/scheduler/pacing.go
@@ -21,7 +21,7 @@
 	rateGrowthUs          = 4_000_000  // time in which a low rate of one of many senders grows by a factor of e
 	bucketSizeUs          = 400_000    // the bucket holds the tokens of this time, at least one
 	sharedBucketTokens    = 2.0        // additional bucket size where many senders share an advertised limit
-	tokenCostJitter       = 0.5        // maximum deviation of a call's cost from one token there
+	tokenCostJitter       = 0.5        // maximum deviation of a call's cost from one token, for such a limit
 	limitHeadroomShare    = 0.5        // unused share of the limit from which a rejection does not lower the rate
 	throughputDecayUs     = 2_000_000  // time constant of the mean send and success rates
 	idleResetUs           = 30_000_000 // idle time after which the bucket no longer limits its route
@@ -165,9 +165,9 @@
 // to raise it.
 func (s *Scheduler) raiseRateOverTime(rt *route, elapsedUs float64) {
 	bucket := &rt.bucket
-	arriving := s.arrivalRate(rt) * s.recovery.YoungMeanFactor(s.now-s.startedAt, arrivalRateDecayUs)
+	arrivals := s.arrivalRate(rt) * s.recovery.YoungMeanFactor(s.now-s.startedAt, arrivalRateDecayUs)
 	noSuccess := int(boolToFloat(s.now-rt.throughput.successRateAt > arrivalRateDecayUs))
-	limit := math.Ldexp(arriving, -rt.health.consecutiveRejections-noSuccess)
+	limit := math.Ldexp(arrivals, -rt.health.consecutiveRejections-noSuccess)
 	if s.hasSharedLimit(rt) {
 		limit = s.maxRate(rt)
 		bucket.rate = min(bucket.rate, limit)
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -82,8 +82,8 @@
 	rate, waitUs := 0.0, int64(never)
 	for _, ep := range dest.endpoints {
 		if ep.live && (ep.ownLimit || rate == 0) {
-			calls, routeWaitUs := s.drainRate(ep.route)
-			rate += calls * float64(ep.messagesPerCall+1) / 2
+			callRate, routeWaitUs := s.drainRate(ep.route)
+			rate += callRate * float64(ep.messagesPerCall+1) / 2
 			waitUs = min(waitUs, routeWaitUs)
 		}
 	}
--- a/scheduler/route.go
+++ b/scheduler/route.go
@@ -51,7 +51,7 @@
 	lastSuccessAt   int64
 	lastSendAt      int64
 	lastOutcomeAt   int64 // of outcomes that involve the endpoint
-	overtakenUntil  int64 // a later call has had its response before the calls sent by then
+	overtakenUntil  int64 // calls sent by then were overtaken: a call sent later had its response first
 }
 
 // endpoint is one address of a destination.
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -27,7 +27,7 @@
 
 	// The senders that share the destinations.
 	senders      float64
-	senderFactor float64 // how many times more senders there are than can rely on their own observations alone
+	senderFactor float64 // senders, relative to the number that can decide by their own observations; at least 1
 	contention   float64 // 0 for few senders, approaches 1 as their number grows
 
 	// The current step.
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	slowStartMarginMax = 1.3  // factor on the slow-start budget
-	slowStartMarginMin = 1.15 // factor on the slow-start budget if the budget is many calls
+	slowStartMarginMax = 1.3  // factor on a slow-start budget of few calls
+	slowStartMarginMin = 1.15 // factor on a slow-start budget of many calls
 	slowStartBatchCost = 0.25 // cost of each further message of a call, relative to the first
 	peakMinSamples     = 30   // number of responses after which the peak success rate estimates the capacity
 )
