--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-// Giving up an accepted message costs givingUpCostShare of its priority weight, until
-// givingUpFreeShare of its time is over.
+// Shedding a message that was accepted earlier costs shedCostShare of its priority weight, until
+// shedFreeShare of the time to its deadline has passed.
 const (
-	givingUpCostShare = 0.3
-	givingUpFreeShare = 0.7
+	shedCostShare = 0.3
+	shedFreeShare = 0.7
 )
 
-// minDrainRate is the rate, in calls a second, at which a route drains its queue at least.
+// minDrainRate is the minimum rate, in calls per second, at which a route is assumed to drain its queue.
 const minDrainRate = 0.3
 
 // enqueue makes a message pending.
@@ -28,21 +28,21 @@
 	}
 }
 
-// dropIdleDestinations takes destinations without messages off the active ones.
+// dropIdleDestinations removes destinations without messages from the active ones.
 func (s *Scheduler) dropIdleDestinations() {
 	s.active = slices.DeleteFunc(s.active, func(dest *destination) bool {
 		return len(dest.pending) == 0 && dest.callsInFlight == 0
 	})
 }
 
-// setDeadline puts a message into the deadline queue, or moves it there.
+// setDeadline adds a message to the deadline queue, or moves it within the queue.
 func (s *Scheduler) setDeadline(msg *message, at int64) {
 	s.clearDeadline(msg)
 	msg.dueAt = at
 	s.deadlines = slices.Insert(s.deadlines, s.deadlineIndex(at+1), msg)
 }
 
-// clearDeadline takes a message off the deadline queue, if it is there.
+// clearDeadline removes a message from the deadline queue, if it is there.
 func (s *Scheduler) clearDeadline(msg *message) {
 	for i := s.deadlineIndex(msg.dueAt); i < len(s.deadlines) && s.deadlines[i].dueAt == msg.dueAt; i++ {
 		if s.deadlines[i] == msg {
@@ -52,7 +52,7 @@
 	}
 }
 
-// deadlineIndex is the index of the first message in the deadline queue that is due at a time or later.
+// deadlineIndex returns the index of the first message in the deadline queue that is due at a time or later.
 func (s *Scheduler) deadlineIndex(at int64) int {
 	i, _ := slices.BinarySearchFunc(s.deadlines, at, func(msg *message, at int64) int {
 		return cmp.Compare(msg.dueAt, at)
@@ -60,102 +60,104 @@
 	return i
 }
 
-// handleDeadlines gives the messages whose time is over their final answer.
+// handleDeadlines gives the messages whose deadline has passed their final answer.
 func (s *Scheduler) handleDeadlines() {
 	for len(s.deadlines) > 0 && s.deadlines[0].dueAt <= s.now {
 		msg := s.deadlines[0]
 		s.deadlines = s.deadlines[1:]
 		pending := msg.call == nil
 		switch {
-		case pending && s.now >= s.lastSendTime(msg) || s.now >= s.answerBy(msg):
+		case pending && s.now >= s.sendDeadline(msg) || s.now >= s.answerDeadline(msg):
 			s.finishUndelivered(msg)
 		case pending:
-			s.setDeadline(msg, s.lastSendTime(msg))
+			s.setDeadline(msg, s.sendDeadline(msg))
 		case !msg.ended:
-			s.setDeadline(msg, s.answerBy(msg))
+			s.setDeadline(msg, s.answerDeadline(msg))
 		}
 	}
 }
 
-// drainTimeUs estimates how long the pending messages of a destination take.
+// drainTimeUs estimates the time until all pending messages of a destination have been sent.
 func (s *Scheduler) drainTimeUs(dest *destination) float64 {
-	rate, wait := 0.0, int64(never)
+	rate, waitUs := 0.0, int64(never)
 	for _, ep := range dest.endpoints {
 		if ep.live && (ep.ownLimit || rate == 0) {
-			calls, routeWait := s.drainRate(ep.route)
-			rate += calls * float64(ep.messagesPerCall+1) / 2
-			wait = min(wait, routeWait)
+			callRate, routeWaitUs := s.drainRate(ep.route)
+			rate += callRate * float64(ep.messagesPerCall+1) / 2
+			waitUs = min(waitUs, routeWaitUs)
 		}
 	}
 	if rate == 0 {
-		return float64(probeGapMaxUs)
+		return float64(probeIntervalMaxUs)
 	}
-	return float64(wait) + float64(len(dest.pending))/rate*1e6
+	return float64(waitUs) + float64(len(dest.pending))/rate*1e6
 }
 
-// drainRate is at how many calls a second a route drains its queue, and after what wait.
+// drainRate returns the rate, in calls per second, at which a route drains its queue, and the wait before
+// it starts.
 func (s *Scheduler) drainRate(rt *route) (float64, int64) {
-	wait := max(0, rt.retryAfterUntil-s.now)
+	waitUs := max(0, rt.retryAfterUntil-s.now)
 	switch {
 	case rt.health.unavailable:
-		return s.slowStartRate(rt), max(wait, rt.probe.gapUs)
+		return s.slowStartRate(rt), max(waitUs, rt.probe.intervalUs)
 	case rt.bucket.limited:
-		return rt.bucket.rate, wait
+		return rt.bucket.rate, waitUs
 	}
-	return max(rt.throughput.successRateNow(s.now), minDrainRate), wait
+	return max(rt.throughput.successRateNow(s.now), minDrainRate), waitUs
 }
 
-// makeRoom sheds where a message that has just been accepted fills the queue.
-func (s *Scheduler) makeRoom(accepted *message) {
-	most := s.settings.Limits.MaxMessages
+// shedIfFull sheds the least valuable message if a newly accepted message fills the queue, or the new
+// message itself if the queue is half full and the message is below the shed level.
+func (s *Scheduler) shedIfFull(accepted *message) {
+	maxMessages := s.settings.Limits.MaxMessages
 	switch {
-	case most == 0:
-	case s.acceptedCount > most-1-most/24:
+	case maxMessages == 0:
+	case s.acceptedCount > maxMessages-1-maxMessages/24:
 		s.shedLeastValuable()
-	case s.acceptedCount > most/2 && s.isBelowShedLevel(accepted):
+	case s.acceptedCount > maxMessages/2 && s.isBelowShedLevel(accepted):
 		s.finishUndelivered(accepted)
 	}
 }
 
-// shedLeastValuable sheds the pending message whose loss costs least.
+// shedLeastValuable sheds the pending message with the lowest cost of shedding.
 func (s *Scheduler) shedLeastValuable() {
-	var least *message
-	lowest := math.Inf(1)
+	var leastValuable *message
+	lowestCost := math.Inf(1)
 	for _, dest := range s.active {
 		drainUs := int64(s.drainTimeUs(dest))
 		for _, msg := range dest.pending {
-			if cost := s.valueAt(msg, s.now+drainUs/2) + s.givingUpCost(msg); cost < lowest {
-				lowest, least = cost, msg
+			if cost := s.valueAt(msg, s.now+drainUs/2) + s.shedCost(msg); cost < lowestCost {
+				lowestCost, leastValuable = cost, msg
 			}
 		}
 	}
-	if least != nil {
-		s.shedLevel, s.shedLevelAt = lowest-s.givingUpCost(least), s.now
-		s.finishUndelivered(least)
+	if leastValuable != nil {
+		s.shedLevel, s.shedLevelAt = lowestCost-s.shedCost(leastValuable), s.now
+		s.finishUndelivered(leastValuable)
 	}
 }
 
-// isBelowShedLevel tells whether a message that has just been accepted has less value than what was
-// shed lately and what giving it up later costs. Now that costs nothing.
+// isBelowShedLevel reports whether a newly accepted message is worth less than the recently shed messages
+// plus the cost of shedding it later. Shedding it now has no such cost.
 func (s *Scheduler) isBelowShedLevel(msg *message) bool {
-	if s.crowding == 0 || msg.acceptedAt != s.now {
+	if s.contention == 0 || msg.acceptedAt != s.now {
 		return false
 	}
 	level := s.shedLevel * math.Exp(float64(s.shedLevelAt-s.now)/arrivalRateDecayUs)
 	value := s.valueAt(msg, s.now+int64(s.drainTimeUs(msg.destination)/2))
-	return value < level+givingUpCostShare*msg.priorityWeight
+	return value < level+shedCostShare*msg.priorityWeight
 }
 
-// givingUpCost is what it costs, beside its value, to give up a message that was accepted in an
-// earlier step and has not run. Among few senders it is zero: then the value alone decides.
-func (s *Scheduler) givingUpCost(msg *message) float64 {
+// shedCost returns the cost, in addition to its value, of shedding a message that was accepted in an
+// earlier step and has not run. With few senders it is zero: only the value decides.
+func (s *Scheduler) shedCost(msg *message) float64 {
 	acceptedAt := msg.acceptedAt
-	if acceptedAt == 0 { // before this incarnation: at the earliest
+	if acceptedAt == 0 { // accepted by an earlier incarnation: the earliest possible time
 		acceptedAt = msg.deadline - msg.class.DeadlineUs
 	}
-	late := float64(s.now-acceptedAt) >= givingUpFreeShare*float64(msg.deadline-acceptedAt)
-	if s.crowding == 0 || msg.acceptedAt == s.now || msg.firstRunAt != 0 || late {
+	nearDeadline := float64(s.now-acceptedAt) >= shedFreeShare*float64(msg.deadline-acceptedAt)
+	if s.contention == 0 || msg.acceptedAt == s.now || msg.firstRunAt != 0 || nearDeadline {
 		return 0
 	}
-	return givingUpCostShare * msg.priorityWeight
+	return shedCostShare * msg.priorityWeight
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,11 +1,11 @@
-// Package scheduler decides for a sender: which message goes to which endpoint and when, and how
-// each message ends. Settings, events and actions have files of their own; each other file holds one
-// decision.
+// Package scheduler decides for one sender which message goes to which endpoint, when it is sent and
+// which final answer it gets. Settings, events and actions have files of their own; each other file
+// holds one kind of decision.
 //
-// A route is normally paced by ATB of "Rethinking HTTP API Rate Limiting: A Client-Side Approach"
-// (Table III): a token bucket whose rate a rejection halves and each success raises, under a
-// concurrency limit. docs/design.md tells what was kept, changed and added. Unless a name says
-// otherwise, times are in microseconds and rates are a second.
+// A route is normally paced by ATB, from "Rethinking HTTP API Rate Limiting: A Client-Side Approach"
+// (Table III): a token bucket whose rate is halved by a rejection and raised by each success. A
+// concurrency limit applies as well. docs/design.md describes what differs from the paper. Unless a
+// name says otherwise, times are in microseconds and rates are per second.
 package scheduler
 
 import (
@@ -16,8 +16,8 @@
 	"brackendale/internal/recovery"
 )
 
-// Scheduler decides for one sender: a state machine that Step drives. It reads no clock, starts no
-// goroutine and does no I/O. All its methods are for one goroutine at a time.
+// Scheduler makes the decisions of one sender. It is a state machine driven by Step: it reads no
+// clock, starts no goroutine and does no I/O. It is not safe for concurrent use.
 type Scheduler struct {
 	settings Settings
 	rng      *rand.Rand
@@ -27,57 +27,57 @@
 
 	// The senders that share the destinations.
 	senders      float64
-	senderFactor float64 // how many times as many senders as see enough by themselves
-	crowding     float64 // 0 for few senders, nears 1 with their number
+	senderFactor float64 // senders, relative to the number that can decide by their own observations; at least 1
+	contention   float64 // 0 for few senders, approaches 1 as their number grows
 
 	// The current step.
 	now     int64
-	round   int64
+	step    int64
 	actions []Action
 
 	// Messages.
-	messages      map[string]*message
-	acceptedCount int        // accepted and without a final answer
-	deadlines     []*message // by dueAt
-	keyQueues     map[int64]*keyQueue
-	keySweepSize  int     // number of key queues at which unused ones are dropped
-	shedLevel     float64 // value of the message shed last, as of shedLevelAt
-	shedLevelAt   int64
+	messages          map[string]*message
+	acceptedCount     int        // messages without a final answer
+	deadlines         []*message // sorted by dueAt
+	keyQueues         map[int64]*keyQueue
+	keyQueueSweepSize int     // number of key queues at which unused ones are dropped
+	shedLevel         float64 // value of the most recently shed message, as of shedLevelAt
+	shedLevelAt       int64
 
 	// Destinations and endpoints.
 	destinations     []*destination
-	active           []*destination // those with messages pending or in flight, by index
+	active           []*destination // those with messages pending or in flight, sorted by index
 	destinationByID  map[int64]*destination
 	endpoints        map[string]*endpoint
-	learnedEndpoints map[string]learnedEndpoint // by address: of the last incarnation, not listed yet
-	watching         bool                       // the endpoint list arrives by itself
+	learnedEndpoints map[string]learnedEndpoint // of the previous incarnation, by address; not in the list yet
+	watching         bool                       // updates of the endpoint list arrive without a request
 	nextWatchAt      int64
-	watchGapUs       int64
+	watchIntervalUs  int64
 
 	// Concurrency.
 	callsInFlight          int
 	maxCalls               int
 	maxCallsPerDestination int
-	callsToSlowRoutes      int // to routes that are slow, silent or failing
+	callsToSlowRoutes      int // to routes that are slow, unresponsive or failing
 	maxCallsToSlowRoutes   int
-	answering              []*route // those that answered lately
-	slowdown               float64  // latency of all routes now, against the usual one
+	respondingRoutes       []*route // those with a recent success
+	slowdown               float64  // current latency as a multiple of the baseline: median over respondingRoutes
 
 	// Connections and retries, by machine type.
 	connectFailureShare map[string]float64
-	retrySpread         map[string]float64 // factor on the spread of retries after rejections
-	maxIdleUs           int64              // age at which idle connections are closed; 0: not known
+	retrySpread         map[string]float64 // learned factor on the retry spread after rejections
+	maxIdleUs           int64              // idle time after which connections are closed; 0: unknown
 	maxIdleLearnedAt    int64
 
 	// Times of this incarnation.
 	startedAt  int64
-	shutdownAt int64 // 0: none
+	shutdownAt int64 // 0: no shutdown has been announced
 	timerAt    int64
 	timerID    uint64
 }
 
-// New makes a scheduler for one incarnation of a sender. The seed decides all its random choices.
-// An error tells why the settings cannot be served.
+// New returns a scheduler for one incarnation of a sender. All its random choices derive from seed.
+// It returns an error for invalid settings.
 func New(settings Settings, seed int64) (*Scheduler, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
@@ -90,9 +90,9 @@
 	for _, class := range settings.Classes {
 		s.addClass(class)
 	}
-	for _, customer := range settings.Tenants {
-		quota := customer.QuotaPerSecond / s.senders
-		s.tenants[customer.Name] = &tenant{
+	for _, setting := range settings.Tenants {
+		quota := setting.QuotaPerSecond / s.senders
+		s.tenants[setting.Name] = &tenant{
 			quotaPerSecond: quota,
 			bucketSize:     max(2, 2*quota),
 			tokens:         max(2, 2*quota),
@@ -112,7 +112,7 @@
 		tenants:             map[string]*tenant{},
 		senders:             float64(settings.Senders),
 		senderFactor:        plan.SenderFactor(),
-		crowding:            plan.Crowding(),
+		contention:          plan.Crowding(),
 		messages:            map[string]*message{},
 		keyQueues:           map[int64]*keyQueue{},
 		destinationByID:     map[int64]*destination{},
@@ -125,7 +125,7 @@
 	}
 }
 
-// addClass takes up a class of valid settings.
+// addClass adds a class from validated settings.
 func (s *Scheduler) addClass(class Class) {
 	s.classes[class.Name] = &requestClass{
 		Class:           class,
@@ -136,11 +136,11 @@
 	}
 }
 
-// Step takes the events since the last step and returns what to do now, in order. now is the time in
-// microseconds; it does not go back.
+// Step processes the events since the last step and returns the actions to take now, in order. now is
+// the current time in microseconds and must not decrease.
 func (s *Scheduler) Step(now int64, events []Event) []Action {
 	s.now, s.actions, s.startedAt = now, nil, cmp.Or(s.startedAt, now)
-	s.round++
+	s.step++
 	for i := range events {
 		s.handleEvent(&events[i])
 	}
@@ -153,7 +153,8 @@
 	return s.actions
 }
 
-// handleEvent passes an event on. Events of messages that are not known are control events.
+// handleEvent dispatches an event to its handler. Events that concern no known message go to
+// handleControlEvent.
 func (s *Scheduler) handleEvent(event *Event) {
 	msg := s.messages[event.ID]
 	switch {
@@ -173,32 +174,33 @@
 	}
 }
 
-// armTimer keeps one timer: the earliest moment at which something may change by itself.
+// armTimer sets the timer for the earliest time at which a step without new events may have something
+// to do. There is one timer.
 func (s *Scheduler) armTimer() {
-	at := int64(never)
+	earliest := int64(never)
 	if len(s.deadlines) > 0 {
-		at = s.deadlines[0].dueAt
+		earliest = s.deadlines[0].dueAt
 	}
 	if s.callsInFlight < s.maxCalls {
 		for _, dest := range s.active {
 			if len(dest.pending) > 0 {
-				at = min(at, dest.nextDispatchAt)
+				earliest = min(earliest, dest.nextDispatchAt)
 			}
 		}
 	}
 	if s.settings.Discovery == DiscoveryOnRequest && !s.watching {
-		at = min(at, s.nextWatchAt)
+		earliest = min(earliest, s.nextWatchAt)
 	}
-	if at == never || at >= s.timerAt && s.timerAt > s.now {
+	if earliest == never || earliest >= s.timerAt && s.timerAt > s.now {
 		return
 	}
-	s.timerAt = max(at, s.now+s.settings.TickUs)
+	s.timerAt = max(earliest, s.now+s.settings.TickUs)
 	s.timerID++
 	s.actions = append(s.actions, Action{Kind: SetTimer, DelayUs: s.timerAt - s.now, TimerID: s.timerID})
 }
 
-// logRoute adds a log line on a route: its name, its failures in a row and the time since its last
-// success in milliseconds.
+// logRoute adds a log line about a route. The format takes its name, its number of consecutive
+// failures and the milliseconds since its last success.
 func (s *Scheduler) logRoute(format string, rt *route, now int64) {
 	s.actions = append(s.actions, Action{
 		Kind: WriteLog,
