--- a/internal/lease/apply.go
+++ b/internal/lease/apply.go
@@ -5,38 +5,39 @@
 	"strings"
 )
 
-// Result is what an entry did: the references that it was carried out for, in their new state, and
-// why it was not carried out for the others.
+// Result is the outcome of applying an entry: the leases that it was applied to, in their new state,
+// and the reason why it was rejected for the others.
 type Result struct {
 	Refs   []Ref  `json:"refs,omitempty"`
-	Reason string `json:"why,omitempty"` // of the first refusal
+	Reason string `json:"why,omitempty"` // of the first rejection
 }
 
-// The formats of Result.Reason. They are part of what members send each other.
+// The formats of Result.Reason. Members send these texts to each other.
 const (
-	reasonIncarnationOver  = "life %d of %s is over: life %d has been seen"
-	reasonNotADuty         = "%.40q is no name of a duty"
-	reasonNoRoomForLease   = "there is no room for a lease named %.40q"
-	reasonNoRoom           = "there is no room for %.40q or %.40q"
-	reasonHeld             = "%s is held by %s with epoch %d"
-	reasonHeldQuota        = "%s is held by life %d with epoch %d"
-	reasonEpochOver        = "epoch %d of %s is over"
-	reasonOtherHolder      = "epoch %d of %s belongs to %s, life %d"
-	reasonRevoked          = "epoch %d of %s has been revoked"
-	reasonRenewedMeanwhile = "%s was renewed meanwhile"
-	reasonUnknownOp        = "%.40q is no entry that this version knows"
+	reasonStaleIncarnation       = "life %d of %s is over: life %d has been seen"
+	reasonInvalidDutyName        = "%.40q is no name of a duty"
+	reasonCannotAddLease         = "there is no room for a lease named %.40q"
+	reasonCannotAddLeaseOrMember = "there is no room for %.40q or %.40q"
+	reasonHeld                   = "%s is held by %s with epoch %d"
+	reasonQuotaHeld              = "%s is held by life %d with epoch %d"
+	reasonStaleEpoch             = "epoch %d of %s is over"
+	reasonNotHolder              = "epoch %d of %s belongs to %s, life %d"
+	reasonRevoked                = "epoch %d of %s has been revoked"
+	reasonRenewedSince           = "%s was renewed meanwhile"
+	reasonUnknownOp              = "%.40q is no entry that this version knows"
 )
 
-// refuse records why the entry was not carried out. The first reason stays.
-func (r *Result) refuse(format string, args ...any) {
+// reject records a reason why the entry was not applied. Only the first reason is kept.
+func (r *Result) reject(format string, args ...any) {
 	if r.Reason == "" {
 		r.Reason = fmt.Sprintf(format, args...)
 	}
 }
 
-// Apply carries an entry out.
+// Apply applies one log entry to the table. An entry that does not fit the present state changes
+// nothing, and the result has the reason.
 func (t *Table) Apply(entry Entry) (result Result) {
-	if t.refuseStale(&entry, &result) {
+	if t.rejectInvalid(&entry, &result) {
 		return result
 	}
 	switch entry.Op {
@@ -52,32 +53,33 @@
 		t.assignQuota(&entry, &result)
 	case Renew, Release, Expire, Revoke:
 		for _, ref := range entry.Refs {
-			t.changeHeld(&entry, ref, &result)
+			t.updateHeld(&entry, ref, &result)
 		}
 	default:
-		result.refuse(reasonUnknownOp, entry.Op)
+		result.reject(reasonUnknownOp, entry.Op)
 	}
 	return result
 }
 
-// refuseStale refuses an entry that must not be carried out whatever the state of its leases: one
-// of an incarnation that is over, or for a duty whose name is that of a quota lease.
-func (t *Table) refuseStale(entry *Entry, result *Result) bool {
+// rejectInvalid rejects an entry that must not be applied whatever the state of its leases: one sent
+// by an ended incarnation, or a grant whose name contains the separator of quota leases. It reports
+// whether it rejected the entry.
+func (t *Table) rejectInvalid(entry *Entry, result *Result) bool {
 	grants := entry.Op == Grant || entry.Op == AssignQuota
-	known := t.Incarnations[entry.Member]
+	latest := t.Incarnations[entry.Member]
 	switch {
-	case entry.Member != "" && entry.Incarnation < known && (grants || entry.Op == Renew):
-		result.refuse(reasonIncarnationOver, entry.Incarnation, entry.Member, known)
+	case entry.Member != "" && entry.Incarnation < latest && (grants || entry.Op == Renew):
+		result.reject(reasonStaleIncarnation, entry.Incarnation, entry.Member, latest)
 	case grants && strings.Contains(entry.Name, quotaSeparator):
-		result.refuse(reasonNotADuty, entry.Name)
+		result.reject(reasonInvalidDutyName, entry.Name)
 	default:
 		return false
 	}
 	return true
 }
 
-// recordIncarnation carries out RecordIncarnation and AdmitEmptied. Without room for the member it
-// does nothing.
+// recordIncarnation applies RecordIncarnation and AdmitEmptied. It does nothing if the member cannot
+// be added to the table.
 func (t *Table) recordIncarnation(entry *Entry) {
 	if !t.ensureMember(entry.Member) {
 		return
@@ -94,23 +96,25 @@
 	}
 }
 
+// prefer applies Prefer.
 func (t *Table) prefer(entry *Entry, result *Result) {
 	lease := t.ensureLease(entry.Name)
 	if lease == nil {
-		result.refuse(reasonNoRoomForLease, entry.Name)
+		result.reject(reasonCannotAddLease, entry.Name)
 		return
 	}
 	lease.Preferred = entry.Recipient
 }
 
+// grant applies Grant: it grants a free lease under a new epoch.
 func (t *Table) grant(entry *Entry, result *Result) {
 	lease := t.ensureLease(entry.Name)
 	if lease == nil || !t.ensureMember(entry.Member) {
-		result.refuse(reasonNoRoom, entry.Name, entry.Member)
+		result.reject(reasonCannotAddLeaseOrMember, entry.Name, entry.Member)
 		return
 	}
 	if lease.Holder != "" {
-		result.refuse(reasonHeld, entry.Name, lease.Holder, lease.Epoch)
+		result.reject(reasonHeld, entry.Name, lease.Holder, lease.Epoch)
 		return
 	}
 	t.raiseIncarnation(entry.Member, entry.Incarnation)
@@ -126,15 +130,17 @@
 	result.Refs = append(result.Refs, lease.ref(entry.Name))
 }
 
+// assignQuota applies AssignQuota: it grants the member's quota lease if it is free, else renews it,
+// and sets its amount.
 func (t *Table) assignQuota(entry *Entry, result *Result) {
 	name := QuotaName(entry.Name, entry.Member)
 	lease := t.ensureLease(name)
 	if lease == nil || !t.ensureMember(entry.Member) {
-		result.refuse(reasonNoRoom, name, entry.Member)
+		result.reject(reasonCannotAddLeaseOrMember, name, entry.Member)
 		return
 	}
 	if lease.Holder != "" && lease.Incarnation != entry.Incarnation {
-		result.refuse(reasonHeldQuota, name, lease.Incarnation, lease.Epoch)
+		result.reject(reasonQuotaHeld, name, lease.Incarnation, lease.Epoch)
 		return
 	}
 	t.raiseIncarnation(entry.Member, entry.Incarnation)
@@ -145,18 +151,19 @@
 		}
 	}
 	lease.Renewal++
-	// What its holder uses already counts until it has said that it uses less, also where the limit
-	// was lowered.
-	room := max(lease.Amount, entry.Limit-t.QuotaSum(entry.Name, name))
-	lease.Amount = max(0, min(entry.Amount, room))
+	// The holder may use its present amount until it has reported a lower one, even where the limit
+	// was lowered, so this amount stays available to it.
+	available := max(lease.Amount, entry.Limit-t.QuotaSum(entry.Name, name))
+	lease.Amount = max(0, min(entry.Amount, available))
 	result.Refs = append(result.Refs, lease.ref(name))
 }
 
-// changeHeld carries out Renew, Release, Expire or Revoke for one lease that is held.
-func (t *Table) changeHeld(entry *Entry, ref Ref, result *Result) {
+// updateHeld applies Renew, Release, Expire or Revoke to one lease. The lease must be held under the
+// epoch of the reference.
+func (t *Table) updateHeld(entry *Entry, ref Ref, result *Result) {
 	lease := t.Leases[ref.Name]
 	if lease == nil || lease.Holder == "" || lease.Epoch != ref.Epoch {
-		result.refuse(reasonEpochOver, ref.Epoch, ref.Name)
+		result.reject(reasonStaleEpoch, ref.Epoch, ref.Name)
 		return
 	}
 	var changed bool
@@ -175,23 +182,26 @@
 	}
 }
 
+// renew counts a renewal. It reports whether the lease was renewed.
 func (l *Lease) renew(entry *Entry, ref Ref, result *Result) bool {
 	if !l.heldBy(entry) {
-		result.refuse(reasonOtherHolder, ref.Epoch, ref.Name, l.Holder, l.Incarnation)
+		result.reject(reasonNotHolder, ref.Epoch, ref.Name, l.Holder, l.Incarnation)
 		return false
 	}
 	if l.Revoked {
-		result.refuse(reasonRevoked, ref.Epoch, ref.Name)
+		result.reject(reasonRevoked, ref.Epoch, ref.Name)
 		return false
 	}
 	l.Renewal++
 	return true
 }
 
+// release frees the lease for its holder, or for a later incarnation of a holder that took it for a
+// restart (see Lease.Hold). It reports whether the lease was freed.
 func (l *Lease) release(entry *Entry, ref Ref, result *Result) bool {
 	restarted := l.Hold > 0 && l.Holder == entry.Member && l.Incarnation < entry.Incarnation
 	if !restarted && !l.heldBy(entry) {
-		result.refuse(reasonOtherHolder, ref.Epoch, ref.Name, l.Holder, l.Incarnation)
+		result.reject(reasonNotHolder, ref.Epoch, ref.Name, l.Holder, l.Incarnation)
 		return false
 	}
 	if entry.Recipient != "" {
@@ -201,9 +211,11 @@
 	return true
 }
 
+// expire frees the lease unless it was renewed since the state that ref identifies. It reports
+// whether the lease was freed.
 func (l *Lease) expire(ref Ref, result *Result) bool {
 	if l.Renewal != ref.Renewal {
-		result.refuse(reasonRenewedMeanwhile, ref.Name)
+		result.reject(reasonRenewedSince, ref.Name)
 		return false
 	}
 	l.free()
--- a/internal/lease/golden_test.go
+++ b/internal/lease/golden_test.go
@@ -17,17 +17,17 @@
 	"brackendale/internal/testing/golden"
 )
 
-// readStrict decodes one JSON value and refuses fields that the type does not have.
+// readStrict decodes one JSON value and fails on fields that the type does not have.
 func readStrict(t *testing.T, raw []byte, into any) {
 	t.Helper()
-	d := json.NewDecoder(bytes.NewReader(raw))
-	d.DisallowUnknownFields()
-	if err := d.Decode(into); err != nil {
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(into); err != nil {
 		t.Fatalf("%s: %v", raw, err)
 	}
 }
 
-// encode writes one line per value.
+// encode returns the values as JSON, one per line.
 func encode[T any](t *testing.T, values ...T) []byte {
 	t.Helper()
 	var out bytes.Buffer
@@ -39,8 +39,8 @@
 	return out.Bytes()
 }
 
-// requireAllFields fails for each field of a struct type that is zero wherever the type occurs in
-// v.
+// requireAllFields fails for each field of a struct type that is zero in all places where the type
+// occurs in v.
 func requireAllFields(t *testing.T, v any) {
 	t.Helper()
 	set := map[string]bool{}
@@ -52,6 +52,7 @@
 	}
 }
 
+// collectFields records for each field of each struct type in v whether it is set anywhere.
 func collectFields(v reflect.Value, set map[string]bool) {
 	switch v.Kind() {
 	case reflect.Pointer, reflect.Interface:
@@ -96,7 +97,7 @@
 		{Op: Release, Member: "b", Incarnation: 2, Recipient: "a", Refs: []Ref{{Name: "sweep", Epoch: 45}}},
 		{Op: Grant, Name: "clean", Member: "a", Incarnation: 3},
 		{Op: Expire, Refs: []Ref{{Name: "clean", Epoch: 46, Renewal: 1}}},
-		// Refused: a reference with every field, an operation that is unknown.
+		// Rejected: a stale reference that sets every field, and an unknown operation.
 		{Op: Renew, Member: "a", Incarnation: 3, Refs: []Ref{{Name: "clean", Epoch: 46, Renewal: 1, Amount: 5}}},
 		{
 			Op: "later", Name: "n", Member: "a", Incarnation: 3, Recipient: "b", Refs: []Ref{{Name: "n", Epoch: 1}},
@@ -105,7 +106,7 @@
 	}
 }
 
-// goldenTable is the table that goldenEntries lead to.
+// goldenTable returns the table after applying goldenEntries.
 func goldenTable() *Table {
 	return &Table{
 		Epoch: 46,
@@ -161,13 +162,13 @@
 		Grant, Renew, Release, Expire, Revoke, Prefer, AssignQuota, RecordIncarnation,
 		AdmitEmptied, RaiseEpoch,
 	} {
-		if !slices.ContainsFunc(want, func(e Entry) bool { return e.Op == op }) {
+		if !slices.ContainsFunc(want, func(entry Entry) bool { return entry.Op == op }) {
 			t.Errorf("no golden entry for %s", op)
 		}
 	}
 }
 
-// TestGoldenReplay reads the stored entries and applies them: the results and the table are the
+// TestGoldenReplay reads the stored entries and applies them: the results and the table must equal the
 // golden ones.
 func TestGoldenReplay(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join("testdata", "golden", "entries.jsonl"))
@@ -177,27 +178,27 @@
 	table, want := NewTable(), goldenEntries()
 	var results []Result
 	for i, line := range strings.Split(strings.TrimSuffix(string(raw), "\n"), "\n") {
-		var e Entry
-		readStrict(t, []byte(line), &e)
-		if !reflect.DeepEqual(e, want[i]) {
-			t.Errorf("entry %d read back: %+v", i, e)
+		var entry Entry
+		readStrict(t, []byte(line), &entry)
+		if !reflect.DeepEqual(entry, want[i]) {
+			t.Errorf("entry %d read back: %+v", i, entry)
 		}
-		if again := encode(t, e); string(again) != line+"\n" {
+		if again := encode(t, entry); string(again) != line+"\n" {
 			t.Errorf("entry %d written again: %s", i, again)
 		}
-		results = append(results, table.Apply(e))
+		results = append(results, table.Apply(entry))
 	}
 	if len(results) != len(want) || !reflect.DeepEqual(table, goldenTable()) {
-		t.Errorf("%d entries lead to %s", len(results), encode(t, table))
+		t.Errorf("the table after %d entries is %s", len(results), encode(t, table))
 	}
 	requireAllFields(t, results)
-	done := encode(t, results...)
-	golden.Check(t, "results.jsonl", string(done))
-	for i, line := range strings.Split(strings.TrimSuffix(string(done), "\n"), "\n") {
-		var d Result
-		readStrict(t, []byte(line), &d)
-		if !reflect.DeepEqual(d, results[i]) {
-			t.Errorf("result %d read back: %+v", i, d)
+	encoded := encode(t, results...)
+	golden.Check(t, "results.jsonl", string(encoded))
+	for i, line := range strings.Split(strings.TrimSuffix(string(encoded), "\n"), "\n") {
+		var result Result
+		readStrict(t, []byte(line), &result)
+		if !reflect.DeepEqual(result, results[i]) {
+			t.Errorf("result %d read back: %+v", i, result)
 		}
 	}
 }
@@ -213,7 +214,7 @@
 	golden.Check(t, "behaviour.txt", out.String())
 }
 
-// asJSON is a value as the log stores it.
+// asJSON returns a value as the log stores it.
 func asJSON(v any) string {
 	raw, err := json.Marshal(v)
 	if err != nil {
@@ -222,24 +223,24 @@
 	return string(raw)
 }
 
-// tableScenario applies random entries, most of them sensible, and looks at the table and a watch
-// over it.
+// tableScenario applies random entries, most of them applicable, and returns the state of the table
+// and of an ExpiryWatch that observes it.
 func tableScenario(seed int64) func(int) string {
 	rng := rand.New(rand.NewSource(seed))
 	table, watch := NewTable(), NewExpiryWatch(Terms{Length: time.Second, Drift: 0.01})
 	now := time.Duration(0)
 	return func(i int) string {
 		now += time.Duration(rng.Intn(200)) * time.Millisecond
-		var e Entry
+		var entry Entry
 		if due, _ := watch.Expired(now); len(due) > 0 && rng.Intn(3) == 0 {
-			e = Entry{Op: Expire, Refs: due}
+			entry = Entry{Op: Expire, Refs: due}
 		} else {
-			e = randomEntry(rng, table)
+			entry = randomEntry(rng, table)
 		}
-		done := table.Apply(e)
+		result := table.Apply(entry)
 		watch.Observe(table, now)
 		due, next := watch.Expired(now)
-		left := watch.Remaining("d1", now)
+		remaining := watch.Remaining("d1", now)
 		clone := table.Clone()
 		if i%500 == 499 { // a restart reads the snapshot back
 			table = NewTable()
@@ -247,95 +248,98 @@
 				panic(err)
 			}
 		}
-		return fmt.Sprint(asJSON(e), asJSON(done), asJSON(clone), asJSON(due), int64(next), int64(left),
+		return fmt.Sprint(asJSON(entry), asJSON(result), asJSON(clone), asJSON(due), int64(next), int64(remaining),
 			asJSON(table.HeldBy("m1", table.Incarnations["m1"])), table.QuotaSum("limit", QuotaName("limit", "m0")))
 	}
 }
 
-// randomEntry draws an entry whose references are current more often than not.
+// randomEntry draws an entry whose references match the table more often than not.
 func randomEntry(rng *rand.Rand, table *Table) Entry {
 	ops := []Op{
 		Grant, Grant, Renew, Renew, Release, Expire, Revoke, Prefer, AssignQuota, AssignQuota,
 		RecordIncarnation, AdmitEmptied, RaiseEpoch, "none",
 	}
-	e := Entry{Op: ops[rng.Intn(len(ops))], Name: fmt.Sprintf("d%d", rng.Intn(5)), Member: fmt.Sprintf("m%d", rng.Intn(4))}
-	e.Incarnation = max(1, table.Incarnations[e.Member]+uint64(rng.Intn(12)/10)) - uint64(rng.Intn(12)/11)
+	entry := Entry{
+		Op: ops[rng.Intn(len(ops))], Name: fmt.Sprintf("d%d", rng.Intn(5)), Member: fmt.Sprintf("m%d", rng.Intn(4)),
+	}
+	entry.Incarnation = max(1, table.Incarnations[entry.Member]+uint64(rng.Intn(12)/10)) - uint64(rng.Intn(12)/11)
 	if rng.Intn(4) == 0 {
-		e.Recipient = fmt.Sprintf("m%d", rng.Intn(4))
+		entry.Recipient = fmt.Sprintf("m%d", rng.Intn(4))
 	}
-	switch e.Op {
+	switch entry.Op {
 	case AssignQuota:
-		e.Name, e.Amount, e.Limit = "limit", int64(rng.Intn(900)-50), int64(500+rng.Intn(800))
+		entry.Name, entry.Amount, entry.Limit = "limit", int64(rng.Intn(900)-50), int64(500+rng.Intn(800))
 	case Grant:
-		e.Hold = int64(max(0, rng.Intn(20)-16)) * 1_000_000
+		entry.Hold = int64(max(0, rng.Intn(20)-16)) * 1_000_000
 	case RaiseEpoch:
-		e.Base = table.Epoch + uint64(rng.Intn(3)) - 1
+		entry.Base = table.Epoch + uint64(rng.Intn(3)) - 1
 	case RecordIncarnation, AdmitEmptied:
-		e.Base = uint64(rng.Intn(1000))
+		entry.Base = uint64(rng.Intn(1000))
 	}
 	if rng.Intn(50) == 0 {
-		e.Name += "/x"
+		entry.Name += "/x"
 	}
 	for _, name := range slices.Sorted(maps.Keys(table.Leases)) {
-		if l := table.Leases[name]; rng.Intn(3) == 0 {
-			e.Refs = append(e.Refs, Ref{name, l.Epoch - uint64(rng.Intn(8)/7), l.Renewal - uint64(rng.Intn(4)/3), 0})
+		if lease := table.Leases[name]; rng.Intn(3) == 0 {
+			entry.Refs = append(entry.Refs,
+				Ref{name, lease.Epoch - uint64(rng.Intn(8)/7), lease.Renewal - uint64(rng.Intn(4)/3), 0})
 			if rng.Intn(4) != 0 {
-				e.Member, e.Incarnation = l.Holder, l.Incarnation+uint64(rng.Intn(6)/5)
+				entry.Member, entry.Incarnation = lease.Holder, lease.Incarnation+uint64(rng.Intn(6)/5)
 			}
 		}
 	}
-	return e
+	return entry
 }
 
-// holderScenario drives a holder's side through grants, losses and lapses in any order.
+// holderScenario applies grants, losses and expiry to a Holder in random order.
 func holderScenario(seed int64) func(int) string {
 	rng := rand.New(rand.NewSource(seed))
-	h := NewHolder(Terms{Length: time.Duration(1000+rng.Intn(1000)) * time.Millisecond, Drift: rng.Float64() * 0.4})
+	holder := NewHolder(Terms{Length: time.Duration(1000+rng.Intn(1000)) * time.Millisecond, Drift: rng.Float64() * 0.4})
 	now, epoch := time.Duration(0), 1
 	return func(int) string {
 		now += time.Duration(rng.Intn(150)) * time.Millisecond
 		name, requested := fmt.Sprintf("d%d", rng.Intn(3)), now-time.Duration(rng.Intn(300))*time.Millisecond
 		epoch += rng.Intn(5) / 4
-		e := uint64(max(1, epoch-rng.Intn(3)))
-		var over []Ref
+		leaseEpoch := uint64(max(1, epoch-rng.Intn(3)))
+		var expired []Ref
 		switch rng.Intn(6) {
 		case 0, 1:
-			h.Granted(name, e, requested)
+			holder.Granted(name, leaseEpoch, requested)
 		case 2:
-			h.QuotaGranted(name, e, int64(rng.Intn(100)), requested)
+			holder.QuotaGranted(name, leaseEpoch, int64(rng.Intn(100)), requested)
 		case 3:
-			h.LowerQuota(name, int64(rng.Intn(100)))
+			holder.LowerQuota(name, int64(rng.Intn(100)))
 		case 4:
-			h.Lost(name, e)
+			holder.Lost(name, leaseEpoch)
 		case 5:
-			over = h.Expire(now)
-			slices.SortFunc(over, func(a, b Ref) int { return strings.Compare(a.Name, b.Name) })
+			expired = holder.Expire(now)
+			slices.SortFunc(expired, func(a, b Ref) int { return strings.Compare(a.Name, b.Name) })
 		}
-		got, held := h.Get(name, now)
-		may, ok := h.MayAct(name, now, time.Duration(rng.Intn(1200))*time.Millisecond)
-		return fmt.Sprint(asJSON(over), got.Epoch, int64(got.Until), got.Amount, held, may, ok, asJSON(h.Refs()))
+		got, held := holder.Get(name, now)
+		actEpoch, ok := holder.MayAct(name, now, time.Duration(rng.Intn(1200))*time.Millisecond)
+		return fmt.Sprint(asJSON(expired), got.Epoch, int64(got.Until), got.Amount, held, actEpoch, ok, asJSON(holder.Refs()))
 	}
 }
 
-// boundsScenario fills a table with leases and members until there is no room, and beyond.
+// boundsScenario adds leases and members to a table beyond its bounds.
 func boundsScenario() func(int) string {
 	table := NewTable()
 	return func(i int) string {
-		e := Entry{Op: Prefer, Name: fmt.Sprintf("d%d", i), Recipient: "m"}
+		entry := Entry{Op: Prefer, Name: fmt.Sprintf("d%d", i), Recipient: "m"}
 		switch {
 		case i >= 2*MaxLeases:
-			e = Entry{
+			entry = Entry{
 				Op: RecordIncarnation, Member: fmt.Sprintf("m%d", i), Incarnation: uint64(i),
 				Recipient: strings.Repeat("x", i%200),
 			}
 		case i%100 == 99:
-			e = Entry{
+			entry = Entry{
 				Op: AssignQuota, Name: strings.Repeat("n", i%140), Member: strings.Repeat("m", i%150),
 				Incarnation: 1, Amount: 1, Limit: 9,
 			}
 		case i%10 == 9:
-			e = Entry{Op: Grant, Name: fmt.Sprintf("d%d", i), Member: strings.Repeat("m", i%150), Incarnation: 1}
+			entry = Entry{Op: Grant, Name: fmt.Sprintf("d%d", i), Member: strings.Repeat("m", i%150), Incarnation: 1}
 		}
-		return fmt.Sprint(asJSON(table.Apply(e)), len(table.Leases), len(table.Incarnations), len(table.Addresses))
+		return fmt.Sprint(asJSON(table.Apply(entry)), len(table.Leases), len(table.Incarnations), len(table.Addresses))
 	}
 }
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -6,40 +6,40 @@
 	"time"
 )
 
-// Holder keeps the leases that one incarnation of a member holds, by the member's own clock. It is
-// not safe for concurrent use.
+// Holder tracks the leases that one incarnation of a member holds, and until when, by the member's
+// own clock. It is not safe for concurrent use.
 type Holder struct {
 	terms Terms
 	held  map[string]Holding
 }
 
-// Holding is a lease as its holder counts on it.
+// Holding is a lease as its holder sees it.
 type Holding struct {
 	Epoch  uint64
-	Until  time.Duration // on the holder's clock; no act may run at this time or later
+	Until  time.Duration // on the holder's clock; executions must have ended before this time
 	Amount int64         // of a quota lease
 }
 
-// NewHolder returns a Holder without leases.
+// NewHolder returns a Holder that holds no leases.
 func NewHolder(terms Terms) *Holder { return &Holder{terms: terms, held: map[string]Holding{}} }
 
-// Granted records a grant or a renewal. requested is the time before the request was sent. Answers
+// Granted records a grant or a renewal. requestedAt is a time before the request was sent. Replies
 // may arrive in any order.
-func (h *Holder) Granted(name string, epoch uint64, requested time.Duration) {
-	h.QuotaGranted(name, epoch, 0, requested)
+func (h *Holder) Granted(name string, epoch uint64, requestedAt time.Duration) {
+	h.QuotaGranted(name, epoch, 0, requestedAt)
 }
 
-// QuotaGranted records a grant or renewal of a quota lease. An answer to a request that is older
-// than the last one recorded does not change the amount.
-func (h *Holder) QuotaGranted(name string, epoch uint64, amount int64, requested time.Duration) {
-	until := requested + h.terms.HolderTerm()
-	old, held := h.held[name]
-	if !held || old.Epoch < epoch || old.Epoch == epoch && old.Until < until {
-		h.held[name] = Holding{Epoch: epoch, Until: until, Amount: amount}
+// QuotaGranted records a grant or renewal of a quota lease. A reply to a request that is older than
+// the last one recorded does not change the amount.
+func (h *Holder) QuotaGranted(name string, epoch uint64, amount int64, requestedAt time.Duration) {
+	expiresAt := requestedAt + h.terms.HolderTerm()
+	previous, held := h.held[name]
+	if !held || previous.Epoch < epoch || previous.Epoch == epoch && previous.Until < expiresAt {
+		h.held[name] = Holding{Epoch: epoch, Until: expiresAt, Amount: amount}
 	}
 }
 
-// LowerQuota lowers the amount that the holder uses of a quota lease.
+// LowerQuota lowers the amount of a quota lease. It never raises it.
 func (h *Holder) LowerQuota(name string, amount int64) {
 	if holding, ok := h.held[name]; ok {
 		holding.Amount = min(holding.Amount, amount)
@@ -47,14 +47,14 @@
 	}
 }
 
-// Lost drops a lease whose epoch is over. One that is held under a newer epoch stays.
+// Lost drops a lease that has ended under the given epoch. A lease held under a newer epoch is kept.
 func (h *Holder) Lost(name string, epoch uint64) {
 	if holding, ok := h.held[name]; ok && holding.Epoch <= epoch {
 		delete(h.held, name)
 	}
 }
 
-// Expire drops the leases whose time is over and lists them.
+// Expire drops the leases that have expired and returns them, in no particular order.
 func (h *Holder) Expire(now time.Duration) (expired []Ref) {
 	for name, holding := range h.held {
 		if now >= holding.Until {
@@ -65,19 +65,20 @@
 	return expired
 }
 
-// MayAct reports whether an act that takes at most longest may begin now, and under which epoch.
-func (h *Holder) MayAct(name string, now, longest time.Duration) (epoch uint64, ok bool) {
+// MayAct reports whether an execution that takes at most maxDuration may begin now, and under which
+// epoch: it must end before the lease expires.
+func (h *Holder) MayAct(name string, now, maxDuration time.Duration) (epoch uint64, ok bool) {
 	holding, held := h.held[name]
-	return holding.Epoch, held && now+longest < holding.Until
+	return holding.Epoch, held && now+maxDuration < holding.Until
 }
 
-// Get returns a lease that is held and has not expired.
+// Get returns a lease, and whether it is held and has not expired.
 func (h *Holder) Get(name string, now time.Duration) (Holding, bool) {
 	holding, held := h.held[name]
 	return holding, held && now < holding.Until
 }
 
-// Refs lists the leases that are held, sorted by name.
+// Refs lists the leases that are tracked, sorted by name.
 func (h *Holder) Refs() []Ref {
 	refs := make([]Ref, 0, len(h.held))
 	for _, name := range slices.Sorted(maps.Keys(h.held)) {
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -17,12 +17,13 @@
 
 func TestMain(m *testing.M) { testkit.Seeded(m, "300") }
 
+// drawEntry draws an entry of any operation, most of them not applicable.
 func drawEntry(t *rapid.T, names, members []string) Entry {
 	op := rapid.SampledFrom([]Op{
 		Grant, Grant, Renew, Release, Expire, Revoke, Prefer, AssignQuota, AssignQuota, RecordIncarnation, AdmitEmptied,
 		RaiseEpoch, "nonsense",
 	}).Draw(t, "op")
-	e := Entry{
+	entry := Entry{
 		Op: op, Name: rapid.SampledFrom(names).Draw(t, "name"), Member: rapid.SampledFrom(members).Draw(t, "member"),
 		Incarnation: rapid.Uint64Range(0, 4).Draw(t, "incarnation"),
 		Recipient:   rapid.SampledFrom(append(members, "")).Draw(t, "to"),
@@ -30,125 +31,128 @@
 		Amount:      rapid.Int64Range(-5, 90).Draw(t, "amount"), Limit: 60,
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "refs") {
-		e.Refs = append(e.Refs, Ref{
+		entry.Refs = append(entry.Refs, Ref{
 			rapid.SampledFrom(names).Draw(t, "ref"),
 			rapid.Uint64Range(0, 30).Draw(t, "epoch"), rapid.Uint64Range(0, 20).Draw(t, "renewal"), 0,
 		})
 	}
-	return e
+	return entry
 }
 
-// Whatever entries come: epochs only grow, over all leases together; a lease changes hands only by
-// way of nobody; the incarnation of a holder was never below one that had been seen when it was
-// granted; two tables that read the same log are the same, also when one of them was written and
-// read half-way.
+// Invariants of a table under arbitrary entries: epochs never decrease, and each grant has a higher one
+// than all grants before it, over all leases; a lease must be free before it passes to another holder;
+// a lease is never granted to an incarnation lower than one already recorded; quotas stay within their
+// limit; and two tables that apply the same log are equal, also if one of them is restored from a
+// snapshot on the way.
 func TestTableWhateverComes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names, members := []string{"x", "y", "y/a"}, []string{"a", "b", "c"}
-		a, b := NewTable(), NewTable()
+		table, replica := NewTable(), NewTable()
 		for range rapid.IntRange(1, 60).Draw(t, "entries") {
-			before := a.Clone()
-			e := drawEntry(t, names, members)
-			a.Apply(e)
-			b.Apply(e)
+			before := table.Clone()
+			entry := drawEntry(t, names, members)
+			table.Apply(entry)
+			replica.Apply(entry)
 			if rapid.IntRange(0, 9).Draw(t, "snapshot") == 0 {
-				raw, err := json.Marshal(b)
+				raw, err := json.Marshal(replica)
 				if err != nil {
 					t.Fatal(err)
 				}
-				if b = NewTable(); json.Unmarshal(raw, b) != nil {
-					t.Fatal("not read back")
+				if replica = NewTable(); json.Unmarshal(raw, replica) != nil {
+					t.Fatal("the snapshot was not read back")
 				}
 			}
 			for _, name := range names {
-				if a.QuotaSum(name, "") > 60 {
-					t.Fatalf("%+v: quotas of %s over the limit", e, name)
+				if table.QuotaSum(name, "") > 60 {
+					t.Fatalf("%+v: the quotas of %s exceed the limit", entry, name)
 				}
 			}
-			if a.Epoch < before.Epoch {
-				t.Fatalf("%+v: epochs went back", e)
+			if table.Epoch < before.Epoch {
+				t.Fatalf("%+v: the highest epoch decreased", entry)
 			}
-			for name, l := range a.Leases {
+			for name, lease := range table.Leases {
 				old := before.Leases[name]
 				if old == nil {
 					continue
 				}
-				if l.Epoch < old.Epoch || l.Renewal < old.Renewal {
-					t.Fatalf("%+v: %s went back", e, name)
+				if lease.Epoch < old.Epoch || lease.Renewal < old.Renewal {
+					t.Fatalf("%+v: the epoch or renewal of %s decreased", entry, name)
 				}
-				if l.Holder != "" && l.Epoch != old.Epoch &&
-					(old.Holder != "" || l.Epoch <= before.Epoch || l.Incarnation < before.Incarnations[l.Holder]) {
-					t.Fatalf("%+v: %s from %+v to %+v", e, name, old, l)
+				if lease.Holder != "" && lease.Epoch != old.Epoch &&
+					(old.Holder != "" || lease.Epoch <= before.Epoch || lease.Incarnation < before.Incarnations[lease.Holder]) {
+					t.Fatalf("%+v: invalid change of %s from %+v to %+v", entry, name, old, lease)
 				}
 			}
 		}
-		if x, y := fmt.Sprint(dump(a)), fmt.Sprint(dump(b)); x != y {
-			t.Fatalf("%s\n%s", x, y)
+		if want, got := fmt.Sprint(dump(table)), fmt.Sprint(dump(replica)); want != got {
+			t.Fatalf("tables differ:\n%s\n%s", want, got)
 		}
 	})
 }
 
-func dump(t *Table) (s []string) {
-	for name, l := range t.Leases {
-		s = append(s, fmt.Sprintf("%s %+v", name, *l))
+func dump(table *Table) (lines []string) {
+	for name, lease := range table.Leases {
+		lines = append(lines, fmt.Sprintf("%s %+v", name, *lease))
 	}
-	slices.Sort(s)
-	return append(s, fmt.Sprint(t.Epoch, t.Incarnations))
+	slices.Sort(lines)
+	return append(lines, fmt.Sprint(table.Epoch, table.Incarnations))
 }
 
-// register is what a caller may see of one lease: a holder with an epoch, or nobody.
+// register is the sequential specification of one lease as its callers see it: a holder with an epoch,
+// or no holder.
 var register = porcupine.Model{
 	Init: func() any { return Lease{} },
 	Step: func(state, in, out any) (bool, any) {
-		l, e, d := state.(Lease), in.(Entry), out.(Result)
-		switch e.Op {
+		lease, entry, result := state.(Lease), in.(Entry), out.(Result)
+		switch entry.Op {
 		case Grant:
-			if l.Holder != "" {
-				return len(d.Refs) == 0, l
+			if lease.Holder != "" {
+				return len(result.Refs) == 0, lease
 			}
-			return len(d.Refs) == 1 && d.Refs[0].Epoch > l.Epoch, Lease{Holder: e.Member, Epoch: epochOf(d)}
+			return len(result.Refs) == 1 && result.Refs[0].Epoch > lease.Epoch,
+				Lease{Holder: entry.Member, Epoch: epochOf(result)}
 		case Renew:
-			mine := l.Holder == e.Member && l.Epoch == e.Refs[0].Epoch
-			return mine == (len(d.Refs) == 1), l
+			held := lease.Holder == entry.Member && lease.Epoch == entry.Refs[0].Epoch
+			return held == (len(result.Refs) == 1), lease
 		default:
-			if l.Holder == e.Member && l.Epoch == e.Refs[0].Epoch {
-				return len(d.Refs) == 1, Lease{Epoch: l.Epoch}
+			if lease.Holder == entry.Member && lease.Epoch == entry.Refs[0].Epoch {
+				return len(result.Refs) == 1, Lease{Epoch: lease.Epoch}
 			}
-			return len(d.Refs) == 0, l
+			return len(result.Refs) == 0, lease
 		}
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
 
-func epochOf(d Result) uint64 {
-	if len(d.Refs) == 0 {
+func epochOf(result Result) uint64 {
+	if len(result.Refs) == 0 {
 		return 0
 	}
-	return d.Refs[0].Epoch
+	return result.Refs[0].Epoch
 }
 
-// Requests and answers of several callers that overlap, as a history: porcupine finds an order for
-// those of the table, and none where a second grant was given out.
+// Grants, renewals and releases must be linearizable: porcupine must find an order for a history of
+// overlapping calls answered by the table, and none if two grants follow without a release.
 func TestGrantsAsARegister(t *testing.T) {
 	history := func(t *rapid.T, table *Table) (ops []porcupine.Operation) {
-		last := map[string]uint64{}
+		epochs := map[string]uint64{}
 		clock := int64(0)
 		for range rapid.IntRange(3, 25).Draw(t, "calls") {
-			who := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "who")
-			e := Entry{Op: Grant, Name: "d", Member: who, Incarnation: 1}
-			if epoch, ok := last[who]; ok {
-				e = Entry{
-					Op: rapid.SampledFrom([]Op{Renew, Release}).Draw(t, "op"), Name: "d", Member: who, Incarnation: 1,
+			member := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "who")
+			entry := Entry{Op: Grant, Name: "d", Member: member, Incarnation: 1}
+			if epoch, ok := epochs[member]; ok {
+				entry = Entry{
+					Op: rapid.SampledFrom([]Op{Renew, Release}).Draw(t, "op"), Name: "d", Member: member, Incarnation: 1,
 					Refs: []Ref{{Name: "d", Epoch: epoch}},
 				}
 			}
-			d := table.Apply(e)
-			if delete(last, who); len(d.Refs) > 0 && e.Op != Release {
-				last[who] = d.Refs[0].Epoch
+			result := table.Apply(entry)
+			if delete(epochs, member); len(result.Refs) > 0 && entry.Op != Release {
+				epochs[member] = result.Refs[0].Epoch
 			}
 			clock += 10
 			ops = append(ops, porcupine.Operation{
-				ClientId: int(who[0]), Input: e, Output: d,
+				ClientId: int(member[0]), Input: entry, Output: result,
 				Call: clock - rapid.Int64Range(1, 9).Draw(t, "requested"), Return: clock + rapid.Int64Range(0, 9).Draw(t, "heard"),
 			})
 		}
@@ -157,10 +161,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		ops := history(t, NewTable())
 		if !porcupine.CheckOperations(register, ops) {
-			t.Fatalf("no order for %+v", ops)
+			t.Fatalf("the history is not linearizable: %+v", ops)
 		}
 		clock := ops[len(ops)-1].Return + 10
-		for i := range 2 { // granted twice, with nobody giving it back between
+		for i := range 2 { // granted twice, without a release between
 			ops = append(ops, porcupine.Operation{
 				ClientId: 90 + i, Input: Entry{Op: Grant, Name: "d", Member: fmt.Sprint("z", i), Incarnation: 1},
 				Output: Result{Refs: []Ref{{"d", 1000 + uint64(i), 1, 0}}}, Call: clock + int64(10*i),
@@ -168,49 +172,50 @@
 			})
 		}
 		if porcupine.CheckOperations(register, ops) {
-			t.Fatal("two holders at once were taken for right")
+			t.Fatal("two holders at the same time were accepted as linearizable")
 		}
 	})
 }
 
-// An act begins only if it is over while the lease is still counted on, by the clock of before the
-// request; a late answer of an older epoch changes nothing.
+// An execution may begin only if it ends before the lease expires, which is counted from before the
+// request; a late reply of an older epoch or to an older request changes nothing.
 func TestHolder(t *testing.T) {
-	h := NewHolder(Terms{Length: time.Second, Drift: 0.01})
-	h.Granted("d", 7, 100*time.Millisecond)
+	holder := NewHolder(Terms{Length: time.Second, Drift: 0.01})
+	holder.Granted("d", 7, 100*time.Millisecond)
 	for _, c := range []struct {
 		now time.Duration
 		ok  bool
 	}{{200, true}, {789, true}, {790, false}, {2000, false}} {
-		if epoch, ok := h.MayAct("d", c.now*time.Millisecond, 300*time.Millisecond); ok != c.ok || epoch != 7 {
-			t.Errorf("at %d ms: %v, epoch %d", c.now, ok, epoch)
+		if epoch, ok := holder.MayAct("d", c.now*time.Millisecond, 300*time.Millisecond); ok != c.ok || epoch != 7 {
+			t.Errorf("at %d ms: may act %v, epoch %d", c.now, ok, epoch)
 		}
 	}
-	h.Granted("d", 6, time.Hour)
-	h.Granted("d", 7, 0)
-	if x, ok := h.Get("d", 1089*time.Millisecond); !ok || x.Until != 1090*time.Millisecond {
-		t.Errorf("%+v", x)
+	holder.Granted("d", 6, time.Hour)
+	holder.Granted("d", 7, 0)
+	if holding, ok := holder.Get("d", 1089*time.Millisecond); !ok || holding.Until != 1090*time.Millisecond {
+		t.Errorf("held: %+v", holding)
 	}
-	h.Lost("d", 6)
-	if over := h.Expire(1090 * time.Millisecond); len(over) != 1 || over[0].Epoch != 7 || len(h.Refs()) != 0 {
-		t.Errorf("%+v", over)
+	holder.Lost("d", 6)
+	if expired := holder.Expire(1090 * time.Millisecond); len(expired) != 1 || expired[0].Epoch != 7 ||
+		len(holder.Refs()) != 0 {
+		t.Errorf("expired: %+v", expired)
 	}
 }
 
-// Bounds: no name, however long or however many, fills a member's memory.
+// A table is bounded: neither long names nor many of them may exhaust a member's memory.
 func TestTableIsBounded(t *testing.T) {
-	a := NewTable()
+	table := NewTable()
 	for i := range 2 * MaxLeases {
-		a.Apply(Entry{Op: Grant, Name: fmt.Sprint(i), Member: "m", Incarnation: 1})
-		a.Apply(Entry{Op: RecordIncarnation, Member: fmt.Sprint(i), Incarnation: 1})
+		table.Apply(Entry{Op: Grant, Name: fmt.Sprint(i), Member: "m", Incarnation: 1})
+		table.Apply(Entry{Op: RecordIncarnation, Member: fmt.Sprint(i), Incarnation: 1})
 	}
-	if d := a.Apply(Entry{
+	if result := table.Apply(Entry{
 		Op: Grant, Name: strings.Repeat("x", MaxName+1), Member: "m",
 		Incarnation: 1,
-	}); len(a.Leases) != MaxLeases || len(a.Incarnations) != MaxMembers || d.Reason == "" {
-		t.Errorf("%d leases, %d members, %q", len(a.Leases), len(a.Incarnations), d.Reason)
+	}); len(table.Leases) != MaxLeases || len(table.Incarnations) != MaxMembers || result.Reason == "" {
+		t.Errorf("%d leases, %d members, %q", len(table.Leases), len(table.Incarnations), result.Reason)
 	}
-	if names := slices.Collect(maps.Keys(a.Clone().Leases)); len(names) != MaxLeases {
+	if names := slices.Collect(maps.Keys(table.Clone().Leases)); len(names) != MaxLeases {
 		t.Error(len(names))
 	}
 }
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -5,257 +5,269 @@
 	"time"
 )
 
-// The protocol of one lease as an explicit search: three members, of which a and b may hold it and
-// one takes it away (b, or c), clocks of different rates, requests, answers and entries that come
-// late or never, restarts at any time. It runs the package's own code. What consensus gives is
-// taken as given: entries are applied one after another, by each in its own time. Times are kept as
-// ages on their owner's clock and epochs against the newest, so the search has no horizon.
+// The tests in this file check the protocol of one lease by an explicit search of its states, running
+// the package's own code. Of three members, a and b may hold the lease, and one observer (b, or c)
+// expires it. Clocks run at different rates; requests, replies and log entries are delayed or lost;
+// members restart at any time. Consensus is assumed: all members apply the same entries in the same
+// order, each at its own pace. Times are stored as ages on their owner's clock, and epochs relative
+// to the newest one, so that the number of states is finite and the search covers all of them.
 
 const (
-	tick    = 5 // units of an exact clock; a slow one counts 4, a fast one 6: drift 0.2
+	tick    = 5 // clock units of an exact clock in one step; a slow clock counts 4, a fast one 6: drift 0.2
 	newest  = 100
 	instant = time.Duration(1000)
 )
 
 var modelTerms = Terms{Length: 3 * tick, Drift: 0.2}
 
-// variant is a way to get the protocol wrong; the zero value is the protocol.
+// variant is a fault in the protocol that the search has to find; the zero value is the correct
+// protocol.
 type variant struct {
-	name       string
-	noDrift    bool // both sides count on exact clocks
-	fromAnswer bool // the holder counts from the answer
-	noWait     bool // who has just begun to watch takes leases away at once
-	anyRenewal bool // a lease is taken away though it was renewed meanwhile
-	anyEpoch   bool // an answer of an epoch that is over counts as one of this
-	freed      bool // a lease is free as soon as its holder renews it no more
+	name              string
+	noDrift           bool // both sides assume exact clocks
+	fromReply         bool // the holder counts the lease from the reply instead of the request
+	noInitialWait     bool // an observer that has just started expires leases at once
+	ignoreRenewals    bool // a lease is expired though it was renewed meanwhile
+	ignoreReplyEpoch  bool // a reply of an ended epoch counts as one of the newest epoch
+	freeWithoutExpiry bool // a lease is free as soon as its holder has no request or reply in transit
 }
 
-// side is a holder in the model.
-type side struct {
-	requested, answered, sent bool // a request, an answer is on the way; one left in this instant
-	age                       int8 // of the request
-	old                       int8 // how far the answer's epoch is behind the newest
-	holds                     bool
-	heldOld, left             int8 // and how long it counts on it
-	former                    bool // the lease's holder is an earlier incarnation of this one
+// holderState is the state of a or b as a holder.
+type holderState struct {
+	requested, replied, sent bool // a request or a reply is in transit; a request was sent at this instant
+	age                      int8 // of the request in transit
+	replyEpochLag            int8 // how far the reply's epoch is behind the newest
+	holds                    bool
+	heldEpochLag, remaining  int8 // of the held lease: lag of its epoch, and time until it expires
+	heldByPredecessor        bool // the table's holder is an earlier incarnation of this member
 }
 
-type world struct {
-	rates  [2]int8
-	rateT  int8 // of whoever takes away
-	holder int8 // 0 none, 1 a, 2 b
-	sides  [2]side
+// modelState is one state of the search.
+type modelState struct {
+	rates        [2]int8
+	observerRate int8
+	leaseHolder  int8 // in the table: 0 none, 1 a, 2 b
+	holders      [2]holderState
 
-	seen, now     bool // the taker has seen a grant; it is the lease's last renewal
-	age           int8
-	entry, entry0 bool // its entry is on the way; it names the last renewal
+	grantSeen, current           bool // the observer has seen a grant; it is the lease's last renewal
+	age                          int8 // since the observer saw the grant
+	expirePending, expireCurrent bool // an Expire entry is in transit; it names the last renewal
 }
 
 var modelNames = [3]string{"", "a", "b"}
 
 const incarnation = 10
 
-func (w *world) table() *Table {
-	t := NewTable()
-	t.Epoch = newest
-	l := &Lease{Holder: modelNames[w.holder], Incarnation: incarnation, Epoch: newest, Renewal: newest}
-	if w.holder > 0 && w.sides[w.holder-1].former {
-		l.Incarnation--
+// newTable builds the replicated table of this state.
+func (m *modelState) newTable() *Table {
+	table := NewTable()
+	table.Epoch = newest
+	lease := &Lease{Holder: modelNames[m.leaseHolder], Incarnation: incarnation, Epoch: newest, Renewal: newest}
+	if m.leaseHolder > 0 && m.holders[m.leaseHolder-1].heldByPredecessor {
+		lease.Incarnation--
 	}
-	t.Leases["d"] = l
-	t.Incarnations["a"], t.Incarnations["b"] = l.Incarnation, l.Incarnation
-	return t
+	table.Leases["d"] = lease
+	table.Incarnations["a"], table.Incarnations["b"] = lease.Incarnation, lease.Incarnation
+	return table
 }
 
-// store takes up what an entry has made of the table: what was the last renewal or the newest epoch
-// may not be it any more.
-func (w *world) store(t *Table) {
-	l := t.Leases["d"]
-	if l.Renewal != newest {
-		w.now, w.entry0 = false, false
+// applyTable updates the state from a table to which an entry was applied: what was the last renewal
+// or the newest epoch may be outdated now.
+func (m *modelState) applyTable(table *Table) {
+	lease := table.Leases["d"]
+	if lease.Renewal != newest {
+		m.current, m.expireCurrent = false, false
 	}
-	if t.Epoch != newest {
-		for i := range w.sides {
-			s := &w.sides[i]
-			s.old, s.heldOld, s.former = min(s.old+1, 2), min(s.heldOld+1, 2), false
+	if table.Epoch != newest {
+		for i := range m.holders {
+			state := &m.holders[i]
+			state.replyEpochLag, state.heldEpochLag, state.heldByPredecessor =
+				min(state.replyEpochLag+1, 2), min(state.heldEpochLag+1, 2), false
 		}
 	}
-	w.holder = 0
-	for i, n := range modelNames {
-		if n == l.Holder {
-			w.holder = int8(i)
+	m.leaseHolder = 0
+	for i, name := range modelNames {
+		if name == lease.Holder {
+			m.leaseHolder = int8(i)
 		}
 	}
 }
 
-func (v variant) terms() Terms {
-	t := modelTerms
+// leaseTerms returns the terms that the members use under a variant.
+func (v variant) leaseTerms() Terms {
+	terms := modelTerms
 	if v.noDrift {
-		t.Drift = 0
+		terms.Drift = 0
 	}
-	return t
+	return terms
 }
 
-func (w *world) holderOf(v variant, i int) *Holder {
-	h := NewHolder(v.terms())
-	if s := w.sides[i]; s.holds {
-		h.held["d"] = Holding{newest - uint64(s.heldOld), instant + time.Duration(s.left), 0}
+// newHolder builds the Holder of a or b.
+func (m *modelState) newHolder(v variant, index int) *Holder {
+	holder := NewHolder(v.leaseTerms())
+	if state := m.holders[index]; state.holds {
+		holder.held["d"] = Holding{newest - uint64(state.heldEpochLag), instant + time.Duration(state.remaining), 0}
 	}
-	return h
+	return holder
 }
 
-func (w *world) keep(i int, h *Holder, now time.Duration) {
-	h.Expire(now)
-	x, ok := h.held["d"]
-	s := &w.sides[i]
-	if s.holds, s.heldOld, s.left = ok, 0, 0; ok {
-		s.heldOld, s.left = int8(newest-x.Epoch), int8(x.Until-now)
+// saveHolder stores what a Holder holds at a time on its clock.
+func (m *modelState) saveHolder(index int, holder *Holder, now time.Duration) {
+	holder.Expire(now)
+	holding, ok := holder.held["d"]
+	state := &m.holders[index]
+	if state.holds, state.heldEpochLag, state.remaining = ok, 0, 0; ok {
+		state.heldEpochLag, state.remaining = int8(newest-holding.Epoch), int8(holding.Until-now)
 	}
 }
 
-func (w *world) watch(v variant) *ExpiryWatch {
-	k := NewExpiryWatch(v.terms())
-	if w.seen {
-		m := observation{newest, newest, instant - time.Duration(w.age), v.terms().ObserverTerm()}
-		if !w.now {
-			m.renewal--
+// newWatch builds the observer's ExpiryWatch.
+func (m *modelState) newWatch(v variant) *ExpiryWatch {
+	watch := NewExpiryWatch(v.leaseTerms())
+	if m.grantSeen {
+		seen := observation{newest, newest, instant - time.Duration(m.age), v.leaseTerms().ObserverTerm()}
+		if !m.current {
+			seen.renewal--
 		}
-		k.observed["d"] = m
+		watch.observed["d"] = seen
 	}
-	return k
+	return watch
 }
 
-// next calls f with every world that one step leads to.
-func (w world) next(v variant, f func(world)) {
-	n := w
-	for i := range n.sides {
-		s := &n.sides[i]
-		h := w.holderOf(v, i)
-		n.keep(i, h, instant+time.Duration(w.rates[i]))
-		if s.sent = false; s.requested || s.answered {
-			s.age = min(s.age+w.rates[i], 2*tick*3)
+// eachSuccessor calls visit with every state that one step leads to.
+func (m modelState) eachSuccessor(v variant, visit func(modelState)) {
+	next := m
+	for i := range next.holders {
+		state := &next.holders[i]
+		holder := m.newHolder(v, i)
+		next.saveHolder(i, holder, instant+time.Duration(m.rates[i]))
+		if state.sent = false; state.requested || state.replied {
+			state.age = min(state.age+m.rates[i], 2*tick*3)
 		}
 	}
-	if w.seen {
-		n.age = min(w.age+w.rateT, 2*tick*3)
+	if m.grantSeen {
+		next.age = min(m.age+m.observerRate, 2*tick*3)
 	}
-	f(n)
-	for i, s := range w.sides {
-		if !s.requested && !s.answered && !s.sent {
-			n := w
-			n.sides[i].requested, n.sides[i].sent, n.sides[i].age = true, true, 0
-			f(n)
+	visit(next)
+	for i, state := range m.holders {
+		if !state.requested && !state.replied && !state.sent {
+			next := m
+			next.holders[i].requested, next.holders[i].sent, next.holders[i].age = true, true, 0
+			visit(next)
 		}
-		if s.requested { // it is committed, and its answer may be lost
-			n, t := w, w.table()
-			if v.freed && w.holder != 0 && int(w.holder) != i+1 &&
-				!w.sides[w.holder-1].requested && !w.sides[w.holder-1].answered {
-				t.Leases["d"].Holder = ""
+		if state.requested { // it is committed, and the reply may be lost
+			next, table := m, m.newTable()
+			if v.freeWithoutExpiry && m.leaseHolder != 0 && int(m.leaseHolder) != i+1 &&
+				!m.holders[m.leaseHolder-1].requested && !m.holders[m.leaseHolder-1].replied {
+				table.Leases["d"].Holder = ""
 			}
-			var d Result
-			if mine := t.HeldBy(modelNames[i+1], incarnation); len(mine) > 0 {
-				d = t.Apply(Entry{Op: Renew, Member: modelNames[i+1], Incarnation: incarnation, Refs: mine})
+			var result Result
+			if held := table.HeldBy(modelNames[i+1], incarnation); len(held) > 0 {
+				result = table.Apply(Entry{Op: Renew, Member: modelNames[i+1], Incarnation: incarnation, Refs: held})
 			} else {
-				d = t.Apply(Entry{Op: Grant, Name: "d", Member: modelNames[i+1], Incarnation: incarnation})
+				result = table.Apply(Entry{Op: Grant, Name: "d", Member: modelNames[i+1], Incarnation: incarnation})
 			}
-			n.store(t)
-			n.sides[i].requested, n.sides[i].old = false, 0
-			if len(d.Refs) > 0 {
-				n.sides[i].answered = true
-				f(n)
+			next.applyTable(table)
+			next.holders[i].requested, next.holders[i].replyEpochLag = false, 0
+			if len(result.Refs) > 0 {
+				next.holders[i].replied = true
+				visit(next)
 			}
-			n.sides[i].answered, n.sides[i].age = false, 0
-			f(n)
+			next.holders[i].replied, next.holders[i].age = false, 0
+			visit(next)
 		}
-		if s.answered {
-			n := w
-			h, requested, epoch := n.holderOf(v, i), instant-time.Duration(s.age), newest-uint64(s.old)
-			if v.fromAnswer {
+		if state.replied {
+			next := m
+			holder, requested, epoch :=
+				next.newHolder(v, i), instant-time.Duration(state.age), newest-uint64(state.replyEpochLag)
+			if v.fromReply {
 				requested = instant
 			}
-			if v.anyEpoch {
+			if v.ignoreReplyEpoch {
 				epoch, requested = newest, instant
 			}
-			h.Granted("d", epoch, requested)
-			n.keep(i, h, instant)
-			n.sides[i].answered, n.sides[i].age, n.sides[i].old = false, 0, 0
-			f(n)
+			holder.Granted("d", epoch, requested)
+			next.saveHolder(i, holder, instant)
+			next.holders[i].replied, next.holders[i].age, next.holders[i].replyEpochLag = false, 0, 0
+			visit(next)
 		}
 	}
-	k := w.watch(v)
-	k.Observe(w.table(), instant)
-	n = w
-	m, seen := k.observed["d"]
-	if n.seen, n.now, n.age = seen, seen, 0; seen {
-		n.age = int8(instant - m.since)
-		if v.noWait && !w.seen {
-			n.age = 2 * tick * 3
+	watch := m.newWatch(v)
+	watch.Observe(m.newTable(), instant)
+	next = m
+	seen, grantSeen := watch.observed["d"]
+	if next.grantSeen, next.current, next.age = grantSeen, grantSeen, 0; grantSeen {
+		next.age = int8(instant - seen.seenAt)
+		if v.noInitialWait && !m.grantSeen {
+			next.age = 2 * tick * 3
 		}
 	}
-	f(n)
-	if due, _ := w.watch(v).Expired(instant); len(due) > 0 && !w.entry {
-		n := w
-		n.entry, n.entry0 = true, due[0].Renewal == newest
-		f(n)
+	visit(next)
+	if due, _ := m.newWatch(v).Expired(instant); len(due) > 0 && !m.expirePending {
+		next := m
+		next.expirePending, next.expireCurrent = true, due[0].Renewal == newest
+		visit(next)
 	}
-	if w.entry {
-		n, t := w, w.table()
+	if m.expirePending {
+		next, table := m, m.newTable()
 		ref := Ref{"d", newest, newest, 0}
-		if !w.entry0 && !v.anyRenewal {
+		if !m.expireCurrent && !v.ignoreRenewals {
 			ref.Renewal--
 		}
-		t.Apply(Entry{Op: Expire, Refs: []Ref{ref}})
-		n.store(t)
-		n.entry, n.entry0 = false, false
-		f(n)
+		table.Apply(Entry{Op: Expire, Refs: []Ref{ref}})
+		next.applyTable(table)
+		next.expirePending, next.expireCurrent = false, false
+		visit(next)
 	}
-	for i := range w.sides { // one ends and is back at once; with b, or with c, whoever takes away
-		n := w
-		n.sides[i] = side{former: int(w.holder) == i+1}
-		n.seen, n.now, n.age = false, false, 0
-		f(n)
+	for i := range m.holders { // a or b restarts, and with it the observer
+		next := m
+		next.holders[i] = holderState{heldByPredecessor: int(m.leaseHolder) == i+1}
+		next.grantSeen, next.current, next.age = false, false, 0
+		visit(next)
 	}
 }
 
-// search walks all worlds that can come about, and tells how many there are and whether two members
-// ever count on the lease.
-func search(v variant, rates [2]int8, rateT int8) (states int, broken bool) {
-	first := world{rates: rates, rateT: rateT}
-	seen := map[world]bool{first: true}
-	todo := []world{first}
-	for len(todo) > 0 {
-		w := todo[len(todo)-1]
-		todo = todo[:len(todo)-1]
-		if w.sides[0].holds && w.sides[1].holds {
+// search visits all reachable states. It returns their number, and whether both members rely on the
+// lease in one of them; it stops at the first such state.
+func search(v variant, rates [2]int8, observerRate int8) (states int, violated bool) {
+	first := modelState{rates: rates, observerRate: observerRate}
+	seen := map[modelState]bool{first: true}
+	pending := []modelState{first}
+	for len(pending) > 0 {
+		state := pending[len(pending)-1]
+		pending = pending[:len(pending)-1]
+		if state.holders[0].holds && state.holders[1].holds {
 			return len(seen), true
 		}
-		w.next(v, func(n world) {
-			if !seen[n] {
-				seen[n] = true
-				todo = append(todo, n)
+		state.eachSuccessor(v, func(next modelState) {
+			if !seen[next] {
+				seen[next] = true
+				pending = append(pending, next)
 			}
 		})
 	}
 	return len(seen), false
 }
 
+// Two members must never rely on one lease at the same time. Each variant leaves out one rule of the
+// protocol, and the search must find a violation for it; it must find none for the full protocol.
 func TestProtocolSearch(t *testing.T) {
 	for _, v := range []variant{
 		{},
 		{name: "no drift bound", noDrift: true},
-		{name: "counted from the answer", fromAnswer: true},
-		{name: "a new watcher does not wait", noWait: true},
-		{name: "renewals ignored", anyRenewal: true},
-		{name: "epoch not checked", anyEpoch: true},
-		{name: "freed at once", freed: true},
+		{name: "counted from the answer", fromReply: true},
+		{name: "a new watcher does not wait", noInitialWait: true},
+		{name: "renewals ignored", ignoreRenewals: true},
+		{name: "epoch not checked", ignoreReplyEpoch: true},
+		{name: "freed at once", freeWithoutExpiry: true},
 	} {
-		all, caught := 0, false
-		for _, r := range [][3]int8{{4, 6, 6}, {4, 4, 5}, {6, 5, 4}} { // a, b, and whoever takes away
-			n, broken := search(v, [2]int8{r[0], r[1]}, r[2])
-			all, caught = all+n, caught || broken
+		total, caught := 0, false
+		for _, rates := range [][3]int8{{4, 6, 6}, {4, 4, 5}, {6, 5, 4}} { // clock rates of a, b and the observer
+			states, violated := search(v, [2]int8{rates[0], rates[1]}, rates[2])
+			total, caught = total+states, caught || violated
 		}
-		if t.Logf("%q: %d states, broken %v", v.name, all, caught); caught != (v.name != "") {
-			t.Errorf("%q: two members count on one lease: %v", v.name, caught)
+		if t.Logf("%q: %d states, violated %v", v.name, total, caught); caught != (v.name != "") {
+			t.Errorf("%q: two members rely on one lease: %v", v.name, caught)
 		}
 	}
 }
--- a/internal/lease/table.go
+++ b/internal/lease/table.go
@@ -6,30 +6,30 @@
 	"slices"
 )
 
-// Table is the state that the log drives. The same entries lead every member to the same table. It
-// is not safe for concurrent use.
+// Table is the replicated state of all leases. Members that apply the same entries in the same order
+// have equal tables. It is not safe for concurrent use.
 type Table struct {
-	Epoch        uint64              `json:"epoch"` // the highest that was ever granted, over all leases
+	Epoch        uint64              `json:"epoch"` // the highest granted so far, over all leases
 	Leases       map[string]*Lease   `json:"leases"`
-	Incarnations map[string]uint64   `json:"lives"` // the highest that was seen of each member
-	Addresses    map[string]string   `json:"addrs"` // where each member listens, as it told the leader
-	ReadMarks    map[string]ReadMark `json:"marks"` // how far each member had read the log
+	Incarnations map[string]uint64   `json:"lives"` // the highest seen of each member
+	Addresses    map[string]string   `json:"addrs"` // the listen address that each member reported to the leader
+	ReadMarks    map[string]ReadMark `json:"marks"` // each member's last known position in the log
 }
 
-// ReadMark is how far a member had read the log in an incarnation.
+// ReadMark is the position up to which an incarnation of a member had read the log.
 type ReadMark struct {
 	Incarnation uint64 `json:"life"`
-	Entry       uint64 `json:"entry"`
+	Entry       uint64 `json:"entry"` // index of the last log entry read
 }
 
-// Bounds of a table, so that a faulty member cannot fill the others' memory.
+// Bounds of a table, so that a faulty member cannot exhaust the memory of the others.
 const (
 	MaxLeases  = 1024
 	MaxMembers = 1024
 	MaxName    = 128 // bytes
 )
 
-// NewTable returns the table before the first entry.
+// NewTable returns an empty table, to which no entry has been applied.
 func NewTable() *Table {
 	return &Table{
 		Leases:       map[string]*Lease{},
@@ -39,10 +39,10 @@
 	}
 }
 
-// QuotaSum is the sum of all quotas of a limit, without the lease named except.
+// QuotaSum returns the sum of all quotas of a limit that are held, without the lease named except.
 func (t *Table) QuotaSum(limit, except string) (sum int64) {
 	for name, lease := range t.Leases {
-		if of, ok := QuotaLimit(name); ok && of == limit && name != except && lease.Holder != "" {
+		if quotaOf, ok := QuotaLimit(name); ok && quotaOf == limit && name != except && lease.Holder != "" {
 			sum += lease.Amount
 		}
 	}
@@ -76,7 +76,8 @@
 	return clone
 }
 
-// ensureMember adds a member that is not known yet, and reports whether there is room for it.
+// ensureMember adds a member unless the table has it already. It reports whether the member is in
+// the table: a member is not added if its name is empty or too long, or if the table is full.
 func (t *Table) ensureMember(member string) bool {
 	if _, ok := t.Incarnations[member]; ok {
 		return true
@@ -88,7 +89,8 @@
 	return true
 }
 
-// ensureLease finds a lease or adds it; nil where there is no room.
+// ensureLease returns a lease and adds it if needed. It returns nil if the name is empty or too long,
+// or if the table is full.
 func (t *Table) ensureLease(name string) *Lease {
 	if lease := t.Leases[name]; lease != nil {
 		return lease
@@ -101,17 +103,17 @@
 	return lease
 }
 
-// raiseIncarnation records an incarnation of a member that is known.
+// raiseIncarnation records an incarnation of a member unless a later one has been recorded.
 func (t *Table) raiseIncarnation(member string, incarnation uint64) {
 	t.Incarnations[member] = max(t.Incarnations[member], incarnation)
 }
 
-// ref names the lease in its present state.
+// ref returns a reference to the lease in its present state.
 func (l *Lease) ref(name string) Ref {
 	return Ref{Name: name, Epoch: l.Epoch, Renewal: l.Renewal, Amount: l.Amount}
 }
 
-// free ends the holding. The epoch, the renewal and the preferred member stay.
+// free clears the holder. The epoch, the renewal count and the preferred holder are kept.
 func (l *Lease) free() {
 	l.Holder, l.Incarnation = "", 0
 	l.Revoked = false
