--- a/internal/assignment/assign.go
+++ b/internal/assignment/assign.go
@@ -1,6 +1,7 @@
-// Package assignment decides which member of a group should hold which duty, how a limit is divided
-// among members, and when a holder acts. It is pure: who is present, and times, are given. Who
-// holds a duty is not decided here but by the lease; this only says who should ask for it.
+// Package assignment decides which member of a group should hold which duty, how a shared limit is
+// divided among members, and when the holder of a duty executes it. It is pure: the caller passes
+// in the present members and all times. The lease, not this package, determines who holds a duty;
+// an assignment only determines which member should request the lease.
 package assignment
 
 import (
@@ -9,72 +10,74 @@
 	"slices"
 )
 
-// Member is one that may hold duties.
+// Member is a group member that may hold duties.
 type Member struct {
 	Name   string
-	Weight float64         // how much it should hold beside the others; 0 counts as 1
-	Offers map[string]bool // the duties that its file names
+	Weight float64         // its share of the duties, relative to the other members; 0 counts as 1
+	Offers map[string]bool // the duties that it is configured to hold
 }
 
-// LoadSlack is how far over its even part a member may be loaded before duties go to others.
-// Bounded load keeps one member from holding all duties, and the slack keeps duties from moving for
-// each small change.
+// LoadSlack is the fraction by which a member's number of duties may exceed its proportional share
+// before duties go to other members. The bound keeps one member from holding all duties, and the
+// slack keeps duties from moving on each small change.
 const LoadSlack = 0.25
 
-// Assign tells who should hold each duty; a duty that nobody offers is not in the result. holders
-// are the present holders, prefer the members that an operator named. A duty that has a present
-// holder moves only if another was named, if the holder is over its bound, or if rendezvous hashing
-// gives it to another who holds at least two fewer. Once all is held as assigned, nothing moves.
-// Only names decide, so all that know the same get the same result.
-func Assign(duties []string, members []Member, holders, prefer map[string]string) map[string]string {
+// Assign returns the member that should hold each duty. A duty that no member offers is not in the
+// result. holders has the present holder of each duty, and preferred the member that an operator
+// chose. A duty with a present holder moves only if another member is preferred, if the holder
+// exceeds its maximum load, or if rendezvous hashing selects another member that holds at least two
+// duties fewer. Once all duties are held as assigned, nothing moves. The result depends on the
+// arguments alone, so all members with the same input compute the same assignment.
+func Assign(duties []string, members []Member, holders, preferred map[string]string) map[string]string {
 	a := assigner{
 		duties:  slices.Sorted(slices.Values(duties)),
 		members: members,
 		load:    map[string]int{},
 		holder:  map[string]string{},
-		named:   map[string]bool{},
+		pinned:  map[string]bool{},
 	}
 	for i := range members {
 		a.totalWeight += members[i].weight()
 	}
-	a.keepHolders(holders, prefer)
+	a.keepHolders(holders, preferred)
 	for i := range members {
-		a.relieve(&members[i])
+		a.freeExcess(&members[i])
 	}
 	a.assignFree()
-	for a.moveOnce() { // each move evens the load out, so this ends
+	for a.rebalanceOnce() { // terminates, as each move makes the load more even
 	}
 	return a.holder
 }
 
-// assigner is the state of one Assign.
+// assigner is the working state of one call of Assign.
 type assigner struct {
 	duties      []string // sorted
 	members     []Member
 	totalWeight float64
-	load        map[string]int    // duties of each member
-	holder      map[string]string // of each duty
-	named       map[string]bool   // the duties whose holder an operator named: they go before all bounds
+	load        map[string]int    // number of duties of each member
+	holder      map[string]string // the member assigned to each duty
+	pinned      map[string]bool   // duties assigned to their preferred member: they stay there whatever its load
 }
 
-// keepHolders gives each duty to the member that was named for it, else to its present holder.
-func (a *assigner) keepHolders(holders, prefer map[string]string) {
+// keepHolders assigns each duty to its preferred member, else to its present holder.
+func (a *assigner) keepHolders(holders, preferred map[string]string) {
 	for _, duty := range a.duties {
-		if member := a.find(prefer[duty]); member != nil && member.Offers[duty] {
+		if member := a.findMember(preferred[duty]); member != nil && member.Offers[duty] {
 			a.assign(duty, member.Name)
-			a.named[duty] = true
-		} else if member := a.find(holders[duty]); member != nil && member.Offers[duty] {
+			a.pinned[duty] = true
+		} else if member := a.findMember(holders[duty]); member != nil && member.Offers[duty] {
 			a.assign(duty, member.Name)
 		}
 	}
 }
 
-// relieve takes from a member what is over its bound: the duties with the lowest score.
-func (a *assigner) relieve(member *Member) {
-	for a.load[member.Name] > a.bound(member) {
+// freeExcess frees duties of a member until it is within its maximum load, those with the lowest
+// score first. Pinned duties stay.
+func (a *assigner) freeExcess(member *Member) {
+	for a.load[member.Name] > a.maxLoad(member) {
 		lowest, lowestScore := "", math.Inf(1)
 		for _, duty := range a.duties {
-			if value := score(duty, member); a.holder[duty] == member.Name && !a.named[duty] && value < lowestScore {
+			if value := score(duty, member); a.holder[duty] == member.Name && !a.pinned[duty] && value < lowestScore {
 				lowest, lowestScore = duty, value
 			}
 		}
@@ -85,13 +88,14 @@
 	}
 }
 
-// assignFree gives each free duty to the best member that has room, else to the least loaded.
+// assignFree assigns each free duty to the best member below its maximum load, else to the least
+// loaded member.
 func (a *assigner) assignFree() {
 	for _, duty := range a.duties {
 		if a.holder[duty] != "" {
 			continue
 		}
-		member := a.best(duty, a.hasRoom)
+		member := a.bestMember(duty, a.belowMaxLoad)
 		if member == "" {
 			member = a.leastLoaded(duty)
 		}
@@ -101,24 +105,25 @@
 	}
 }
 
-// moveOnce goes over all duties and moves each that its best member should hold, if that member
-// holds at least two fewer than the present one. It reports whether a duty moved.
-func (a *assigner) moveOnce() (moved bool) {
+// rebalanceOnce moves each duty to its best member if that member is below its maximum load and holds
+// at least two duties fewer than the present holder. It reports whether a duty moved.
+func (a *assigner) rebalanceOnce() (moved bool) {
 	for _, duty := range a.duties {
-		from := a.holder[duty]
-		if a.named[duty] || from == "" {
+		current := a.holder[duty]
+		if a.pinned[duty] || current == "" {
 			continue
 		}
-		to := a.best(duty, a.hasRoom)
-		if a.load[from] >= a.load[to]+2 && to == a.best(duty, func(*Member) bool { return true }) {
-			a.assign(duty, to)
+		target := a.bestMember(duty, a.belowMaxLoad)
+		if a.load[current] >= a.load[target]+2 && target == a.bestMember(duty, func(*Member) bool { return true }) {
+			a.assign(duty, target)
 			moved = true
 		}
 	}
 	return moved
 }
 
-func (a *assigner) find(name string) *Member {
+// findMember returns the member of a name, or nil.
+func (a *assigner) findMember(name string) *Member {
 	if name == "" {
 		return nil
 	}
@@ -130,12 +135,14 @@
 	return nil
 }
 
+// assign assigns a duty to a member in place of its present holder.
 func (a *assigner) assign(duty, member string) {
 	a.free(duty)
 	a.holder[duty] = member
 	a.load[member]++
 }
 
+// free takes a duty from its holder.
 func (a *assigner) free(duty string) {
 	if member, ok := a.holder[duty]; ok {
 		a.load[member]--
@@ -143,43 +150,46 @@
 	}
 }
 
-// bound is the most duties that a member should hold.
-func (a *assigner) bound(member *Member) int {
+// maxLoad returns the largest number of duties that a member should hold.
+func (a *assigner) maxLoad(member *Member) int {
 	return int(math.Ceil((1 + LoadSlack) * float64(len(a.duties)) * member.weight() / a.totalWeight))
 }
 
-func (a *assigner) hasRoom(member *Member) bool { return a.load[member.Name] < a.bound(member) }
+func (a *assigner) belowMaxLoad(member *Member) bool { return a.load[member.Name] < a.maxLoad(member) }
 
-// best is the eligible member with the highest score among those that offer a duty.
-func (a *assigner) best(duty string, eligible func(*Member) bool) (best string) {
+// bestMember returns the eligible member with the highest score among those that offer a duty, or "".
+// Names break ties.
+func (a *assigner) bestMember(duty string, eligible func(*Member) bool) (bestMember string) {
 	bestScore := math.Inf(-1)
 	for i := range a.members {
 		member := &a.members[i]
 		if !member.Offers[duty] || !eligible(member) {
 			continue
 		}
-		if value := score(duty, member); value > bestScore || value == bestScore && member.Name < best {
-			best, bestScore = member.Name, value
+		if value := score(duty, member); value > bestScore || value == bestScore && member.Name < bestMember {
+			bestMember, bestScore = member.Name, value
 		}
 	}
-	return best
+	return bestMember
 }
 
-// leastLoaded is the member with the fewest duties among those that offer a duty.
-func (a *assigner) leastLoaded(duty string) (least string) {
+// leastLoaded returns the member with the fewest duties among those that offer a duty, or "". Names
+// break ties.
+func (a *assigner) leastLoaded(duty string) (lowest string) {
 	for i := range a.members {
 		member := &a.members[i]
 		if !member.Offers[duty] {
 			continue
 		}
-		load, leastLoad := a.load[member.Name], a.load[least]
-		if least == "" || load < leastLoad || load == leastLoad && member.Name < least {
-			least = member.Name
+		load, lowestLoad := a.load[member.Name], a.load[lowest]
+		if lowest == "" || load < lowestLoad || load == lowestLoad && member.Name < lowest {
+			lowest = member.Name
 		}
 	}
-	return least
+	return lowest
 }
 
+// weight returns the weight of the member, 1 if none is set.
 func (m *Member) weight() float64 {
 	if m.Weight > 0 {
 		return m.Weight
@@ -187,8 +197,8 @@
 	return 1
 }
 
-// score is that of weighted rendezvous hashing: the member with the highest one should hold the
-// duty.
+// score returns the weighted rendezvous hash of a duty and a member. The member with the highest score
+// should hold the duty.
 func score(duty string, member *Member) float64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(duty))
@@ -198,12 +208,12 @@
 	return -member.weight() / math.Log(uniform)
 }
 
-// mix is the finalizer of MurmurHash3: FNV hashes of names that differ in their last letter only
-// lie close together.
-func mix(x uint64) uint64 {
-	x ^= x >> 33
-	x *= 0xff51afd7ed558ccd
-	x ^= x >> 33
-	x *= 0xc4ceb9fe1a85ec53
-	return x ^ x>>33
+// mix applies the finalizer of MurmurHash3. Without it, FNV hashes of names that differ only in the
+// last letter are close together.
+func mix(hash uint64) uint64 {
+	hash ^= hash >> 33
+	hash *= 0xff51afd7ed558ccd
+	hash ^= hash >> 33
+	hash *= 0xc4ceb9fe1a85ec53
+	return hash ^ hash>>33
 }
--- a/internal/assignment/presence.go
+++ b/internal/assignment/presence.go
@@ -5,64 +5,65 @@
 	"time"
 )
 
-// Presence tells which members are present, by when each was last heard. A member that comes, or
-// comes back, has to be present without a gap for a while before duties move to it; longer each
-// time it was soon gone again, so that a member that flaps moves nothing. It is not safe for
-// concurrent use.
+// Presence tracks which members are present, by the time of each member's last heartbeat. A member
+// that joins or returns must be present without a gap for a settle time before duties move to it. The
+// settle time grows each time the member is soon absent again, so that a flapping member moves no
+// duties. It is not safe for concurrent use.
 type Presence struct {
-	gap, settle time.Duration
-	visits      map[string]*visit
+	maxGap, settleTime time.Duration
+	visits             map[string]*visit // the latest visit of each member
 }
 
-// visit is a stretch of time without a gap in which a member was heard.
+// visit is an interval in which heartbeats of a member arrived without a gap longer than maxGap.
 type visit struct {
-	since, last time.Duration
-	settle      time.Duration // how long the member has to be present before it has settled
+	start, lastSeen time.Duration
+	settleTime      time.Duration // how long the member must be present before it has settled
 }
 
 const (
-	// maxSettle bounds how long a member that flaps is waited for.
-	maxSettle = time.Minute
+	// maxSettleTime bounds the settle time of a flapping member.
+	maxSettleTime = time.Minute
 
-	// minFlapSettle is the least wait for a member that flaps, before it is doubled.
-	minFlapSettle = time.Millisecond
+	// minFlapSettleTime is the smallest settle time that is doubled for a flapping member, so that
+	// doubling also has an effect where the configured settle time is 0.
+	minFlapSettleTime = time.Millisecond
 
-	// flapVisits is how many settle times a visit lasts at least that does not count as flapping.
-	flapVisits = 4
+	// stableVisitFactor is how many settle times a visit must last in order not to count as flapping.
+	stableVisitFactor = 4
 )
 
-// NewPresence returns a Presence that has heard nobody. A member that was not heard for gap is
+// NewPresence returns a Presence without members. A member without a heartbeat for more than maxGap is
 // absent.
-func NewPresence(gap, settle time.Duration) *Presence {
-	return &Presence{gap: gap, settle: settle, visits: map[string]*visit{}}
+func NewPresence(maxGap, settleTime time.Duration) *Presence {
+	return &Presence{maxGap: maxGap, settleTime: settleTime, visits: map[string]*visit{}}
 }
 
-// HeardFrom records that a member was heard. first reports that it was absent before.
+// HeardFrom records a heartbeat of a member. first reports whether the member was absent before.
 func (p *Presence) HeardFrom(name string, now time.Duration) (first bool) {
 	latest := p.visits[name]
 	if latest == nil {
-		p.visits[name] = &visit{since: now, last: now, settle: p.settle}
+		p.visits[name] = &visit{start: now, lastSeen: now, settleTime: p.settleTime}
 		return true
 	}
-	if now-latest.last > p.gap {
-		if stayed := latest.last - latest.since; stayed < flapVisits*latest.settle {
-			latest.settle = min(2*max(latest.settle, minFlapSettle), maxSettle)
+	if now-latest.lastSeen > p.maxGap {
+		if duration := latest.lastSeen - latest.start; duration < stableVisitFactor*latest.settleTime {
+			latest.settleTime = min(2*max(latest.settleTime, minFlapSettleTime), maxSettleTime)
 		} else {
-			latest.settle = p.settle
+			latest.settleTime = p.settleTime
 		}
-		latest.since, first = now, true
+		latest.start, first = now, true
 	}
-	latest.last = max(latest.last, now)
+	latest.lastSeen = max(latest.lastSeen, now)
 	return first
 }
 
 // Present reports whether a member is present, and whether it has settled.
 func (p *Presence) Present(name string, now time.Duration) (present, settled bool) {
 	latest := p.visits[name]
-	if latest == nil || now-latest.last > p.gap {
+	if latest == nil || now-latest.lastSeen > p.maxGap {
 		return false, false
 	}
-	return true, now-latest.since >= latest.settle
+	return true, now-latest.start >= latest.settleTime
 }
 
 // All lists the members that are present, sorted by name.
@@ -76,10 +77,10 @@
 	return names
 }
 
-// Forget drops the members that were last heard longer than after ago.
-func (p *Presence) Forget(now, after time.Duration) {
+// Forget drops the members whose last heartbeat is more than maxAge ago.
+func (p *Presence) Forget(now, maxAge time.Duration) {
 	for name, latest := range p.visits {
-		if now-latest.last > after {
+		if now-latest.lastSeen > maxAge {
 			delete(p.visits, name)
 		}
 	}
--- a/internal/assignment/schedule.go
+++ b/internal/assignment/schedule.go
@@ -2,33 +2,35 @@
 
 import "time"
 
-// Schedule is when a holder acts: once a period, and after acts that failed less often, up to
-// maxBackoff periods. It is not safe for concurrent use.
+// Schedule determines when the holder of a duty executes it: once per period, and less often after
+// failed executions, with pauses of up to maxBackoff periods. It is not safe for concurrent use.
 type Schedule struct {
-	Every    time.Duration
+	Every    time.Duration // the period
 	next     time.Duration
 	failures int // consecutive
 }
 
 const (
-	// maxBackoff is the longest pause after failed acts, in periods.
+	// maxBackoff is the longest pause after failed executions, in periods.
 	maxBackoff = 32
 
-	// maxDoublings bounds the doublings of the pause, so that it does not overflow.
+	// maxDoublings bounds how often the pause is doubled, so that it does not overflow.
 	maxDoublings = 10
 )
 
-// Start begins anew: the first act is due at once, as the previous holder may have missed some.
+// Start resets the schedule for a new holder. The first execution is due at once, as the previous
+// holder may have missed some.
 func (s *Schedule) Start(now time.Duration) { s.next, s.failures = now, 0 }
 
-// Due reports whether an act is due, and when the next one is.
+// Due reports whether an execution is due, and returns the time at which the next one is or was due.
 func (s *Schedule) Due(now time.Duration) (bool, time.Duration) { return now >= s.next, s.next }
 
-// Started records that an act began: the next one is a period later. Missed periods are not made up
-// for.
+// Started records the start of an execution. The next one is due a period after the due time of this
+// one, and not before half a period from now: missed periods are not made up for.
 func (s *Schedule) Started(now time.Duration) { s.next = max(s.next+s.Every, now+s.Every/2) }
 
-// Finished records how an act ended.
+// Finished records the end of an execution and whether it succeeded. After failures in a row, the pause
+// until the next execution doubles each time.
 func (s *Schedule) Finished(now time.Duration, ok bool) {
 	if ok {
 		s.failures = 0
