--- a/internal/quota/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -12,11 +12,11 @@
 	"brackendale/internal/testing/golden"
 )
 
-// TestGoldenSaved holds the JSON of a limit that is saved, and the limit that comes of it.
-func TestGoldenSaved(t *testing.T) {
-	var heard Limit
-	heard.Observe(1_234_567, 0.625, 160)
-	raw, err := json.Marshal(heard.State())
+// TestGoldenState checks the JSON of a stored limit, and that the same limit is restored from it.
+func TestGoldenState(t *testing.T) {
+	var limit Limit
+	limit.Observe(1_234_567, 0.625, 160)
+	raw, err := json.Marshal(limit.State())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,7 +29,7 @@
 	if err := json.Unmarshal(stored, &saved); err != nil {
 		t.Fatal(err)
 	}
-	if got := FromState(saved); got != heard {
+	if got := FromState(saved); got != limit {
 		t.Errorf("read back: %+v", got)
 	}
 }
@@ -43,21 +43,22 @@
 	golden.Check(t, "behaviour.txt", out.String())
 }
 
-// limitScenario hears reports, some of them out of bounds, and restarts now and then.
+// limitScenario observes reports, some of them out of range, and restores a stored state now and then.
 func limitScenario(seed int64) func(int) string {
 	rng := rand.New(rand.NewSource(seed))
-	var l Limit
+	var limit Limit
 	now := int64(0)
 	return func(i int) string {
 		now += rng.Int63n(1 << rng.Intn(24))
 		if i > 3 && rng.Intn(3) == 0 {
-			l.Observe(now, rng.Float64()*1.4-0.2, float64(rng.Intn(500)-20))
+			limit.Observe(now, rng.Float64()*1.4-0.2, float64(rng.Intn(500)-20))
 		}
 		if rng.Intn(50) == 0 {
-			l = FromState(l.State())
+			limit = FromState(limit.State())
 		}
 		senders := float64(rng.Intn(200))
-		at := now + rng.Int63n(5_000_000) - 1_000_000
-		return fmt.Sprint(l.Known(), l.MaxRate(at, senders), l.EvenShare(senders), l.MinRate(senders), l.State())
+		readAt := now + rng.Int63n(5_000_000) - 1_000_000
+		return fmt.Sprint(limit.Known(), limit.MaxRate(readAt, senders), limit.EvenShare(senders),
+			limit.MinRate(senders), limit.State())
 	}
 }
--- a/internal/quota/limit_test.go
+++ b/internal/quota/limit_test.go
@@ -5,42 +5,43 @@
 	"testing"
 )
 
-func TestPartFollowsWhatIsToldAndFades(t *testing.T) {
-	var l Limit
-	if l.Known() || !math.IsInf(l.MaxRate(0, 80), 1) || l.MinRate(80) != 0 {
-		t.Fatal("a limit before any was reported")
+// The highest rate grows with the reported headroom within bounds, and decays to the even share when no
+// further report arrives.
+func TestMaxRateFollowsReportsAndDecays(t *testing.T) {
+	var limit Limit
+	if limit.Known() || !math.IsInf(limit.MaxRate(0, 80), 1) || limit.MinRate(80) != 0 {
+		t.Fatal("there is a limit before any was reported")
 	}
 	last := 0.0
-	for _, left := range []float64{-1, 0, 0.3, 0.5, 0.8, 0.9, 1, 7} {
-		l.Observe(1000, left, 160)
-		x := l.MaxRate(1000, 80)
-		if x < last || x < 2*emptyFactor || x > 6.1 || l.MinRate(80) >= x {
-			t.Errorf("%v left: a part of %v after %v", left, x, last)
+	for _, headroom := range []float64{-1, 0, 0.3, 0.5, 0.8, 0.9, 1, 7} {
+		limit.Observe(1000, headroom, 160)
+		rate := limit.MaxRate(1000, 80)
+		if rate < last || rate < 2*emptyFactor || rate > 6.1 || limit.MinRate(80) >= rate {
+			t.Errorf("headroom %v: a rate of %v, after %v at the headroom before", headroom, rate, last)
 		}
-		last = x
-		if y := l.MaxRate(60_000_000, 80); math.Abs(y-2) > 0.01 {
-			t.Errorf("%v left, reported a minute ago: a part of %v, not the even one", left, y)
+		last = rate
+		if decayed := limit.MaxRate(60_000_000, 80); math.Abs(decayed-2) > 0.01 {
+			t.Errorf("headroom %v, reported a minute ago: a rate of %v, not the even share", headroom, decayed)
 		}
 	}
-	l.Observe(2000, 0, 0)
-	if l.Known() {
-		t.Error("no limit is reported, and one is known")
+	limit.Observe(2000, 0, 0)
+	if limit.Known() {
+		t.Error("a report without a limit left the old limit in effect")
 	}
-	for _, n := range []float64{0, -4, 1} { // settings that make no sense count as one sender
-		if l.Observe(0, 0.5, 10); l.MaxRate(0, n) != 10*(emptyFactor+slope/2) {
-			t.Errorf("%v senders: %v", n, l.MaxRate(0, n))
+	for _, senders := range []float64{0, -4, 1} { // invalid numbers count as one sender
+		if limit.Observe(0, 0.5, 10); limit.MaxRate(0, senders) != 10*(emptyFactor+slope/2) {
+			t.Errorf("%v senders: a rate of %v", senders, limit.MaxRate(0, senders))
 		}
 	}
 }
 
-// The parts of all senders together stay near the limit while little of it is left, so that it
-// recovers.
-func TestSumOfPartsIsUnderAnEmptyLimit(t *testing.T) {
-	for _, n := range []int{1, 3, 80, 10_000} {
-		var l Limit
-		l.Observe(0, 0, 77)
-		if sum := float64(n) * l.MaxRate(0, float64(n)); sum > 0.9*77 {
-			t.Errorf("%d senders: %v of 77 calls a second with nothing left", n, sum)
+// The rates of all senders together stay below a limit without headroom, so that it recovers.
+func TestSumOfRatesIsBelowEmptyLimit(t *testing.T) {
+	for _, senders := range []int{1, 3, 80, 10_000} {
+		var limit Limit
+		limit.Observe(0, 0, 77)
+		if sum := float64(senders) * limit.MaxRate(0, float64(senders)); sum > 0.9*77 {
+			t.Errorf("%d senders: %v of 77 calls per second at a headroom of 0", senders, sum)
 		}
 	}
 }
