--- a/internal/limits/concurrent.go
+++ b/internal/limits/concurrent.go
@@ -1,16 +1,16 @@
 package limits
 
-// Concurrent allows so many units at a time.
-type Concurrent struct {
+// ConcurrencyLimit limits how many units are in progress at the same time.
+type ConcurrencyLimit struct {
 	max  int64
 	used int64
 }
 
-// NewConcurrent returns a limit of at least 1.
-func NewConcurrent(most int64) *Concurrent { return &Concurrent{max: max(1, most)} }
+// NewConcurrencyLimit returns a limit of at least 1.
+func NewConcurrencyLimit(limit int64) *ConcurrencyLimit { return &ConcurrencyLimit{max: max(1, limit)} }
 
-// Take begins units.
-func (c *Concurrent) Take(_, units int64) bool {
+// Take begins units, all of them or none, and reports whether it did.
+func (c *ConcurrencyLimit) Take(_, units int64) bool {
 	if c.used+units > c.max {
 		return false
 	}
@@ -18,16 +18,16 @@
 	return true
 }
 
-// Give ends units.
-func (c *Concurrent) Give(_, units int64) { c.used = max(0, c.used-units) }
+// Return ends units that Take began.
+func (c *ConcurrencyLimit) Return(_, units int64) { c.used = max(0, c.used-units) }
 
-// When is now, or Never: nobody knows when a unit ends.
-func (c *Concurrent) When(now, units int64) int64 {
+// When returns now, or Never if too many units are in progress: it is not known when they end.
+func (c *ConcurrencyLimit) When(now, units int64) int64 {
 	if c.used+units > c.max {
 		return Never
 	}
 	return now
 }
 
-// Used is how many units have begun and not ended.
-func (c *Concurrent) Used() int64 { return c.used }
+// Used returns the number of units in progress.
+func (c *ConcurrencyLimit) Used() int64 { return c.used }
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -1,40 +1,41 @@
-// Package limits has the parts of which the limits of a route and a class are made: rates, windows,
-// concurrency and quotas, with one interface, and a fair order among tenants. All of it is pure:
-// times are given, in microseconds of any one clock that does not run backwards, and no part
-// decides anything but whether its own limit allows so much more. Nothing here is safe for
-// concurrent use.
+// Package limits implements the limiters from which the limits of routes and classes are built (rate,
+// sliding window, concurrency and daily quota, behind one interface), and a fair queue for tenants.
+// The package is pure: the caller passes in all times, in microseconds of one clock that does not run
+// backwards, and each limiter only determines whether its own limit allows a number of further units.
+// Nothing here is safe for concurrent use.
 //
-// The limits are exact: levels are whole numbers, so that nothing drifts however long they run.
+// The limiters are exact: they compute with integers, so that no rounding error accumulates however
+// long they run.
 package limits
 
 import "math"
 
-// Never is the time of what will not happen by itself.
+// Never is the time of an event that does not happen by the passage of time alone.
 const Never = math.MaxInt64
 
-// Limiter is one limit.
+// Limiter is one limit on the number of units that may be taken.
 type Limiter interface {
 	// Take takes units, all of them or none, and reports whether it did.
 	Take(now, units int64) bool
 
-	// Give returns what Take took: for a concurrency limit as it ends, for the others when it was
-	// not used.
-	Give(now, units int64)
+	// Return returns units that Take took: to a concurrency limit when they end, to the others when
+	// they were not used.
+	Return(now, units int64)
 
-	// When is the earliest time at which Take of units would succeed if nothing else happened
-	// meanwhile; Never where that needs a Give, or is impossible.
+	// When returns the earliest time at which Take of units would succeed if there were no other
+	// calls until then; Never if it cannot succeed at all or not without a Return.
 	When(now, units int64) int64
 }
 
-// All is several limits of which each must allow what is taken.
+// All combines several limiters. Each of them must allow what is taken.
 type All []Limiter
 
-// Take takes from each limit, or from none.
+// Take takes units from every limiter, or from none.
 func (a All) Take(now, units int64) bool {
 	for i, limit := range a {
 		if !limit.Take(now, units) {
 			for _, taken := range a[:i] {
-				taken.Give(now, units)
+				taken.Return(now, units)
 			}
 			return false
 		}
@@ -42,15 +43,15 @@
 	return true
 }
 
-// Give returns to each limit.
-func (a All) Give(now, units int64) {
+// Return returns units to every limiter.
+func (a All) Return(now, units int64) {
 	for _, limit := range a {
-		limit.Give(now, units)
+		limit.Return(now, units)
 	}
 }
 
-// When is when all limits would allow it: each only comes nearer to allowing it while nothing is
-// taken.
+// When returns the latest of the times of all limiters. This is right because, while nothing is taken, a
+// limiter that allows a number of units continues to do so.
 func (a All) When(now, units int64) int64 {
 	at := now
 	for _, limit := range a {
--- a/internal/limits/quota.go
+++ b/internal/limits/quota.go
@@ -2,29 +2,31 @@
 
 import "time"
 
-// Quota allows so many units in each calendar day of a place, whatever its days' lengths: one on
-// which clocks change has 23 or 25 hours. Its times are microseconds of the wall clock since 1970.
-type Quota struct {
-	max   int64
-	place *time.Location
+// DailyQuota limits how many units are taken in a calendar day of a time zone, whatever the length of
+// the day: when daylight saving time begins or ends, it has 23 or 25 hours. Times are wall clock times
+// in microseconds since 1970.
+type DailyQuota struct {
+	max      int64
+	location *time.Location
 	QuotaState
-	dayEnd int64 // 0: not worked out yet
+	dayEnd int64 // 0: not computed yet
 }
 
-// QuotaState is what a quota must know again after a restart.
+// QuotaState is the state of a quota that must be restored after a restart.
 type QuotaState struct {
-	Day  int64 `json:"Day"`  // when the day began in which Used was taken
-	Used int64 `json:"Used"` // units
+	Day  int64 `json:"Day"`  // the start of the day in which Used was counted
+	Used int64 `json:"Used"` // units taken in that day
 }
 
-// NewQuota returns a quota; state is what an earlier incarnation knew, or nothing.
-func NewQuota(most int64, place *time.Location, state QuotaState) *Quota {
-	return &Quota{max: max(0, most), place: place, QuotaState: state}
+// NewDailyQuota returns a quota of limit units per day; state is the state of an earlier incarnation, or
+// the zero value.
+func NewDailyQuota(limit int64, location *time.Location, state QuotaState) *DailyQuota {
+	return &DailyQuota{max: max(0, limit), location: location, QuotaState: state}
 }
 
-// update begins a new day if now is in one. A clock that was set back stays in the day that it came
-// from: nothing is allowed twice.
-func (q *Quota) update(now int64) {
+// update begins a new day if now is past the end of the current one. When the clock is set back, the
+// quota stays in the later day, so that the units of a day are not allowed twice.
+func (q *DailyQuota) update(now int64) {
 	if q.dayEnd == 0 {
 		_, q.dayEnd = q.dayOf(q.Day)
 	}
@@ -34,15 +36,15 @@
 	}
 }
 
-// dayOf is the calendar day that a time is in.
-func (q *Quota) dayOf(at int64) (start, end int64) {
-	year, month, day := time.UnixMicro(at).In(q.place).Date()
-	midnight := func(day int) int64 { return time.Date(year, month, day, 0, 0, 0, 0, q.place).UnixMicro() }
+// dayOf returns the start and the end of the calendar day that a time is in.
+func (q *DailyQuota) dayOf(at int64) (start, end int64) {
+	year, month, day := time.UnixMicro(at).In(q.location).Date()
+	midnight := func(day int) int64 { return time.Date(year, month, day, 0, 0, 0, 0, q.location).UnixMicro() }
 	return midnight(day), midnight(day + 1)
 }
 
-// Take takes units of the day's.
-func (q *Quota) Take(now, units int64) bool {
+// Take takes units of the current day, all of them or none, and reports whether it did.
+func (q *DailyQuota) Take(now, units int64) bool {
 	q.update(now)
 	if q.Used+units > q.max {
 		return false
@@ -51,14 +53,15 @@
 	return true
 }
 
-// Give returns to the same day what was not used.
-func (q *Quota) Give(now, units int64) {
+// Return returns unused units to the current day.
+func (q *DailyQuota) Return(now, units int64) {
 	q.update(now)
 	q.Used = max(0, q.Used-units)
 }
 
-// When is now, or the next midnight.
-func (q *Quota) When(now, units int64) int64 {
+// When returns now, the next midnight if too few units are left of the day, or Never if units exceeds the
+// quota of a whole day.
+func (q *DailyQuota) When(now, units int64) int64 {
 	q.update(now)
 	switch {
 	case units > q.max:
@@ -69,8 +72,8 @@
 	return now
 }
 
-// Left is how many units are left of the day.
-func (q *Quota) Left(now int64) int64 {
+// Left returns the number of units left of the day.
+func (q *DailyQuota) Left(now int64) int64 {
 	q.update(now)
 	return q.max - q.Used
 }
