--- a/internal/policy/rules.go
+++ b/internal/policy/rules.go
@@ -10,21 +10,21 @@
 	"text/tabwriter"
 )
 
-// Scope selects the targets of a rule. An empty field selects all; the empty scope selects everything.
+// Scope selects the targets of a rule. An empty field matches any value; the empty scope matches every target.
 type Scope struct {
-	Class string
-	Dest  *int64
-	Route string
+	Class       string
+	Destination *int64
+	Route       string
 }
 
-// String returns the scope as text, by which New compares scopes.
+// String returns the scope as text. New compares scopes by it.
 func (s Scope) String() string {
 	var parts []string
 	if s.Class != "" {
 		parts = append(parts, "class "+s.Class)
 	}
-	if s.Dest != nil {
-		parts = append(parts, fmt.Sprint("dest ", *s.Dest))
+	if s.Destination != nil {
+		parts = append(parts, fmt.Sprint("dest ", *s.Destination))
 	}
 	if s.Route != "" {
 		parts = append(parts, "route "+s.Route)
@@ -35,23 +35,23 @@
 	return strings.Join(parts, ", ")
 }
 
-// The parts of a rank: one more field outweighs which fields they are.
+// The components of a rank. The number of fields outweighs which fields they are.
 const (
-	rankField = 8
-	rankClass = 1
-	rankDest  = 2
-	rankRoute = 4
+	rankField       = 8
+	rankClass       = 1
+	rankDestination = 2
+	rankRoute       = 4
 )
 
-// rank orders scopes: one with more fields precedes one with fewer; with as many fields a route precedes a destination,
-// and that a class.
+// rank returns the precedence of a scope. A scope with more fields precedes one with fewer. Among scopes with the same
+// number of fields, a route weighs most, then a destination, then a class.
 func (s Scope) rank() int {
 	rank := 0
 	if s.Class != "" {
 		rank += rankField + rankClass
 	}
-	if s.Dest != nil {
-		rank += rankField + rankDest
+	if s.Destination != nil {
+		rank += rankField + rankDestination
 	}
 	if s.Route != "" {
 		rank += rankField + rankRoute
@@ -59,67 +59,71 @@
 	return rank
 }
 
-// covers reports whether a scope selects a target.
+// covers reports whether the scope matches a target.
 func (s Scope) covers(target Target) bool {
-	return (s.Class == "" || s.Class == target.Class) && (s.Dest == nil || *s.Dest == target.Dest) &&
+	return (s.Class == "" || s.Class == target.Class) && (s.Destination == nil || *s.Destination == target.Destination) &&
 		(s.Route == "" || s.Route == target.Route)
 }
 
-// Target is a message's class, destination and route; an empty route is any without a rule of its own.
+// Target is the class, destination and route of a message. An empty route stands for any route without rules of its
+// own.
 type Target struct {
-	Class string
-	Dest  int64
-	Route string
+	Class       string
+	Destination int64
+	Route       string
 }
 
-// Rule is one block of the file.
+// Rule is one block of settings in the file, for the targets of its scope.
 type Rule struct {
 	Scope
-	Line   int // where the block begins
-	Values []Set
+	Line     int // the first line of the block
+	Settings []Setting
 }
 
-// Set is one line of a rule.
-type Set struct {
+// Setting is one line of a rule: a key and its value.
+type Setting struct {
 	Key   string
 	Line  int
 	Value Value
 }
 
-// Fault is an error in a rule, at a line of the file.
-type Fault struct {
+// RuleError is an error in a rule, at a line of the file.
+type RuleError struct {
 	Line int
-	Key  string // empty: the block
+	Key  string // empty if the error concerns the whole block
 	Err  error
 }
 
-// Error names the line, the key and the fault.
-func (f *Fault) Error() string {
-	if f.Key == "" {
-		return fmt.Sprintf("line %d: %v", f.Line, f.Err)
+// Error returns the line, the key and the cause as text.
+func (e *RuleError) Error() string {
+	if e.Key == "" {
+		return fmt.Sprintf("line %d: %v", e.Line, e.Err)
 	}
-	return fmt.Sprintf("line %d: %s: %v", f.Line, f.Key, f.Err)
+	return fmt.Sprintf("line %d: %s: %v", e.Line, e.Key, e.Err)
 }
 
 // Unwrap returns the cause.
-func (f *Fault) Unwrap() error { return f.Err }
+func (e *RuleError) Unwrap() error { return e.Err }
 
-// Policy is all rules. It is immutable, so that any goroutine may use it.
+// Policy is a set of rules. It is immutable and safe for concurrent use.
 type Policy struct {
 	rules []Rule // by descending rank
 }
 
-// New orders rules. It refuses two rules of one scope, and a key twice in a rule: neither would precede the other.
+// New returns a policy of the given rules. It rejects two rules of the same scope, and a key that a rule sets twice, as
+// neither of the two would have precedence.
 func New(rules []Rule) (*Policy, error) {
 	for i, rule := range rules {
 		for _, earlier := range rules[:i] {
 			if earlier.String() == rule.String() {
-				return nil, &Fault{Line: rule.Line, Err: fmt.Errorf("%s has its rule at line %d", rule.Scope, earlier.Line)}
+				return nil, &RuleError{
+					Line: rule.Line, Err: fmt.Errorf("%s already has a rule at line %d", rule.Scope, earlier.Line),
+				}
 			}
 		}
-		for j, set := range rule.Values {
-			if slices.ContainsFunc(rule.Values[:j], func(earlier Set) bool { return earlier.Key == set.Key }) {
-				return nil, &Fault{set.Line, set.Key, errors.New("is there twice")}
+		for j, setting := range rule.Settings {
+			if slices.ContainsFunc(rule.Settings[:j], func(earlier Setting) bool { return earlier.Key == setting.Key }) {
+				return nil, &RuleError{setting.Line, setting.Key, errors.New("is set twice")}
 			}
 		}
 	}
@@ -128,52 +132,53 @@
 	return p, nil
 }
 
-// Held is the value that applies to a key, and where it comes from.
-type Held struct {
+// EffectiveValue is the value that applies to a key for a target, and the scope and the line that set it.
+type EffectiveValue struct {
 	Key   Key
 	Value Value
 	Scope Scope
-	Line  int // 0: the default
+	Line  int // 0 for a default
 }
 
-// Find returns the value of a key for a target: that of the covering rule with the highest rank, or the default.
-func (p *Policy) Find(target Target, key Key) Held {
+// Find returns the value of a key for a target: that of the matching rule with the highest rank, or the default.
+func (p *Policy) Find(target Target, key Key) EffectiveValue {
 	for _, rule := range p.rules {
 		if !rule.covers(target) {
 			continue
 		}
-		for _, set := range rule.Values {
-			if set.Key == key.Name {
-				return Held{key, set.Value, rule.Scope, set.Line}
+		for _, setting := range rule.Settings {
+			if setting.Key == key.Name {
+				return EffectiveValue{key, setting.Value, rule.Scope, setting.Line}
 			}
 		}
 	}
 	value, err := key.Parse(key.Default)
 	if err != nil {
-		panic(fmt.Sprintf("policy: the default of %s: %v", key.Name, err)) // a fault of this package's own table
+		panic(fmt.Sprintf("policy: the default of %s: %v", key.Name, err)) // a mistake in Keys
 	}
-	return Held{Key: key, Value: value}
+	return EffectiveValue{Key: key, Value: value}
 }
 
-// Terms returns what applies to a target, for every key.
-func (p *Policy) Terms(target Target) []Held {
-	list := make([]Held, len(Keys))
+// EffectiveValues returns the values that apply to a target, one for each key.
+func (p *Policy) EffectiveValues(target Target) []EffectiveValue {
+	values := make([]EffectiveValue, len(Keys))
 	for i, key := range Keys {
-		list[i] = p.Find(target, key)
+		values[i] = p.Find(target, key)
 	}
-	return list
+	return values
 }
 
-// Explain writes what applies to a target, and which line it comes from.
+// Explain writes the values that apply to a target and the lines that set them, as a table.
 func (p *Policy) Explain(out io.Writer, target Target) error {
 	table := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
-	for _, held := range p.Terms(target) {
-		from := "default"
-		if held.Line > 0 {
-			from = fmt.Sprintf("line %d (%s)", held.Line, held.Scope)
+	for _, effective := range p.EffectiveValues(target) {
+		source := "default"
+		if effective.Line > 0 {
+			source = fmt.Sprintf("line %d (%s)", effective.Line, effective.Scope)
 		}
-		if _, err := fmt.Fprintf(table, "%s\t%s\t%s\n", held.Key.Name, held.Key.Write(held.Value), from); err != nil {
-			return fmt.Errorf("explaining: %w", err)
+		if _, err := fmt.Fprintf(table, "%s\t%s\t%s\n",
+			effective.Key.Name, effective.Key.Format(effective.Value), source); err != nil {
+			return fmt.Errorf("writing the effective values: %w", err)
 		}
 	}
 	return table.Flush()
@@ -182,18 +187,18 @@
 // Change is one key whose value for a target differs between two policies.
 type Change struct {
 	Target   Target
-	Old, New Held
+	Old, New EffectiveValue
 }
 
-// Diff lists the changes between two policies, for each of the targets.
-func Diff(old, next *Policy, targets []Target) (list []Change) {
+// Diff lists the differences between two policies for the given targets.
+func Diff(old, updated *Policy, targets []Target) (changes []Change) {
 	for _, target := range targets {
 		for _, key := range Keys {
-			before, after := old.Find(target, key), next.Find(target, key)
+			before, after := old.Find(target, key), updated.Find(target, key)
 			if before.Value != after.Value {
-				list = append(list, Change{target, before, after})
+				changes = append(changes, Change{target, before, after})
 			}
 		}
 	}
-	return list
+	return changes
 }
