--- a/internal/group/commands.go
+++ b/internal/group/commands.go
@@ -82,7 +82,7 @@
 	if err := g.removeVoter(node, sender.From); err != nil {
 		return nil, err
 	}
-	entry := lease.Entry{Op: lease.AdmitEmptied, Member: sender.From, Incarnation: sender.Incarnation}
+	entry := lease.Entry{Op: lease.AdmitEmptyLog, Member: sender.From, Incarnation: sender.Incarnation}
 	if _, err := node.propose(entry, g.entryTimeout()); err != nil {
 		return nil, err
 	}
@@ -145,7 +145,7 @@
 	for number := 1; number <= cmd.AtOnce; number++ {
 		result, err := node.propose(lease.Entry{
 			Op: lease.Grant, Name: restartSlotName(cmd.Name, number), Member: sender.From,
-			Incarnation: sender.Incarnation, Hold: cmd.HoldUs,
+			Incarnation: sender.Incarnation, HoldUs: cmd.HoldUs,
 		}, g.entryTimeout())
 		if err != nil {
 			return err.Error()
@@ -194,7 +194,7 @@
 // serves again. The lock is held.
 func (g *Group) restartedLeases(sender helloMessage, ready bool) (refs []lease.Ref) {
 	for name, held := range g.table.Leases {
-		if ready && held.Hold > 0 && held.Holder == sender.From && held.Incarnation < sender.Incarnation {
+		if ready && held.HoldUs > 0 && held.Holder == sender.From && held.Incarnation < sender.Incarnation {
 			refs = append(refs, lease.Ref{Name: name, Epoch: held.Epoch})
 		}
 	}
--- a/internal/group/duty_runner.go
+++ b/internal/group/duty_runner.go
@@ -72,7 +72,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.clock()
-	epoch, may := g.holder.MayAct(runner.Name, now, runner.Longest)
+	epoch, may := g.holder.MayExecute(runner.Name, now, runner.Longest)
 	if !may || g.leaving || g.successors[runner.Name] != "" {
 		return Act{}, false, nil
 	}
--- a/internal/group/golden_values_test.go
+++ b/internal/group/golden_values_test.go
@@ -79,12 +79,12 @@
 func goldenEntries() []lease.Entry {
 	return []lease.Entry{
 		{Op: lease.RecordIncarnation, Member: "a", Incarnation: 3, Recipient: "10.0.0.1:7000", Base: 11},
-		{Op: lease.AdmitEmptied, Member: "b", Incarnation: 2, Recipient: "10.0.0.2:7000", Base: 12},
+		{Op: lease.AdmitEmptyLog, Member: "b", Incarnation: 2, Recipient: "10.0.0.2:7000", Base: 12},
 		{Op: lease.RaiseEpoch, Base: 40},
 		{Op: lease.Prefer, Name: "report", Recipient: "b"},
 		{Op: lease.Grant, Name: "report", Member: "a", Incarnation: 3},
 		{Op: lease.Revoke, Refs: []lease.Ref{{Name: "report", Epoch: 41}}},
-		{Op: lease.Grant, Name: "roll#1", Member: "b", Incarnation: 2, Hold: 90_000_000},
+		{Op: lease.Grant, Name: "roll#1", Member: "b", Incarnation: 2, HoldUs: 90_000_000},
 		{Op: lease.AssignQuota, Name: "calls", Member: "a", Incarnation: 3, Amount: 700, Limit: 1000},
 		// From here on the snapshot does not have them.
 		{Op: lease.Grant, Name: "sweep", Member: "b", Incarnation: 2},
@@ -104,7 +104,7 @@
 		Epoch: 45,
 		Leases: map[string]*lease.Lease{
 			"report":  {Holder: "a", Incarnation: 3, Epoch: 41, Renewal: 1, Preferred: "b", Revoked: true},
-			"roll#1":  {Holder: "b", Incarnation: 2, Epoch: 42, Renewal: 1, Hold: 90_000_000},
+			"roll#1":  {Holder: "b", Incarnation: 2, Epoch: 42, Renewal: 1, HoldUs: 90_000_000},
 			"calls/a": {Holder: "a", Incarnation: 3, Epoch: 43, Renewal: 1, Amount: 700},
 			"sweep":   {Epoch: 44, Renewal: 2, Preferred: "a"},
 			"clean":   {Epoch: 45, Renewal: 1},
--- a/internal/group/heartbeat_handler.go
+++ b/internal/group/heartbeat_handler.go
@@ -106,7 +106,7 @@
 	m.readIndex, m.term = max(m.readIndex, request.ReadIndex), max(m.term, request.Term)
 	m.offers = map[string]bool{}
 	for _, duty := range request.Offers[:min(len(request.Offers), maxOffers)] {
-		if duty != "" && len(duty) <= lease.MaxName {
+		if duty != "" && len(duty) <= lease.MaxNameLen {
 			m.offers[duty] = true
 		}
 	}
@@ -192,7 +192,7 @@
 	held := h.group.table.HeldBy(h.sender.From, h.sender.Incarnation)
 	return slices.DeleteFunc(held, func(ref lease.Ref) bool {
 		_, quota := lease.QuotaLimit(ref.Name)
-		return quota || h.group.table.Leases[ref.Name].Hold > 0 ||
+		return quota || h.group.table.Leases[ref.Name].HoldUs > 0 ||
 			slices.ContainsFunc(h.request.Released, func(released lease.Ref) bool {
 				return released.Name == ref.Name && released.Epoch == ref.Epoch
 			})
--- a/internal/group/leave.go
+++ b/internal/group/leave.go
@@ -58,7 +58,7 @@
 // release stops counting on a lease and lets the leader know with the next heartbeat. The lock is
 // held.
 func (g *Group) release(ref lease.Ref, reason string) {
-	g.holder.Lost(ref.Name, ref.Epoch)
+	g.holder.Drop(ref.Name, ref.Epoch)
 	g.released[ref.Name] = ref
 	g.counters.lost++
 	g.log.Info().Str("duty", ref.Name).Uint64("epoch", ref.Epoch).Str("reason", reason).
--- a/internal/group/quotas.go
+++ b/internal/group/quotas.go
@@ -93,14 +93,14 @@
 		g.log.Info().Str("quota", ref.Name).Uint64("epoch", ref.Epoch).Int64("amount", ref.Amount).
 			Msg("group: quota taken: the leader has granted it")
 	}
-	g.holder.QuotaGranted(ref.Name, ref.Epoch, ref.Amount, requested)
+	g.holder.RecordQuotaGrant(ref.Name, ref.Epoch, ref.Amount, requested)
 	if lower, ok := reply.LowerQuotas[limit]; ok {
 		g.holder.LowerQuota(ref.Name, lower)
 	}
 	held, _ := g.holder.Get(ref.Name, g.clock())
 	for _, own := range g.opt.Limits {
 		if own.Name == limit {
-			return func() { own.Apply(held.Amount, held.Until, own.Rate/int64(max(1, g.quotaMembers))) }
+			return func() { own.Apply(held.Amount, held.ExpiresAt, own.Rate/int64(max(1, g.quotaMembers))) }
 		}
 	}
 	return func() {}
--- a/internal/group/reply.go
+++ b/internal/group/reply.go
@@ -67,7 +67,7 @@
 		return
 	}
 	held, ok := g.holder.Get(ref.Name, now)
-	g.holder.Granted(ref.Name, ref.Epoch, requested)
+	g.holder.RecordGrant(ref.Name, ref.Epoch, requested)
 	if !ok || held.Epoch != ref.Epoch {
 		runner.taken(now)
 		delete(g.successors, ref.Name)
@@ -82,7 +82,7 @@
 func (g *Group) dropUnrenewed(renewed map[string]bool) {
 	for _, ref := range g.holder.Refs() {
 		if !renewed[ref.Name] && g.runners[ref.Name] != nil {
-			g.holder.Lost(ref.Name, ref.Epoch)
+			g.holder.Drop(ref.Name, ref.Epoch)
 			g.counters.lost++
 			g.log.Warn().Str("duty", ref.Name).Uint64("epoch", ref.Epoch).
 				Msg("group: duty lost: the leader renews it no more")
--- a/internal/group/status.go
+++ b/internal/group/status.go
@@ -94,7 +94,7 @@
 	switch {
 	case own && runner != nil:
 		duty.Holder, duty.Epoch = g.opt.Name, held.Epoch
-		duty.RemainingMs = (held.Until - now).Milliseconds()
+		duty.RemainingMs = (held.ExpiresAt - now).Milliseconds()
 		duty.Acts = runner.acts
 		duty.Reason = cmp.Or(unreachable, runner.lastError)
 	case unreachable != "": // of a limit that is divided each member has its even part
--- a/internal/group/view.go
+++ b/internal/group/view.go
@@ -69,7 +69,7 @@
 func (g *Group) viewDuties(now time.Duration) (duties []DutyView) {
 	names := map[string]bool{}
 	for name, held := range g.table.Leases {
-		if held.Hold == 0 || held.Holder != "" { // a free restart slot is not shown
+		if held.HoldUs == 0 || held.Holder != "" { // a free restart slot is not shown
 			names[name] = true
 		}
 	}
--- a/internal/lease/apply.go
+++ b/internal/lease/apply.go
@@ -41,7 +41,7 @@
 		return result
 	}
 	switch entry.Op {
-	case RecordIncarnation, AdmitEmptied:
+	case RecordIncarnation, AdmitEmptyLog:
 		t.recordIncarnation(&entry)
 	case RaiseEpoch:
 		t.Epoch = max(t.Epoch, entry.Base)
@@ -78,17 +78,17 @@
 	return true
 }
 
-// recordIncarnation applies RecordIncarnation and AdmitEmptied. It does nothing if the member cannot
+// recordIncarnation applies RecordIncarnation and AdmitEmptyLog. It does nothing if the member cannot
 // be added to the table.
 func (t *Table) recordIncarnation(entry *Entry) {
 	if !t.ensureMember(entry.Member) {
 		return
 	}
-	if entry.Op == AdmitEmptied {
+	if entry.Op == AdmitEmptyLog {
 		delete(t.ReadMarks, entry.Member)
 	}
 	t.raiseIncarnation(entry.Member, entry.Incarnation)
-	if entry.Recipient != "" && len(entry.Recipient) <= MaxName {
+	if entry.Recipient != "" && len(entry.Recipient) <= MaxNameLen {
 		t.Addresses[entry.Member] = entry.Recipient
 	}
 	if entry.Base > t.ReadMarks[entry.Member].Entry {
@@ -125,7 +125,7 @@
 		Epoch:       t.Epoch,
 		Renewal:     lease.Renewal + 1,
 		Preferred:   lease.Preferred,
-		Hold:        max(0, entry.Hold),
+		HoldUs:      max(0, entry.HoldUs),
 	}
 	result.Refs = append(result.Refs, lease.ref(entry.Name))
 }
@@ -197,9 +197,9 @@
 }
 
 // release frees the lease for its holder, or for a later incarnation of a holder that took it for a
-// restart (see Lease.Hold). It reports whether the lease was freed.
+// restart (see Lease.HoldUs). It reports whether the lease was freed.
 func (l *Lease) release(entry *Entry, ref Ref, result *Result) bool {
-	restarted := l.Hold > 0 && l.Holder == entry.Member && l.Incarnation < entry.Incarnation
+	restarted := l.HoldUs > 0 && l.Holder == entry.Member && l.Incarnation < entry.Incarnation
 	if !restarted && !l.heldBy(entry) {
 		result.reject(reasonNotHolder, ref.Epoch, ref.Name, l.Holder, l.Incarnation)
 		return false
--- a/internal/lease/expiry_watch.go
+++ b/internal/lease/expiry_watch.go
@@ -39,7 +39,7 @@
 			continue
 		}
 		terms := w.terms
-		terms.Length = max(terms.Length, time.Duration(lease.Hold)*time.Microsecond)
+		terms.Length = max(terms.Length, time.Duration(lease.HoldUs)*time.Microsecond)
 		w.observed[name] = observation{
 			epoch: lease.Epoch, renewal: lease.Renewal, seenAt: now, term: terms.ObserverTerm(),
 		}
--- a/internal/lease/golden_test.go
+++ b/internal/lease/golden_test.go
@@ -84,13 +84,13 @@
 	return []Entry{
 		{Op: RecordIncarnation, Member: "a", Incarnation: 3, Recipient: "10.0.0.1:7000", Base: 11},
 		{Op: RecordIncarnation, Member: "b", Incarnation: 1, Recipient: "10.0.0.2:7000", Base: 12},
-		{Op: AdmitEmptied, Member: "b", Incarnation: 2, Recipient: "10.0.0.3:7000", Base: 13},
+		{Op: AdmitEmptyLog, Member: "b", Incarnation: 2, Recipient: "10.0.0.3:7000", Base: 13},
 		{Op: RaiseEpoch, Base: 40},
 		{Op: Prefer, Name: "report", Recipient: "b"},
 		{Op: Grant, Name: "report", Member: "a", Incarnation: 3},
 		{Op: Renew, Member: "a", Incarnation: 3, Refs: []Ref{{Name: "report", Epoch: 41}}},
 		{Op: Revoke, Refs: []Ref{{Name: "report", Epoch: 41}}},
-		{Op: Grant, Name: "roll#1", Member: "b", Incarnation: 2, Hold: 90_000_000},
+		{Op: Grant, Name: "roll#1", Member: "b", Incarnation: 2, HoldUs: 90_000_000},
 		{Op: AssignQuota, Name: "calls", Member: "a", Incarnation: 3, Amount: 700, Limit: 1000},
 		{Op: AssignQuota, Name: "calls", Member: "b", Incarnation: 2, Amount: 700, Limit: 1000},
 		{Op: Grant, Name: "sweep", Member: "b", Incarnation: 2},
@@ -101,7 +101,7 @@
 		{Op: Renew, Member: "a", Incarnation: 3, Refs: []Ref{{Name: "clean", Epoch: 46, Renewal: 1, Amount: 5}}},
 		{
 			Op: "later", Name: "n", Member: "a", Incarnation: 3, Recipient: "b", Refs: []Ref{{Name: "n", Epoch: 1}},
-			Base: 1, Amount: 2, Limit: 3, Hold: 4,
+			Base: 1, Amount: 2, Limit: 3, HoldUs: 4,
 		},
 	}
 }
@@ -112,7 +112,7 @@
 		Epoch: 46,
 		Leases: map[string]*Lease{
 			"report":  {Holder: "a", Incarnation: 3, Epoch: 41, Renewal: 2, Preferred: "b", Revoked: true},
-			"roll#1":  {Holder: "b", Incarnation: 2, Epoch: 42, Renewal: 1, Hold: 90_000_000},
+			"roll#1":  {Holder: "b", Incarnation: 2, Epoch: 42, Renewal: 1, HoldUs: 90_000_000},
 			"calls/a": {Holder: "a", Incarnation: 3, Epoch: 43, Renewal: 1, Amount: 700},
 			"calls/b": {Holder: "b", Incarnation: 2, Epoch: 44, Renewal: 1, Amount: 300},
 			"sweep":   {Epoch: 45, Renewal: 1, Preferred: "a"},
@@ -142,7 +142,7 @@
 func TestGoldenLease(t *testing.T) {
 	want := Lease{
 		Holder: "a", Incarnation: 3, Epoch: 41, Renewal: 2, Preferred: "b", Revoked: true, Amount: 700,
-		Hold: 90_000_000,
+		HoldUs: 90_000_000,
 	}
 	requireAllFields(t, want)
 	raw := encode(t, want, Lease{})
@@ -160,7 +160,7 @@
 	golden.Check(t, "entries.jsonl", string(encode(t, want...)))
 	for _, op := range []Op{
 		Grant, Renew, Release, Expire, Revoke, Prefer, AssignQuota, RecordIncarnation,
-		AdmitEmptied, RaiseEpoch,
+		AdmitEmptyLog, RaiseEpoch,
 	} {
 		if !slices.ContainsFunc(want, func(entry Entry) bool { return entry.Op == op }) {
 			t.Errorf("no golden entry for %s", op)
@@ -257,7 +257,7 @@
 func randomEntry(rng *rand.Rand, table *Table) Entry {
 	ops := []Op{
 		Grant, Grant, Renew, Renew, Release, Expire, Revoke, Prefer, AssignQuota, AssignQuota,
-		RecordIncarnation, AdmitEmptied, RaiseEpoch, "none",
+		RecordIncarnation, AdmitEmptyLog, RaiseEpoch, "none",
 	}
 	entry := Entry{
 		Op: ops[rng.Intn(len(ops))], Name: fmt.Sprintf("d%d", rng.Intn(5)), Member: fmt.Sprintf("m%d", rng.Intn(4)),
@@ -270,10 +270,10 @@
 	case AssignQuota:
 		entry.Name, entry.Amount, entry.Limit = "limit", int64(rng.Intn(900)-50), int64(500+rng.Intn(800))
 	case Grant:
-		entry.Hold = int64(max(0, rng.Intn(20)-16)) * 1_000_000
+		entry.HoldUs = int64(max(0, rng.Intn(20)-16)) * 1_000_000
 	case RaiseEpoch:
 		entry.Base = table.Epoch + uint64(rng.Intn(3)) - 1
-	case RecordIncarnation, AdmitEmptied:
+	case RecordIncarnation, AdmitEmptyLog:
 		entry.Base = uint64(rng.Intn(1000))
 	}
 	if rng.Intn(50) == 0 {
@@ -304,20 +304,21 @@
 		var expired []Ref
 		switch rng.Intn(6) {
 		case 0, 1:
-			holder.Granted(name, leaseEpoch, requested)
+			holder.RecordGrant(name, leaseEpoch, requested)
 		case 2:
-			holder.QuotaGranted(name, leaseEpoch, int64(rng.Intn(100)), requested)
+			holder.RecordQuotaGrant(name, leaseEpoch, int64(rng.Intn(100)), requested)
 		case 3:
 			holder.LowerQuota(name, int64(rng.Intn(100)))
 		case 4:
-			holder.Lost(name, leaseEpoch)
+			holder.Drop(name, leaseEpoch)
 		case 5:
 			expired = holder.Expire(now)
 			slices.SortFunc(expired, func(a, b Ref) int { return strings.Compare(a.Name, b.Name) })
 		}
 		got, held := holder.Get(name, now)
-		actEpoch, ok := holder.MayAct(name, now, time.Duration(rng.Intn(1200))*time.Millisecond)
-		return fmt.Sprint(asJSON(expired), got.Epoch, int64(got.Until), got.Amount, held, actEpoch, ok, asJSON(holder.Refs()))
+		executionEpoch, ok := holder.MayExecute(name, now, time.Duration(rng.Intn(1200))*time.Millisecond)
+		return fmt.Sprint(asJSON(expired), got.Epoch, int64(got.ExpiresAt), got.Amount, held, executionEpoch, ok,
+			asJSON(holder.Refs()))
 	}
 }
 
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -15,27 +15,27 @@
 
 // Holding is a lease as its holder sees it.
 type Holding struct {
-	Epoch  uint64
-	Until  time.Duration // on the holder's clock; executions must have ended before this time
-	Amount int64         // of a quota lease
+	Epoch     uint64
+	ExpiresAt time.Duration // on the holder's clock; executions must have ended before this time
+	Amount    int64         // of a quota lease
 }
 
 // NewHolder returns a Holder that holds no leases.
 func NewHolder(terms Terms) *Holder { return &Holder{terms: terms, held: map[string]Holding{}} }
 
-// Granted records a grant or a renewal. requestedAt is a time before the request was sent. Replies
+// RecordGrant records a grant or a renewal. requestedAt is a time before the request was sent. Replies
 // may arrive in any order.
-func (h *Holder) Granted(name string, epoch uint64, requestedAt time.Duration) {
-	h.QuotaGranted(name, epoch, 0, requestedAt)
+func (h *Holder) RecordGrant(name string, epoch uint64, requestedAt time.Duration) {
+	h.RecordQuotaGrant(name, epoch, 0, requestedAt)
 }
 
-// QuotaGranted records a grant or renewal of a quota lease. A reply to a request that is older than
+// RecordQuotaGrant records a grant or renewal of a quota lease. A reply to a request that is older than
 // the last one recorded does not change the amount.
-func (h *Holder) QuotaGranted(name string, epoch uint64, amount int64, requestedAt time.Duration) {
+func (h *Holder) RecordQuotaGrant(name string, epoch uint64, amount int64, requestedAt time.Duration) {
 	expiresAt := requestedAt + h.terms.HolderTerm()
 	previous, held := h.held[name]
-	if !held || previous.Epoch < epoch || previous.Epoch == epoch && previous.Until < expiresAt {
-		h.held[name] = Holding{Epoch: epoch, Until: expiresAt, Amount: amount}
+	if !held || previous.Epoch < epoch || previous.Epoch == epoch && previous.ExpiresAt < expiresAt {
+		h.held[name] = Holding{Epoch: epoch, ExpiresAt: expiresAt, Amount: amount}
 	}
 }
 
@@ -47,8 +47,8 @@
 	}
 }
 
-// Lost drops a lease that has ended under the given epoch. A lease held under a newer epoch is kept.
-func (h *Holder) Lost(name string, epoch uint64) {
+// Drop removes a lease that has ended under the given epoch. A lease held under a newer epoch is kept.
+func (h *Holder) Drop(name string, epoch uint64) {
 	if holding, ok := h.held[name]; ok && holding.Epoch <= epoch {
 		delete(h.held, name)
 	}
@@ -57,7 +57,7 @@
 // Expire drops the leases that have expired and returns them, in no particular order.
 func (h *Holder) Expire(now time.Duration) (expired []Ref) {
 	for name, holding := range h.held {
-		if now >= holding.Until {
+		if now >= holding.ExpiresAt {
 			expired = append(expired, Ref{Name: name, Epoch: holding.Epoch})
 			delete(h.held, name)
 		}
@@ -65,17 +65,17 @@
 	return expired
 }
 
-// MayAct reports whether an execution that takes at most maxDuration may begin now, and under which
+// MayExecute reports whether an execution that takes at most maxDuration may begin now, and under which
 // epoch: it must end before the lease expires.
-func (h *Holder) MayAct(name string, now, maxDuration time.Duration) (epoch uint64, ok bool) {
+func (h *Holder) MayExecute(name string, now, maxDuration time.Duration) (epoch uint64, ok bool) {
 	holding, held := h.held[name]
-	return holding.Epoch, held && now+maxDuration < holding.Until
+	return holding.Epoch, held && now+maxDuration < holding.ExpiresAt
 }
 
 // Get returns a lease, and whether it is held and has not expired.
 func (h *Holder) Get(name string, now time.Duration) (Holding, bool) {
 	holding, held := h.held[name]
-	return holding, held && now < holding.Until
+	return holding, held && now < holding.ExpiresAt
 }
 
 // Refs lists the leases that are tracked, sorted by name.
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -41,9 +41,9 @@
 	// RecordIncarnation records an incarnation of Member, its address (Recipient) and the index of
 	// the last log entry that it had read (Base).
 	RecordIncarnation Op = "seen"
-	// AdmitEmptied records an incarnation of Member that starts with an empty log, and drops the
+	// AdmitEmptyLog records an incarnation of Member that starts with an empty log, and drops the
 	// read position of earlier incarnations.
-	AdmitEmptied Op = "admit"
+	AdmitEmptyLog Op = "admit"
 	// RaiseEpoch makes all future epochs higher than Base.
 	RaiseEpoch Op = "raise"
 )
@@ -69,7 +69,7 @@
 	Base        uint64 `json:"base,omitempty"`
 	Amount      int64  `json:"amount,omitempty"`
 	Limit       int64  `json:"limit,omitempty"`
-	Hold        int64  `json:"hold,omitempty"` // of a Grant: see Lease.Hold
+	HoldUs      int64  `json:"hold,omitempty"` // of a Grant: see Lease.HoldUs
 }
 
 // Lease is the replicated state of one lease. It is free while Holder is empty.
@@ -82,10 +82,10 @@
 	Revoked     bool   `json:"revoked,omitempty"` // no further renewals
 	Amount      int64  `json:"amount,omitempty"`  // of a quota lease
 
-	// Hold is how long the lease lasts without renewals, in microseconds, where that is longer than
+	// HoldUs is how long the lease lasts without renewals, in microseconds, where that is longer than
 	// the group's lease length. It is set for a holder that restarts and cannot renew meanwhile. A
 	// later incarnation of the holder may release the lease.
-	Hold int64 `json:"hold,omitempty"`
+	HoldUs int64 `json:"hold,omitempty"`
 }
 
 // quotaSeparator separates the limit from the member in the name of a quota lease. Names of duties
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -20,7 +20,7 @@
 // drawEntry draws an entry of any operation, most of them not applicable.
 func drawEntry(t *rapid.T, names, members []string) Entry {
 	op := rapid.SampledFrom([]Op{
-		Grant, Grant, Renew, Release, Expire, Revoke, Prefer, AssignQuota, AssignQuota, RecordIncarnation, AdmitEmptied,
+		Grant, Grant, Renew, Release, Expire, Revoke, Prefer, AssignQuota, AssignQuota, RecordIncarnation, AdmitEmptyLog,
 		RaiseEpoch, "nonsense",
 	}).Draw(t, "op")
 	entry := Entry{
@@ -181,21 +181,21 @@
 // request; a late reply of an older epoch or to an older request changes nothing.
 func TestHolder(t *testing.T) {
 	holder := NewHolder(Terms{Length: time.Second, Drift: 0.01})
-	holder.Granted("d", 7, 100*time.Millisecond)
+	holder.RecordGrant("d", 7, 100*time.Millisecond)
 	for _, c := range []struct {
 		now time.Duration
 		ok  bool
 	}{{200, true}, {789, true}, {790, false}, {2000, false}} {
-		if epoch, ok := holder.MayAct("d", c.now*time.Millisecond, 300*time.Millisecond); ok != c.ok || epoch != 7 {
-			t.Errorf("at %d ms: may act %v, epoch %d", c.now, ok, epoch)
+		if epoch, ok := holder.MayExecute("d", c.now*time.Millisecond, 300*time.Millisecond); ok != c.ok || epoch != 7 {
+			t.Errorf("at %d ms: may execute %v, epoch %d", c.now, ok, epoch)
 		}
 	}
-	holder.Granted("d", 6, time.Hour)
-	holder.Granted("d", 7, 0)
-	if holding, ok := holder.Get("d", 1089*time.Millisecond); !ok || holding.Until != 1090*time.Millisecond {
+	holder.RecordGrant("d", 6, time.Hour)
+	holder.RecordGrant("d", 7, 0)
+	if holding, ok := holder.Get("d", 1089*time.Millisecond); !ok || holding.ExpiresAt != 1090*time.Millisecond {
 		t.Errorf("held: %+v", holding)
 	}
-	holder.Lost("d", 6)
+	holder.Drop("d", 6)
 	if expired := holder.Expire(1090 * time.Millisecond); len(expired) != 1 || expired[0].Epoch != 7 ||
 		len(holder.Refs()) != 0 {
 		t.Errorf("expired: %+v", expired)
@@ -210,7 +210,7 @@
 		table.Apply(Entry{Op: RecordIncarnation, Member: fmt.Sprint(i), Incarnation: 1})
 	}
 	if result := table.Apply(Entry{
-		Op: Grant, Name: strings.Repeat("x", MaxName+1), Member: "m",
+		Op: Grant, Name: strings.Repeat("x", MaxNameLen+1), Member: "m",
 		Incarnation: 1,
 	}); len(table.Leases) != MaxLeases || len(table.Incarnations) != MaxMembers || result.Reason == "" {
 		t.Errorf("%d leases, %d members, %q", len(table.Leases), len(table.Incarnations), result.Reason)
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -117,7 +117,7 @@
 	holding, ok := holder.held["d"]
 	state := &m.holders[index]
 	if state.holds, state.heldEpochLag, state.remaining = ok, 0, 0; ok {
-		state.heldEpochLag, state.remaining = int8(newest-holding.Epoch), int8(holding.Until-now)
+		state.heldEpochLag, state.remaining = int8(newest-holding.Epoch), int8(holding.ExpiresAt-now)
 	}
 }
 
@@ -186,7 +186,7 @@
 			if v.ignoreReplyEpoch {
 				epoch, requested = newest, instant
 			}
-			holder.Granted("d", epoch, requested)
+			holder.RecordGrant("d", epoch, requested)
 			next.saveHolder(i, holder, instant)
 			next.holders[i].replied, next.holders[i].age, next.holders[i].replyEpochLag = false, 0, 0
 			visit(next)
--- a/internal/lease/table.go
+++ b/internal/lease/table.go
@@ -26,7 +26,7 @@
 const (
 	MaxLeases  = 1024
 	MaxMembers = 1024
-	MaxName    = 128 // bytes
+	MaxNameLen = 128 // bytes
 )
 
 // NewTable returns an empty table, to which no entry has been applied.
@@ -82,7 +82,7 @@
 	if _, ok := t.Incarnations[member]; ok {
 		return true
 	}
-	if member == "" || len(member) > MaxName || len(t.Incarnations) >= MaxMembers {
+	if member == "" || len(member) > MaxNameLen || len(t.Incarnations) >= MaxMembers {
 		return false
 	}
 	t.Incarnations[member] = 0
@@ -95,7 +95,7 @@
 	if lease := t.Leases[name]; lease != nil {
 		return lease
 	}
-	if name == "" || len(name) > MaxName || len(t.Leases) >= MaxLeases {
+	if name == "" || len(name) > MaxNameLen || len(t.Leases) >= MaxLeases {
 		return nil
 	}
 	lease := &Lease{}
@@ -117,5 +117,5 @@
 func (l *Lease) free() {
 	l.Holder, l.Incarnation = "", 0
 	l.Revoked = false
-	l.Amount, l.Hold = 0, 0
+	l.Amount, l.HoldUs = 0, 0
 }
