--- a/internal/assignment/assignment_test.go
+++ b/internal/assignment/assignment_test.go
@@ -124,7 +124,7 @@
 	now := time.Duration(0)
 	stay := func(duration time.Duration) (settled bool) {
 		for end := now + duration; now < end; now += time.Second / 4 {
-			presence.HeardFrom("a", now)
+			presence.RecordHeartbeat("a", now)
 			_, settled = presence.Present("a", now)
 		}
 		return settled
@@ -146,10 +146,10 @@
 	if now += 3 * time.Second; stay(time.Second/2) || !stay(2*time.Second) {
 		t.Error("a member that returned after a long visit did not settle as a new one does")
 	}
-	if now += time.Hour; len(presence.All(now)) != 0 {
+	if now += time.Hour; len(presence.PresentMembers(now)) != 0 {
 		t.Error("present an hour after the last heartbeat")
 	}
-	if presence.Forget(now, time.Minute); len(presence.visits) != 0 {
+	if presence.Prune(now, time.Minute); len(presence.visits) != 0 {
 		t.Error("an old visit was not dropped")
 	}
 }
@@ -158,7 +158,7 @@
 // up for, and failures space them out.
 func TestSchedule(t *testing.T) {
 	schedule := Schedule{Every: 100}
-	schedule.Start(1000)
+	schedule.Reset(1000)
 	var started []time.Duration
 	for now := time.Duration(1000); now < 3000; now++ {
 		if now >= 1300 && now < 1900 {
@@ -166,8 +166,8 @@
 		}
 		if due, _ := schedule.Due(now); due {
 			started = append(started, now)
-			schedule.Started(now)
-			schedule.Finished(now+10, now < 2000)
+			schedule.RecordStart(now)
+			schedule.RecordResult(now+10, now < 2000)
 		}
 	}
 	want := []time.Duration{1000, 1100, 1200, 1900, 1950, 2050, 2260, 2670}
--- a/internal/assignment/golden_test.go
+++ b/internal/assignment/golden_test.go
@@ -77,16 +77,16 @@
 		now += time.Duration(rng.Intn(900)) * time.Millisecond
 		name, first := fmt.Sprintf("m%d", rng.Intn(3)), false
 		if now%7 < 5 {
-			first = presence.HeardFrom(name, now-time.Duration(rng.Intn(100))*time.Millisecond)
+			first = presence.RecordHeartbeat(name, now-time.Duration(rng.Intn(100))*time.Millisecond)
 		}
 		if rng.Intn(100) == 0 {
 			now += time.Duration(rng.Intn(100)) * time.Second
 		}
 		if rng.Intn(20) == 0 {
-			presence.Forget(now, 4*time.Second)
+			presence.Prune(now, 4*time.Second)
 		}
 		present, settled := presence.Present(name, now)
-		all := presence.All(now)
+		all := presence.PresentMembers(now)
 		return fmt.Sprint(first, present, settled, all, slices.IsSorted(all))
 	}
 }
@@ -102,14 +102,14 @@
 		due, next := schedule.Due(now)
 		switch {
 		case rng.Intn(200) == 0:
-			schedule.Start(now)
+			schedule.Reset(now)
 		case due:
-			schedule.Started(now)
+			schedule.RecordStart(now)
 			now += time.Duration(rng.Int63n(int64(schedule.Every)))
 			if failing--; failing < -20 {
 				failing = rng.Intn(15)
 			}
-			schedule.Finished(now, failing < 0)
+			schedule.RecordResult(now, failing < 0)
 		}
 		_, after := schedule.Due(now)
 		return fmt.Sprint(due, int64(next), int64(after))
--- a/internal/assignment/presence.go
+++ b/internal/assignment/presence.go
@@ -38,8 +38,8 @@
 	return &Presence{maxGap: maxGap, settleTime: settleTime, visits: map[string]*visit{}}
 }
 
-// HeardFrom records a heartbeat of a member. first reports whether the member was absent before.
-func (p *Presence) HeardFrom(name string, now time.Duration) (first bool) {
+// RecordHeartbeat records a heartbeat of a member. first reports whether the member was absent before.
+func (p *Presence) RecordHeartbeat(name string, now time.Duration) (first bool) {
 	latest := p.visits[name]
 	if latest == nil {
 		p.visits[name] = &visit{start: now, lastSeen: now, settleTime: p.settleTime}
@@ -66,8 +66,8 @@
 	return true, now-latest.start >= latest.settleTime
 }
 
-// All lists the members that are present, sorted by name.
-func (p *Presence) All(now time.Duration) (names []string) {
+// PresentMembers lists the members that are present, sorted by name.
+func (p *Presence) PresentMembers(now time.Duration) (names []string) {
 	for name := range p.visits {
 		if present, _ := p.Present(name, now); present {
 			names = append(names, name)
@@ -77,8 +77,8 @@
 	return names
 }
 
-// Forget drops the members whose last heartbeat is more than maxAge ago.
-func (p *Presence) Forget(now, maxAge time.Duration) {
+// Prune drops the members whose last heartbeat is more than maxAge ago.
+func (p *Presence) Prune(now, maxAge time.Duration) {
 	for name, latest := range p.visits {
 		if now-latest.lastSeen > maxAge {
 			delete(p.visits, name)
--- a/internal/assignment/schedule.go
+++ b/internal/assignment/schedule.go
@@ -18,20 +18,20 @@
 	maxDoublings = 10
 )
 
-// Start resets the schedule for a new holder. The first execution is due at once, as the previous
+// Reset resets the schedule for a new holder. The first execution is due at once, as the previous
 // holder may have missed some.
-func (s *Schedule) Start(now time.Duration) { s.next, s.failures = now, 0 }
+func (s *Schedule) Reset(now time.Duration) { s.next, s.failures = now, 0 }
 
 // Due reports whether an execution is due, and returns the time at which the next one is or was due.
 func (s *Schedule) Due(now time.Duration) (bool, time.Duration) { return now >= s.next, s.next }
 
-// Started records the start of an execution. The next one is due a period after the due time of this
+// RecordStart records the start of an execution. The next one is due a period after the due time of this
 // one, and not before half a period from now: missed periods are not made up for.
-func (s *Schedule) Started(now time.Duration) { s.next = max(s.next+s.Every, now+s.Every/2) }
+func (s *Schedule) RecordStart(now time.Duration) { s.next = max(s.next+s.Every, now+s.Every/2) }
 
-// Finished records the end of an execution and whether it succeeded. After failures in a row, the pause
-// until the next execution doubles each time.
-func (s *Schedule) Finished(now time.Duration, ok bool) {
+// RecordResult records the end of an execution and whether it succeeded. The pause until the next execution
+// doubles with each consecutive failure, up to maxBackoff periods.
+func (s *Schedule) RecordResult(now time.Duration, ok bool) {
 	if ok {
 		s.failures = 0
 		return
--- a/internal/group/assign.go
+++ b/internal/group/assign.go
@@ -59,7 +59,7 @@
 		keep[member] = true
 	}
 	offered := map[string]bool{}
-	for _, name := range g.presence.All(now) {
+	for _, name := range g.presence.PresentMembers(now) {
 		state := g.members[name]
 		if state == nil {
 			continue
--- a/internal/group/commands.go
+++ b/internal/group/commands.go
@@ -107,7 +107,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	first, next := "", ""
-	for _, name := range g.presence.All(g.clock()) {
+	for _, name := range g.presence.PresentMembers(g.clock()) {
 		if member := g.members[name]; member == nil || !member.offers[duty] {
 			continue
 		}
--- a/internal/group/duty_runner.go
+++ b/internal/group/duty_runner.go
@@ -28,7 +28,7 @@
 	if r.RoundRobin {
 		now += r.Every
 	}
-	r.schedule.Start(now)
+	r.schedule.Reset(now)
 }
 
 // wakeUp lets the runner look whether an act is due. It does not block.
@@ -82,7 +82,7 @@
 	}
 	runner.acting = true
 	runner.acts++
-	runner.schedule.Started(now)
+	runner.schedule.RecordStart(now)
 	g.counters.acts++
 	return Act{Duty: runner.Name, Member: g.opt.Name, Epoch: epoch, Number: runner.acts}, true, nil
 }
@@ -96,7 +96,7 @@
 	defer g.mu.Unlock()
 	now := g.clock()
 	runner.acting = false
-	runner.schedule.Finished(now, err == nil)
+	runner.schedule.RecordResult(now, err == nil)
 	held, ok := g.holder.Get(runner.Name, now)
 	ok = ok && held.Epoch == act.Epoch
 	if runner.lastError = ""; err != nil {
--- a/internal/group/heartbeat_handler.go
+++ b/internal/group/heartbeat_handler.go
@@ -76,7 +76,7 @@
 	attach(member)
 	member.update(&h.request, now)
 	g.callers[h.sender.From] = caller{incarnation: h.sender.Incarnation, process: h.sender.Process, at: now}
-	if g.presence.HeardFrom(h.sender.From, now) {
+	if g.presence.RecordHeartbeat(h.sender.From, now) {
 		g.log.Info().Str("member", h.sender.From).Uint64("incarnation", h.sender.Incarnation).
 			Msg("group: member is present: it sends heartbeats")
 	}
--- a/internal/group/leader.go
+++ b/internal/group/leader.go
@@ -158,7 +158,7 @@
 func (g *Group) expireLeases(node *raftNode, now time.Duration) bool {
 	g.mu.Lock()
 	expired, _ := g.watch.Expired(now)
-	g.presence.Forget(now, forgetAfter)
+	g.presence.Prune(now, forgetAfter)
 	maps.DeleteFunc(g.members, func(_ string, member *memberState) bool { return now-member.lastHeard > forgetAfter })
 	g.mu.Unlock()
 	if len(expired) == 0 {
--- a/internal/group/quotas.go
+++ b/internal/group/quotas.go
@@ -63,7 +63,7 @@
 // in its file: a file that was changed may not have reached all. The lock is held.
 func (g *Group) demandsOn(name string, limit int64) (lowest int64, demands map[string]int64) {
 	lowest, demands = limit, map[string]int64{}
-	for _, member := range g.presence.All(g.clock()) {
+	for _, member := range g.presence.PresentMembers(g.clock()) {
 		state := g.members[member]
 		if state == nil {
 			continue
--- a/internal/group/view.go
+++ b/internal/group/view.go
@@ -73,7 +73,7 @@
 			names[name] = true
 		}
 	}
-	for _, name := range g.presence.All(now) {
+	for _, name := range g.presence.PresentMembers(now) {
 		if member := g.members[name]; member != nil {
 			for duty := range member.offers {
 				names[duty] = true
