--- a/internal/limits/bucket.go
+++ b/internal/limits/bucket.go
@@ -30,8 +30,8 @@
 	return b
 }
 
-// Set changes the parameters from now on. The tokens in the bucket are kept up to the new burst.
-func (b *Bucket) Set(now, rate, period, burst int64) {
+// SetRate changes the parameters from now on. The tokens in the bucket are kept up to the new burst.
+func (b *Bucket) SetRate(now, rate, period, burst int64) {
 	b.fill(now)
 	tokens, part := b.level/b.period, b.level%b.period
 	b.rate, b.period, b.burst = clamp(rate, MaxRate), clamp(period, MaxPeriod), clamp(burst, MaxBurst)
@@ -76,8 +76,8 @@
 	}
 }
 
-// When returns the time from which the bucket has the given number of tokens.
-func (b *Bucket) When(now, tokens int64) int64 {
+// AvailableAt returns the time from which the bucket has the given number of tokens.
+func (b *Bucket) AvailableAt(now, tokens int64) int64 {
 	b.fill(now)
 	if tokens > b.burst {
 		return Never
--- a/internal/limits/concurrent.go
+++ b/internal/limits/concurrent.go
@@ -21,8 +21,8 @@
 // Return ends units that Take began.
 func (c *ConcurrencyLimit) Return(_, units int64) { c.used = max(0, c.used-units) }
 
-// When returns now, or Never if too many units are in progress: it is not known when they end.
-func (c *ConcurrencyLimit) When(now, units int64) int64 {
+// AvailableAt returns now, or Never if too many units are in progress: it is not known when they end.
+func (c *ConcurrencyLimit) AvailableAt(now, units int64) int64 {
 	if c.used+units > c.max {
 		return Never
 	}
--- a/internal/limits/golden_test.go
+++ b/internal/limits/golden_test.go
@@ -67,14 +67,14 @@
 	golden.Check(t, "behaviour.txt", out.String())
 }
 
-// limiterScenario takes units from a limiter, returns some, and calls When. Time advances, and sometimes
+// limiterScenario takes units from a limiter, returns some, and calls AvailableAt. Time advances, and sometimes
 // goes back a little.
 func limiterScenario(rng *rand.Rand, limiter Limiter, level func(int64) int64) func(int) string {
 	now, taken := int64(0), int64(0)
 	return func(int) string {
 		now = max(0, now+rng.Int63n(1<<rng.Intn(24))-rng.Int63n(50))
 		units := rng.Int63n(1 << rng.Intn(7))
-		at, ok, remaining := limiter.When(now, units), false, int64(-1)
+		at, ok, remaining := limiter.AvailableAt(now, units), false, int64(-1)
 		switch rng.Intn(4) {
 		case 0:
 			units = min(units, taken)
@@ -102,10 +102,10 @@
 	return func(int) string {
 		now += rng.Int63n(400_000)
 		if rng.Intn(10) == 0 {
-			bucket.Set(now, rng.Int63n(100)-5, rng.Int63n(1<<rng.Intn(40))-5, rng.Int63n(1<<rng.Intn(22))-5)
+			bucket.SetRate(now, rng.Int63n(100)-5, rng.Int63n(1<<rng.Intn(40))-5, rng.Int63n(1<<rng.Intn(22))-5)
 		}
 		units := rng.Int63n(8)
-		return fmt.Sprint(bucket.Take(now, units), bucket.Level(now), bucket.When(now, units+1))
+		return fmt.Sprint(bucket.Take(now, units), bucket.Level(now), bucket.AvailableAt(now, units+1))
 	}
 }
 
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -22,9 +22,9 @@
 	// they were not used.
 	Return(now, units int64)
 
-	// When returns the earliest time at which Take of units would succeed if there were no other
+	// AvailableAt returns the earliest time at which Take of units would succeed if there were no other
 	// calls until then; Never if it cannot succeed at all or not without a Return.
-	When(now, units int64) int64
+	AvailableAt(now, units int64) int64
 }
 
 // All combines several limiters. Each of them must allow what is taken.
@@ -50,12 +50,12 @@
 	}
 }
 
-// When returns the latest of the times of all limiters. This is right because, while nothing is taken, a
+// AvailableAt returns the latest of the times of all limiters. This is right because, while nothing is taken, a
 // limiter that allows a number of units continues to do so.
-func (a All) When(now, units int64) int64 {
+func (a All) AvailableAt(now, units int64) int64 {
 	at := now
 	for _, limit := range a {
-		at = max(at, limit.When(now, units))
+		at = max(at, limit.AvailableAt(now, units))
 	}
 	return at
 }
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -14,7 +14,7 @@
 func TestMain(m *testing.M) { testkit.Seeded(m, "300") }
 
 // Bucket and SlidingWindow against their definitions, at random times: units that are rejected are
-// allowed from the time that When returned, to the microsecond, and what is allowed never exceeds the
+// allowed from the time that AvailableAt returned, to the microsecond, and what is allowed never exceeds the
 // limit.
 func TestLimitersAgainstDefinition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -31,16 +31,16 @@
 				limiter Limiter
 				taken   *[]batch
 			}{{bucket, &inBucket}, {window, &inWindow}} {
-				at := current.limiter.When(now, amount)
+				at := current.limiter.AvailableAt(now, amount)
 				took := current.limiter.Take(now, amount)
 				if took != (at == now) {
-					t.Fatalf("%T: at %d, When(%d) returned %d and Take %v", current.limiter, now, amount, at, took)
+					t.Fatalf("%T: at %d, AvailableAt(%d) returned %d and Take %v", current.limiter, now, amount, at, took)
 				}
 				if took {
 					*current.taken = append(*current.taken, batch{now, amount})
 				} else if at != Never && at < now+period {
-					if current.limiter.When(at-1, amount) != at || current.limiter.When(at, amount) != at {
-						t.Fatalf("%T: When did not return %d again", current.limiter, at)
+					if current.limiter.AvailableAt(at-1, amount) != at || current.limiter.AvailableAt(at, amount) != at {
+						t.Fatalf("%T: AvailableAt did not return %d again", current.limiter, at)
 					}
 					now = at // a limiter must not be called with earlier times than before
 				}
@@ -74,7 +74,7 @@
 func TestBucketDoesNotDrift(t *testing.T) {
 	bucket := NewBucket(0, 7, 3_000_000, 1)
 	given, day := int64(0), int64(24*3600*1_000_000)
-	for now := int64(0); now <= day; now = bucket.When(now, 1) {
+	for now := int64(0); now <= day; now = bucket.AvailableAt(now, 1) {
 		if !bucket.Take(now, 1) {
 			t.Fatal(now)
 		}
@@ -94,10 +94,10 @@
 			t.Fatal("Take did not return", want)
 		}
 	}
-	if bucket.Level(0) != 3 || concurrency.Used() != 2 || all.When(0, 1) != Never {
+	if bucket.Level(0) != 3 || concurrency.Used() != 2 || all.AvailableAt(0, 1) != Never {
 		t.Fatal(bucket.Level(0), concurrency.Used())
 	}
-	if concurrency.Return(0, 1); all.When(0, 1) != 0 || !all.Take(0, 1) {
+	if concurrency.Return(0, 1); all.AvailableAt(0, 1) != 0 || !all.Take(0, 1) {
 		t.Fatal("the unit that was returned cannot be taken again")
 	}
 }
@@ -123,7 +123,7 @@
 			t.Fatal("the quota of 3 units did not allow exactly 3")
 		}
 		end := c.date.Add(time.Duration(c.hours) * time.Hour).UnixMicro()
-		if at := quota.When(noon, 1); at != end {
+		if at := quota.AvailableAt(noon, 1); at != end {
 			t.Fatal(c.date, time.UnixMicro(at).In(location))
 		}
 		restored := NewDailyQuota(3, location, quota.QuotaState) // after a restart
--- a/internal/limits/quota.go
+++ b/internal/limits/quota.go
@@ -59,9 +59,9 @@
 	q.Used = max(0, q.Used-units)
 }
 
-// When returns now, the next midnight if too few units are left of the day, or Never if units exceeds the
+// AvailableAt returns now, the next midnight if too few units are left of the day, or Never if units exceeds the
 // quota of a whole day.
-func (q *DailyQuota) When(now, units int64) int64 {
+func (q *DailyQuota) AvailableAt(now, units int64) int64 {
 	q.update(now)
 	switch {
 	case units > q.max:
--- a/internal/limits/window.go
+++ b/internal/limits/window.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// When returns the time from which enough of the units taken are out of the window.
-func (w *SlidingWindow) When(now, units int64) int64 {
+// AvailableAt returns the time from which enough of the units taken are out of the window.
+func (w *SlidingWindow) AvailableAt(now, units int64) int64 {
 	w.expire(now)
 	if units > w.max {
 		return Never
--- a/scheduler/peers.go
+++ b/scheduler/peers.go
@@ -111,7 +111,7 @@
 	if q.expired {
 		rate = q.evenQuota
 	}
-	q.bucket.Set(now, rate, quotaPeriod, rate*quotaBurstUs/quotaPeriod)
+	q.bucket.SetRate(now, rate, quotaPeriod, rate*quotaBurstUs/quotaPeriod)
 }
 
 // admittedByPeers tells whether a call may leave beside the other senders' calls, and if not when
@@ -129,7 +129,7 @@
 	if now >= rt.quota.until && !rt.quota.expired {
 		rt.quota.apply(now)
 	}
-	at := rt.quota.bucket.When(now, 1)
+	at := rt.quota.bucket.AvailableAt(now, 1)
 	return at <= now, at
 }
 
