--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -13,9 +13,9 @@
 // to the newest one, so that the number of states is finite and the search covers all of them.
 
 const (
-	tick    = 5 // clock units of an exact clock in one step; a slow clock counts 4, a fast one 6: drift 0.2
-	newest  = 100
-	instant = time.Duration(1000)
+	tick    = 5                   // clock units per step: a slow clock counts 4, an exact one 5, a fast one 6 (drift 0.2)
+	newest  = 100                 // the newest epoch and renewal when a state is turned into a table
+	instant = time.Duration(1000) // the present time on every clock
 )
 
 var modelTerms = Terms{Length: 3 * tick, Drift: 0.2}
@@ -44,7 +44,7 @@
 
 // modelState is one state of the search.
 type modelState struct {
-	rates        [2]int8
+	rates        [2]int8 // clock units per tick of a and b
 	observerRate int8
 	leaseHolder  int8 // in the table: 0 none, 1 a, 2 b
 	holders      [2]holderState
@@ -136,7 +136,7 @@
 
 // eachSuccessor calls visit with every state that one step leads to.
 func (m modelState) eachSuccessor(v variant, visit func(modelState)) {
-	next := m
+	next := m // one tick passes
 	for i := range next.holders {
 		state := &next.holders[i]
 		holder := m.newHolder(v, i)
@@ -151,7 +151,7 @@
 	visit(next)
 	for i, state := range m.holders {
 		if !state.requested && !state.replied && !state.sent {
-			next := m
+			next := m // a request is sent
 			next.holders[i].requested, next.holders[i].sent, next.holders[i].age = true, true, 0
 			visit(next)
 		}
@@ -177,7 +177,7 @@
 			visit(next)
 		}
 		if state.replied {
-			next := m
+			next := m // the reply arrives
 			holder, requested, epoch :=
 				next.newHolder(v, i), instant-time.Duration(state.age), newest-uint64(state.replyEpochLag)
 			if v.fromReply {
@@ -194,7 +194,7 @@
 	}
 	watch := m.newWatch(v)
 	watch.Observe(m.newTable(), instant)
-	next = m
+	next = m // the observer reads the table
 	seen, grantSeen := watch.observed["d"]
 	if next.grantSeen, next.current, next.age = grantSeen, grantSeen, 0; grantSeen {
 		next.age = int8(instant - seen.seenAt)
@@ -204,11 +204,11 @@
 	}
 	visit(next)
 	if due, _ := m.newWatch(v).Expired(instant); len(due) > 0 && !m.expirePending {
-		next := m
+		next := m // the observer sends an Expire entry
 		next.expirePending, next.expireCurrent = true, due[0].Renewal == newest
 		visit(next)
 	}
-	if m.expirePending {
+	if m.expirePending { // the entry is applied
 		next, table := m, m.newTable()
 		ref := Ref{"d", newest, newest, 0}
 		if !m.expireCurrent && !v.ignoreRenewals {
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -73,15 +73,15 @@
 // have allowed exactly as many tokens as accrued: rounding errors must not accumulate.
 func TestBucketDoesNotDrift(t *testing.T) {
 	bucket := NewBucket(0, 7, 3_000_000, 1)
-	given, day := int64(0), int64(24*3600*1_000_000)
+	taken, day := int64(0), int64(24*3600*1_000_000)
 	for now := int64(0); now <= day; now = bucket.AvailableAt(now, 1) {
 		if !bucket.Take(now, 1) {
 			t.Fatal(now)
 		}
-		given++
+		taken++
 	}
-	if want := 1 + day*7/3_000_000; given < want-1 || given > want {
-		t.Fatal(given, want)
+	if want := 1 + day*7/3_000_000; taken < want-1 || taken > want {
+		t.Fatal(taken, want)
 	}
 }
 
