--- a/internal/group/quotas.go
+++ b/internal/group/quotas.go
@@ -63,7 +63,7 @@
 // in its file: a file that was changed may not have reached all. The lock is held.
 func (g *Group) demandsOn(name string, limit int64) (lowest int64, demands map[string]int64) {
 	lowest, demands = limit, map[string]int64{}
-	for _, member := range g.presence.All(g.clock()) {
+	for _, member := range g.presence.PresentMembers(g.clock()) {
 		state := g.members[member]
 		if state == nil {
 			continue
@@ -93,14 +93,14 @@
 		g.log.Info().Str("quota", ref.Name).Uint64("epoch", ref.Epoch).Int64("amount", ref.Amount).
 			Msg("group: quota taken: the leader has granted it")
 	}
-	g.holder.QuotaGranted(ref.Name, ref.Epoch, ref.Amount, requested)
+	g.holder.RecordQuotaGrant(ref.Name, ref.Epoch, ref.Amount, requested)
 	if lower, ok := reply.LowerQuotas[limit]; ok {
 		g.holder.LowerQuota(ref.Name, lower)
 	}
 	held, _ := g.holder.Get(ref.Name, g.clock())
 	for _, own := range g.opt.Limits {
 		if own.Name == limit {
-			return func() { own.Apply(held.Amount, held.Until, own.Rate/int64(max(1, g.quotaMembers))) }
+			return func() { own.Apply(held.Amount, held.ExpiresAt, own.Rate/int64(max(1, g.quotaMembers))) }
 		}
 	}
 	return func() {}
