--- a/internal/recovery/golden_test.go
+++ b/internal/recovery/golden_test.go
@@ -10,7 +10,7 @@
 	"brackendale/internal/testing/golden"
 )
 
-// TestGoldenBehaviour hashes the outputs of seeded sequences of inputs.
+// TestGoldenBehaviour compares hashes of the outputs for seeded input sequences with the recorded ones.
 func TestGoldenBehaviour(t *testing.T) {
 	var out bytes.Buffer
 	for i, senders := range []int{-1, 0, 1, 4, 5, 80, 900, 2_000_000} {
@@ -22,58 +22,60 @@
 	golden.Check(t, "behaviour.txt", out.String())
 }
 
-// planScenario asks the plan of one incarnation for all that it plans; half way there turns out to be
-// an earlier one.
+// planScenario calls all methods of a plan with random arguments; halfway through, the plan is marked
+// as that of a returning sender.
 func planScenario(seed int64, senders int) func(int) string {
 	rng := rand.New(rand.NewSource(seed))
-	p := New(senders, rng.Float64)
+	plan := New(senders, rng.Float64)
 	return func(i int) string {
 		if i == 1000 {
-			p.SetReturning()
+			plan.SetReturning()
 		}
-		if i%100 == 99 { // another incarnation of the same size
-			backlog := p.BacklogDelay()
-			p = New(senders, rng.Float64)
+		if i%100 == 99 { // another incarnation with the same number of senders
+			backlog := plan.BacklogDelay()
+			plan = New(senders, rng.Float64)
 			if i > 1000 {
-				p.SetReturning()
+				plan.SetReturning()
 			}
 			return fmt.Sprint(backlog)
 		}
-		away, even := rng.Int63n(1<<rng.Intn(36)), rng.Float64()*float64(rng.Intn(100)-5)
-		most, forUs := p.CatchUpRate(rng.Float64()*50, away)
-		return fmt.Sprint(p.SenderFactor(), p.Crowding(), p.BacklogDelay(), p.FirstCallDelay(even, away), most, forUs,
-			p.YoungMeanFactor(away, 1+rng.Int63n(20_000_000)), p.RetryAfter(away, 1+rng.Int63n(60_000_000)))
+		downtimeUs, evenShare := rng.Int63n(1<<rng.Intn(36)), rng.Float64()*float64(rng.Intn(100)-5)
+		maxRate, durationUs := plan.CatchUpRate(rng.Float64()*50, downtimeUs)
+		return fmt.Sprint(plan.SenderFactor(), plan.Crowding(), plan.BacklogDelay(),
+			plan.FirstCallDelay(evenShare, downtimeUs), maxRate, durationUs,
+			plan.YoungMeanFactor(downtimeUs, 1+rng.Int63n(20_000_000)),
+			plan.RetryAfter(downtimeUs, 1+rng.Int63n(60_000_000)))
 	}
 }
 
-// pollScenario lets attempts fail and work in turn.
+// pollScenario polls with random failures and successes.
 func pollScenario(seed int64, senders int) func(int) string {
 	rng := rand.New(rand.NewSource(seed))
-	a := NewPollSchedule(senders, seed, 500*time.Millisecond, 30*time.Second)
+	schedule := NewPollSchedule(senders, seed, 500*time.Millisecond, 30*time.Second)
 	return func(i int) string {
 		if i%50 == 49 {
-			least, most := time.Duration(rng.Intn(5000))*time.Millisecond, time.Duration(rng.Intn(60))*time.Second
-			a = NewPollSchedule(senders, rng.Int63(), least, most)
+			minGap, longestGap := time.Duration(rng.Intn(5000))*time.Millisecond, time.Duration(rng.Intn(60))*time.Second
+			schedule = NewPollSchedule(senders, rng.Int63(), minGap, longestGap)
 		}
 		if rng.Intn(8) == 0 {
-			a.Reset()
+			schedule.Reset()
 		}
 		if rng.Intn(10) == 0 {
-			return fmt.Sprint(int64(a.InitialDelay()))
+			return fmt.Sprint(int64(schedule.InitialDelay()))
 		}
-		return fmt.Sprint(int64(a.NextDelay()))
+		return fmt.Sprint(int64(schedule.NextDelay()))
 	}
 }
 
-// retryAfterScenario turns callers away at changing rates.
+// retryAfterScenario rejects clients at changing rates.
 func retryAfterScenario(seed int64) func(int) string {
 	rng := rand.New(rand.NewSource(seed))
-	var d RetryAfterQueue
+	var queue RetryAfterQueue
 	now := int64(0)
 	return func(int) string {
 		now += rng.Int63n(1<<rng.Intn(20)) - 10
-		perS := float64(max(0, rng.Intn(300)-100))
-		held, least, most := rng.Intn(20_000), 1+rng.Int63n(2_000_000), 1+rng.Int63n(120_000_000)
-		return fmt.Sprint(d.RetryAfter(now, held, perS, least, most, rng.Float64()))
+		ratePerSecond := float64(max(0, rng.Intn(300)-100))
+		pending, minUs, maxUs := rng.Intn(20_000), 1+rng.Int63n(2_000_000), 1+rng.Int63n(120_000_000)
+		return fmt.Sprint(queue.RetryAfter(now, pending, ratePerSecond, minUs, maxUs, rng.Float64()))
 	}
 }
--- a/internal/recovery/plan.go
+++ b/internal/recovery/plan.go
@@ -1,111 +1,118 @@
-// Package recovery plans how an incarnation starts that may be one of many which start in one
-// instant: when the backlog of an earlier one goes on, when the first call to a limit that is known
-// leaves, how fast a backlog is worked off, when the list of endpoints is polled, and when those
-// who are refused should come again. It decides no send: its callers do. It is pure: no clock, no
-// I/O.
+// Package recovery spreads the first actions of a process that may be one of many that restart at
+// the same time. It determines how long a restored backlog waits, when the first call to a
+// destination with a known limit is sent, how fast a backlog is caught up, when the endpoint list
+// is polled, and which Retry-After rejected clients get. The callers decide what is sent. The
+// package is pure: it reads no clock and does no I/O.
 //
-// Rates are in calls or messages a second, times in microseconds unless they are durations. Nothing
-// here is safe for concurrent use.
+// Rates are in calls or messages per second; times are in microseconds unless they have type
+// time.Duration. Nothing in this package is safe for concurrent use.
 package recovery
 
 import "math"
 
 const (
-	// fewSenders each see enough of what they share, and need no plan.
+	// fewSenders is up to how many senders each get enough of the shared traffic to rely on their
+	// own observations; they need no spreading.
 	fewSenders = 4.0
 
 	// MaxSpreadUs is the longest time, in microseconds, over which the first calls of all senders
 	// are spread.
 	MaxSpreadUs = 6_000_000
 
-	// backlogSpreadUs is what fewSenders more senders add to the spread of their backlogs, in
-	// microseconds.
+	// backlogSpreadUs is by how many microseconds the spread of the backlogs grows with each
+	// further fewSenders senders.
 	backlogSpreadUs = 80_000
 
-	// paceMemoryUs is how long the pace of an earlier incarnation means anything, in microseconds.
-	paceMemoryUs = 16_000_000
+	// priorRateValidUs is for how many microseconds the send rate of the previous incarnation is
+	// still a usable limit.
+	priorRateValidUs = 16_000_000
 
-	// minAgeUs is the least age of an incarnation that counts for a mean, in microseconds.
-	minAgeUs = 1_000_000
+	// minMeanAgeUs is the lower bound, in microseconds, of the age by which MeanBiasCorrection
+	// corrects a mean: the correction of a younger one would be arbitrarily large.
+	minMeanAgeUs = 1_000_000
 
 	usPerSecond = 1e6
 )
 
-// Plan is what one incarnation goes by.
+// Plan holds the parameters by which one incarnation spreads its start.
 type Plan struct {
-	senderFactor float64
-	crowding     float64
-	draw         func() float64
-	backlogDelay int64 // drawn at its first use; 0 before
-	returning    bool
+	senderFactor    float64
+	aggregateWeight float64
+	random          func() float64
+	backlogDelay    int64 // chosen at its first use; 0 before
+	restarted       bool
 }
 
-// New plans for one of so many senders that use the same destinations, itself included; less than
-// one counts as one. draw returns random numbers from 0 up to 1.
-func New(senders int, draw func() float64) *Plan {
+// New returns the plan of one sender. senders is the number of senders that share its destinations,
+// itself included; less than one counts as one. random returns random numbers in [0, 1).
+func New(senders int, random func() float64) *Plan {
 	factor := max(1, float64(senders)/fewSenders)
-	return &Plan{senderFactor: factor, crowding: 1 - 1/factor, draw: draw}
+	return &Plan{senderFactor: factor, aggregateWeight: 1 - 1/factor, random: random}
 }
 
-// SenderFactor is how many times as many senders there are as see enough by themselves, 1 at least.
+// SenderFactor returns the number of senders in multiples of fewSenders, at least 1.
 func (p *Plan) SenderFactor() float64 { return p.senderFactor }
 
-// Crowding is 0 for few senders and nears 1 with their number: how far one goes by what all do
-// rather than by what it sees.
-func (p *Plan) Crowding() float64 { return p.crowding }
+// Crowding returns the weight of the expected behavior of all senders against this sender's own
+// observations: 0 for few senders, approaching 1 with their number.
+func (p *Plan) Crowding() float64 { return p.aggregateWeight }
 
-// BacklogDelay is how long after its start an incarnation leaves its backlog alone, drawn once; 0
-// for few senders.
+// BacklogDelay returns for how long after its start an incarnation sends none of its restored
+// backlog: a random time, the same at each call; 0 for few senders.
 func (p *Plan) BacklogDelay() int64 {
-	if p.crowding == 0 {
+	if p.aggregateWeight == 0 {
 		return 0
 	}
-	if p.backlogDelay == 0 { // all that were killed start again in one instant
-		p.backlogDelay = 1 + int64(p.draw()*min(MaxSpreadUs, (p.senderFactor-1)*backlogSpreadUs))
+	if p.backlogDelay == 0 { // in a mass restart all senders start at the same instant
+		p.backlogDelay = 1 + int64(p.random()*min(MaxSpreadUs, (p.senderFactor-1)*backlogSpreadUs))
 	}
 	return p.backlogDelay
 }
 
-// FirstCallDelay is how long the first call waits to a destination whose limit is known from
-// before, evenShare being this sender's part of it. All that start at once must not find out at
-// once how things are: of so many, each with what its clients brought while it was away, as many
-// have a call as the even share allows. It is MaxSpreadUs at the most.
-func (p *Plan) FirstCallDelay(evenShare float64, awayUs int64) int64 {
-	if p.crowding == 0 || !(evenShare > 0) {
+// FirstCallDelay returns how long the first call waits to a destination whose limit is known from
+// an earlier incarnation. evenShare is this sender's even share of that limit, and downtimeUs is how
+// long no process of this sender ran. The senders of a mass restart must not all probe the
+// destination at once. The delay is spread so that the first calls of all of them stay within
+// the limit; how many of them have a message to send is estimated from evenShare and the downtime.
+// It is at most MaxSpreadUs.
+func (p *Plan) FirstCallDelay(evenShare float64, downtimeUs int64) int64 {
+	if p.aggregateWeight == 0 || !(evenShare > 0) {
 		return 0
 	}
-	withCall := 1 - math.Exp(-evenShare*float64(min(awayUs, MaxSpreadUs))/usPerSecond)
-	return int64(p.crowding * p.draw() * withCall / evenShare * usPerSecond)
+	withCall := 1 - math.Exp(-evenShare*float64(min(downtimeUs, MaxSpreadUs))/usPerSecond)
+	return int64(p.aggregateWeight * p.random() * withCall / evenShare * usPerSecond)
 }
 
-// CatchUpRate is the most that an incarnation sends where no limit is advertised, and for how long
-// that binds it, by the pace of the one before. Alone it may go twice as fast: what came while it
-// was away is caught up within as long again. One of many stays below that, since each one's pace
-// is a high estimate from few messages, and the sum of all is what the destination gets.
-func (p *Plan) CatchUpRate(pace float64, awayUs int64) (maxRate float64, forUs int64) {
-	return pace * (1 + 1/(1+p.crowding)), min(2*awayUs, paceMemoryUs)
+// CatchUpRate returns the send rate that limits an incarnation to a destination without an
+// advertised limit, and for how long. rate is the send rate of the previous incarnation. A lone
+// sender may send at twice that rate, which catches up the messages of the downtime within another
+// downtime. One of many senders stays below that: each one's rate is a high estimate from few
+// messages, and the destination gets the sum of all.
+func (p *Plan) CatchUpRate(rate float64, downtimeUs int64) (maxRate float64, durationUs int64) {
+	return rate * (1 + 1/(1+p.aggregateWeight)), min(2*downtimeUs, priorRateValidUs)
 }
 
-// SetReturning records that there was an earlier incarnation, whose clients may all be there in one
-// instant.
-func (p *Plan) SetReturning() { p.returning = true }
+// SetReturning records that there was an earlier incarnation, whose clients may all reconnect at
+// the same time.
+func (p *Plan) SetReturning() { p.restarted = true }
 
-// YoungMeanFactor is how many times too low a mean is that fades over fadeUs, in an incarnation
-// that has counted for ageUs only: 1 where an earlier incarnation left the mean.
-func (p *Plan) YoungMeanFactor(ageUs, fadeUs int64) float64 {
-	if p.returning {
+// YoungMeanFactor returns the bias correction of an exponentially weighted mean that started at
+// zero: the factor by which a mean with time constant decayUs is too low after ageUs. It is 1 where
+// the mean was restored from an earlier incarnation.
+func (p *Plan) YoungMeanFactor(ageUs, decayUs int64) float64 {
+	if p.restarted {
 		return 1
 	}
-	return 1 / (1 - math.Exp(-float64(max(minAgeUs, ageUs))/float64(fadeUs)))
+	return 1 / (1 - math.Exp(-float64(max(minMeanAgeUs, ageUs))/float64(decayUs)))
 }
 
-// RetryAfter is when those whom an incarnation refuses should come again: after us, or spread by
-// half to both sides where this incarnation is returning, and not later than maxUs. All that are
-// refused in one moment would else come again in one moment.
+// RetryAfter returns the Retry-After of clients that an incarnation rejects: us, at most maxUs. In
+// a restarted incarnation it is spread by half to both sides: clients that are rejected at the same
+// time would otherwise all return at the same time.
 func (p *Plan) RetryAfter(us, maxUs int64) int64 {
 	us = min(us, maxUs)
-	if !p.returning {
+	if !p.restarted {
 		return us
 	}
-	return spread(us, maxUs, p.draw())
+	return spread(us, maxUs, p.random())
 }
--- a/internal/recovery/plan_test.go
+++ b/internal/recovery/plan_test.go
@@ -8,105 +8,105 @@
 	"pgregory.net/rapid"
 )
 
-// Incarnations that start in one instant: what they do first is spread over what all of them may do
-// together, and an incarnation that is one of few waits for nothing.
-func TestManyAreSpread(t *testing.T) {
-	for _, n := range []int{1, 4, 80, 300, 1000} {
-		rng := rand.New(rand.NewSource(int64(n)))
-		backlog, first := map[int64]int{}, map[int64]int{} // by tenths of a second
-		most := 0
-		for range n {
-			p := New(n, rng.Float64)
-			if o := p.BacklogDelay(); o != p.BacklogDelay() || o > MaxSpreadUs {
-				t.Fatal(n, o)
+// When many senders start at the same time, their backlogs and their first calls are spread so that
+// the first calls of all stay within the destination's limit. Few senders do not wait.
+func TestManySendersAreSpread(t *testing.T) {
+	for _, senders := range []int{1, 4, 80, 300, 1000} {
+		rng := rand.New(rand.NewSource(int64(senders)))
+		backlogs, firstCalls := map[int64]int{}, map[int64]int{} // by tenths of a second
+		maxFirstCalls := 0
+		for range senders {
+			plan := New(senders, rng.Float64)
+			if delay := plan.BacklogDelay(); delay != plan.BacklogDelay() || delay > MaxSpreadUs {
+				t.Fatal(senders, delay)
 			}
-			backlog[p.BacklogDelay()/100_000]++
-			// a limit of 0.2 calls a second for each, away for three seconds: about half have
-			// something to send
+			backlogs[plan.BacklogDelay()/100_000]++
+			// The limit is 0.2 calls per second and sender. After a downtime of three seconds about
+			// half of the senders have a message to send.
 			if rng.Float64() < 1-math.Exp(-0.2*3) {
-				at := p.FirstCallDelay(0.2, 3_000_000) / 100_000
-				first[at]++
-				most = max(most, first[at])
+				tenth := plan.FirstCallDelay(0.2, 3_000_000) / 100_000
+				firstCalls[tenth]++
+				maxFirstCalls = max(maxFirstCalls, firstCalls[tenth])
 			}
 		}
-		if n <= 4 {
-			if backlog[0] != n || first[0] != most {
-				t.Errorf("%d senders wait: %v %v", n, backlog, first)
+		if senders <= 4 {
+			if backlogs[0] != senders || firstCalls[0] != maxFirstCalls {
+				t.Errorf("%d senders wait: backlogs %v, first calls %v", senders, backlogs, firstCalls)
 			}
 			continue
 		}
-		if limit := 0.02 * float64(n); float64(most) > limit+4*math.Sqrt(limit)+1 {
-			t.Errorf("%d senders: %d first calls in a tenth of a second, the limit is %.1f", n, most, limit)
+		if limit := 0.02 * float64(senders); float64(maxFirstCalls) > limit+4*math.Sqrt(limit)+1 {
+			t.Errorf("%d senders: %d first calls in a tenth of a second, the limit is %.1f", senders, maxFirstCalls, limit)
 		}
-		if len(backlog) < min(n/8, 10) {
-			t.Errorf("%d senders: all backlog leaves in %d tenths of a second", n, len(backlog))
+		if len(backlogs) < min(senders/8, 10) {
+			t.Errorf("%d senders: all backlogs start within %d tenths of a second", senders, len(backlogs))
 		}
 	}
 }
 
-// What binds an incarnation that catches up, and for how long; and the Retry-After of those whom it
-// refuses.
-func TestCatchUpAndAgain(t *testing.T) {
-	alone, many := New(1, func() float64 { return 0.25 }), New(1000, func() float64 { return 0.25 })
-	if most, us := alone.CatchUpRate(3, 5_000_000); most != 6 || us != 10_000_000 {
-		t.Error(most, us)
+// CatchUpRate limits a lone sender to twice its earlier rate and one of many senders to less.
+// RetryAfter is spread only in an incarnation that follows an earlier one.
+func TestCatchUpRateAndRetryAfter(t *testing.T) {
+	lone, oneOfMany := New(1, func() float64 { return 0.25 }), New(1000, func() float64 { return 0.25 })
+	if maxRate, us := lone.CatchUpRate(3, 5_000_000); maxRate != 6 || us != 10_000_000 {
+		t.Error(maxRate, us)
 	}
-	if most, us := many.CatchUpRate(3, 50_000_000); most < 4.5 || most > 4.6 || us != paceMemoryUs {
-		t.Error(most, us)
+	if maxRate, us := oneOfMany.CatchUpRate(3, 50_000_000); maxRate < 4.5 || maxRate > 4.6 || us != priorRateValidUs {
+		t.Error(maxRate, us)
 	}
-	if us := alone.RetryAfter(900, 1000); us != 900 {
-		t.Error("a first incarnation spreads its waits:", us)
+	if us := lone.RetryAfter(900, 1000); us != 900 {
+		t.Error("a first incarnation spreads its Retry-After:", us)
 	}
-	if alone.SetReturning(); alone.RetryAfter(800, 10_000) != 600 || alone.RetryAfter(5000, 900) != 450 {
-		t.Error(alone.RetryAfter(800, 10_000), alone.RetryAfter(5000, 900))
+	if lone.SetReturning(); lone.RetryAfter(800, 10_000) != 600 || lone.RetryAfter(5000, 900) != 450 {
+		t.Error(lone.RetryAfter(800, 10_000), lone.RetryAfter(5000, 900))
 	}
 }
 
-// A wait is never under half of the least and never over the most, whatever is held, and grows by
-// nobody's being turned away.
-func TestTurn(t *testing.T) {
+// RetryAfter is never less than half of its lower bound and never more than its upper bound,
+// whatever the number of pending messages and the rate.
+func TestRetryAfterBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var d RetryAfterQueue
-		least := rapid.Int64Range(2, 1e6).Draw(t, "least")
-		most := rapid.OneOf(rapid.Int64Range(2*least, 1e8), rapid.Just(int64(math.MaxInt64))).Draw(t, "most")
+		var queue RetryAfterQueue
+		minUs := rapid.Int64Range(2, 1e6).Draw(t, "least")
+		maxUs := rapid.OneOf(rapid.Int64Range(2*minUs, 1e8), rapid.Just(int64(math.MaxInt64))).Draw(t, "most")
 		now := int64(0)
 		for range rapid.IntRange(1, 50).Draw(t, "turns") {
 			now += rapid.Int64Range(-1e6, 1e9).Draw(t, "later")
-			perS := rapid.OneOf(rapid.Just(0.0), rapid.Float64Range(0, 1e6)).Draw(t, "pace")
-			us := d.RetryAfter(now, rapid.IntRange(0, 1e6).Draw(t, "held"), perS, least, most,
+			ratePerSecond := rapid.OneOf(rapid.Just(0.0), rapid.Float64Range(0, 1e6)).Draw(t, "pace")
+			us := queue.RetryAfter(now, rapid.IntRange(0, 1e6).Draw(t, "held"), ratePerSecond, minUs, maxUs,
 				rapid.Float64Range(0, 0.999).Draw(t, "draw"))
-			if us < least/2 || us > most {
-				t.Fatalf("%d, from %d to %d", us, least, most)
+			if us < minUs/2 || us > maxUs {
+				t.Fatalf("Retry-After %d us, bounds %d us and %d us", us, minUs, maxUs)
 			}
 		}
 	})
 }
 
-// Ten thousand that are refused in one second come back as fast as they can be served, and not in
-// one instant; those who come when all is over get the least wait again.
-func TestTenThousandAreTurnedAway(t *testing.T) {
-	const perS = 500.0
+// Ten thousand clients that are rejected within one second return no faster than they can be served.
+// A client that is rejected after all of them have returned gets the minimum wait again.
+func TestTenThousandRejectionsAreSpread(t *testing.T) {
+	const ratePerSecond = 500.0
 	rng := rand.New(rand.NewSource(1))
-	turn := func(most int64) (tenth map[int64]int, d *RetryAfterQueue) {
-		tenth, d = map[int64]int{}, &RetryAfterQueue{}
+	rejectAll := func(maxUs int64) (returnsByTenth map[int64]int, queue *RetryAfterQueue) {
+		returnsByTenth, queue = map[int64]int{}, &RetryAfterQueue{}
 		for i := range int64(10_000) {
-			tenth[(i*100+d.RetryAfter(i*100, 200, perS, 500_000, most, rng.Float64()))/100_000]++
+			returnsByTenth[(i*100+queue.RetryAfter(i*100, 200, ratePerSecond, 500_000, maxUs, rng.Float64()))/100_000]++
 		}
-		return tenth, d
+		return returnsByTenth, queue
 	}
-	at, d := turn(math.MaxInt64)
-	for k, n := range at {
-		if n > 3*perS/10 {
-			t.Errorf("%d come in the tenth of a second from %.1f s", n, float64(k)/10)
+	returns, queue := rejectAll(math.MaxInt64)
+	for tenth, clients := range returns {
+		if clients > 3*ratePerSecond/10 {
+			t.Errorf("%d clients return in the tenth of a second from %.1f s", clients, float64(tenth)/10)
 		}
 	}
-	if us := d.RetryAfter(60_000_000, 0, perS, 500_000, math.MaxInt64, 0.5); us != 500_000 {
-		t.Errorf("a minute later: %d", us)
+	if us := queue.RetryAfter(60_000_000, 0, ratePerSecond, 500_000, math.MaxInt64, 0.5); us != 500_000 {
+		t.Errorf("Retry-After a minute later: %d us", us)
 	}
-	at, _ = turn(3_000_000) // the settings allow no longer wait: as wide as may be
-	for k, n := range at {
-		if n > 10_000/12 {
-			t.Errorf("no more than 3 s: %d come in the tenth of a second from %.1f s", n, float64(k)/10)
+	returns, _ = rejectAll(3_000_000) // the settings' limit: the waits are spread as widely as it allows
+	for tenth, clients := range returns {
+		if clients > 10_000/12 {
+			t.Errorf("with a limit of 3 s, %d clients return in the tenth of a second from %.1f s", clients, float64(tenth)/10)
 		}
 	}
 }
--- a/internal/recovery/poll_schedule.go
+++ b/internal/recovery/poll_schedule.go
@@ -6,58 +6,60 @@
 )
 
 const (
-	// spreadPerSender is what one more sender adds to the time over which all of them poll once.
+	// spreadPerSender is by how much each further sender lengthens the time over which all senders
+	// poll once.
 	spreadPerSender = 70 * time.Millisecond
 
-	// maxGapFactor is how many times as long as the first gap the longest may be.
+	// maxGapFactor limits the gaps to this multiple of the first gap.
 	maxGapFactor = 10
 
-	// maxSpreadSenders bounds the senders that count, so that the spread does not overflow.
+	// maxSpreadSenders limits the number of senders that is used, so that the spread does not
+	// overflow.
 	maxSpreadSenders = 1_000_000
 )
 
-// PollSchedule tells when one of many senders polls a shared party again: the registry, after a
-// failure or at its start. A lone sender may poll at once; where many poll in step, all are
-// refused. It is not safe for concurrent use.
+// PollSchedule determines when one of many senders polls a shared service, such as the registry, at
+// its start or after a failure. A lone sender may poll at once; many senders that poll in step would
+// all be rejected. It is not safe for concurrent use.
 type PollSchedule struct {
-	rng    *rand.Rand
-	first  time.Duration // gap
-	max    time.Duration // gap
-	next   time.Duration // gap
-	spread time.Duration // over which all senders poll once
+	rng      *rand.Rand
+	firstGap time.Duration
+	maxGap   time.Duration
+	nextGap  time.Duration
+	spread   time.Duration // the time over which all senders poll once
 }
 
-// NewPollSchedule returns the gaps of one of so many senders (less than one counts as one). The
-// first gap is shortest or longer, by their number, and none gets longer than longest, but for the
-// jitter.
-func NewPollSchedule(senders int, seed int64, shortest, longest time.Duration) *PollSchedule {
-	crowd := min(max(0, senders-int(fewSenders)), maxSpreadSenders)
+// NewPollSchedule returns the schedule of one sender. senders is the number of senders that poll the
+// service; less than one counts as one. The first gap is minGap, or longer for many senders, and no
+// gap before jitter is longer than longestGap, or than minGap if that is longer.
+func NewPollSchedule(senders int, seed int64, minGap, longestGap time.Duration) *PollSchedule {
+	extraSenders := min(max(0, senders-int(fewSenders)), maxSpreadSenders)
 	p := &PollSchedule{
 		rng:    rand.New(rand.NewSource(seed)),
-		spread: time.Duration(crowd) * spreadPerSender,
+		spread: time.Duration(extraSenders) * spreadPerSender,
 	}
-	p.first = max(shortest, min(longest, p.spread))
-	p.max = min(max(shortest, longest), maxGapFactor*p.first)
-	p.next = p.first
+	p.firstGap = max(minGap, min(longestGap, p.spread))
+	p.maxGap = min(max(minGap, longestGap), maxGapFactor*p.firstGap)
+	p.nextGap = p.firstGap
 	return p
 }
 
-// InitialDelay is how long to wait before the first poll of an incarnation that has an older list:
-// all senders may have been started in one instant. It is 0 for few senders.
+// InitialDelay returns how long to wait before the first poll of an incarnation that has an older
+// endpoint list, since all senders may have started at the same time. It is 0 for few senders.
 func (p *PollSchedule) InitialDelay() time.Duration {
-	return time.Duration(p.rng.Float64() * float64(min(p.max, p.spread)))
+	return time.Duration(p.rng.Float64() * float64(min(p.maxGap, p.spread)))
 }
 
-// NextDelay is how long to wait after a poll that failed: a gap that doubles, among many senders
-// with a jitter of half to both sides.
+// NextDelay returns how long to wait after a failed poll: a gap that doubles each time, with a
+// jitter of half to both sides if there are many senders.
 func (p *PollSchedule) NextDelay() time.Duration {
-	gap := p.next
-	p.next = min(p.max, 2*p.next)
+	gap := p.nextGap
+	p.nextGap = min(p.maxGap, 2*p.nextGap)
 	if p.spread == 0 {
 		return gap
 	}
 	return time.Duration((0.5 + p.rng.Float64()) * float64(gap))
 }
 
-// Reset records a success: the next failure counts as the first.
-func (p *PollSchedule) Reset() { p.next = p.first }
+// Reset records a successful poll: the gap after the next failure is the first gap again.
+func (p *PollSchedule) Reset() { p.nextGap = p.firstGap }
--- a/internal/recovery/poll_schedule_test.go
+++ b/internal/recovery/poll_schedule_test.go
@@ -5,56 +5,59 @@
 	"time"
 )
 
-// Eighty senders started in one instant against a registry that turns all away: with one gap of 50
-// ms they came 1,600 times a second, and none ever got a list.
-func TestManySendersThinOut(t *testing.T) {
+// Eighty senders start at the same time and the registry rejects all polls. With a fixed gap of 50 ms
+// they polled 1,600 times per second in total, and no sender ever got an endpoint list.
+func TestManySendersPollLessOften(t *testing.T) {
 	const senders, window = 80, 100 * time.Millisecond
-	bins := make([]int, 100) // 10 s
+	pollsByWindow := make([]int, 100) // 10 s
 	for i := range senders {
-		p := NewPollSchedule(senders, int64(i), 50*time.Millisecond, 5*time.Second)
-		for at := p.InitialDelay(); at < 10*time.Second; at += p.NextDelay() {
-			bins[at/window]++
+		schedule := NewPollSchedule(senders, int64(i), 50*time.Millisecond, 5*time.Second)
+		for at := schedule.InitialDelay(); at < 10*time.Second; at += schedule.NextDelay() {
+			pollsByWindow[at/window]++
 		}
 	}
 	total, late := 0, 0
-	for i, n := range bins {
-		if total += n; n > senders/10 {
-			t.Errorf("%d calls in the 100 ms from %v", n, time.Duration(i)*window)
+	for i, polls := range pollsByWindow {
+		if total += polls; polls > senders/10 {
+			t.Errorf("%d polls in the 100 ms from %v", polls, time.Duration(i)*window)
 		}
 		if i >= 50 {
-			late += n
+			late += polls
 		}
 	}
-	if perS := float64(late) / 5; perS > senders/4 {
-		t.Errorf("%.0f calls a second after five seconds of refusals", perS)
+	if perSecond := float64(late) / 5; perSecond > senders/4 {
+		t.Errorf("%.0f polls per second after five seconds of rejections", perSecond)
 	}
 	if total < senders*3/2 {
-		t.Errorf("only %d calls in 10 s: some were starved", total)
+		t.Errorf("only %d polls in 10 s: some senders were starved", total)
 	}
 }
 
-func TestFewAskAtOnce(t *testing.T) {
+// Few senders poll at once and retry after the minimum gap, without jitter.
+func TestFewSendersPollAtOnce(t *testing.T) {
 	for _, senders := range []int{-3, 0, 1, 3} {
-		p := NewPollSchedule(senders, 7, 50*time.Millisecond, 5*time.Second)
-		if d := p.InitialDelay(); d != 0 {
-			t.Errorf("%d senders: starts after %v", senders, d)
+		schedule := NewPollSchedule(senders, 7, 50*time.Millisecond, 5*time.Second)
+		if delay := schedule.InitialDelay(); delay != 0 {
+			t.Errorf("%d senders: first poll after %v", senders, delay)
 		}
-		if d := p.NextDelay(); d != 50*time.Millisecond {
-			t.Errorf("%d senders: polls again after %v", senders, d)
+		if delay := schedule.NextDelay(); delay != 50*time.Millisecond {
+			t.Errorf("%d senders: next poll after %v", senders, delay)
 		}
 	}
 }
 
-func TestGapsAreBoundedAndStartAnew(t *testing.T) {
+// Gaps stay within their bounds, jitter included, for any number of senders, and a success resets
+// them to the first gap.
+func TestGapsAreBoundedAndReset(t *testing.T) {
 	for _, senders := range []int{8, 80, 10_000, 1 << 40} {
-		p := NewPollSchedule(senders, 7, 50*time.Millisecond, 5*time.Second)
-		first := p.NextDelay()
+		schedule := NewPollSchedule(senders, 7, 50*time.Millisecond, 5*time.Second)
+		first := schedule.NextDelay()
 		for range 50 {
-			if d := p.NextDelay(); d > 7500*time.Millisecond || d < 25*time.Millisecond {
-				t.Fatalf("%d senders: a gap of %v", senders, d)
+			if gap := schedule.NextDelay(); gap > 7500*time.Millisecond || gap < 25*time.Millisecond {
+				t.Fatalf("%d senders: a gap of %v", senders, gap)
 			}
 		}
-		if p.Reset(); senders == 8 && (first > 420*time.Millisecond || p.NextDelay() > 420*time.Millisecond) {
+		if schedule.Reset(); senders == 8 && (first > 420*time.Millisecond || schedule.NextDelay() > 420*time.Millisecond) {
 			t.Errorf("eight senders: first gap %v", first)
 		}
 	}
--- a/sender/admission.go
+++ b/sender/admission.go
@@ -54,7 +54,7 @@
 		return true, reply{Rejected, s.retryAfterMs()}
 	}
 	sameID := func(other *Request) bool { return other.ID == request.ID }
-	if s.next.requestIDs[request.ID] || slices.ContainsFunc(ahead, sameID) {
+	if s.nextInput.requestIDs[request.ID] || slices.ContainsFunc(ahead, sameID) {
 		return true, reply{Rejected, s.retryAfterMs()}
 	}
 	return false, reply{}
@@ -63,17 +63,17 @@
 // hasRoom reports whether the limit of messages and the journal have room for a request.
 func (s *Sender) hasRoom(request *Request, ahead []*Request, aheadBytes int) bool {
 	limit := s.options.Settings.Limits.MaxMessages
-	if limit > 0 && s.pending+len(s.next.requests)+len(ahead) >= limit {
+	if limit > 0 && s.pending+len(s.nextInput.requests)+len(ahead) >= limit {
 		return false
 	}
-	return s.journal.HasRoom(aheadBytes+journal.RecordSize(newEntry(request)), s.next.promisedBytes)
+	return s.journal.HasRoom(aheadBytes+journal.RecordSize(newEntry(request)), s.nextInput.reservedBytes)
 }
 
 // enqueue lets the next step decide on a request.
 func (s *Sender) enqueue(request *Request) {
-	s.next.promisedBytes += journal.RecordSize(newEntry(request))
-	s.next.requests = append(s.next.requests, request)
-	s.next.requestIDs[request.ID] = true
+	s.nextInput.reservedBytes += journal.RecordSize(newEntry(request))
+	s.nextInput.requests = append(s.nextInput.requests, request)
+	s.nextInput.requestIDs[request.ID] = true
 	s.addEvents(scheduler.Event{
 		Kind:        scheduler.RequestAccepted,
 		ID:          request.ID,
@@ -92,9 +92,9 @@
 			s.hotRestart.successor.Withdraw(request)
 			return
 		}
-		for i, queued := range s.next.requests {
+		for i, queued := range s.nextInput.requests {
 			if queued == request {
-				s.next.requests[i] = &Request{ID: request.ID}
+				s.nextInput.requests[i] = &Request{ID: request.ID}
 				s.addEvents(scheduler.Event{Kind: scheduler.RequestWithdrawn, ID: request.ID})
 				s.answer(request, reply{verdict: Failed})
 			}
--- a/sender/backpressure.go
+++ b/sender/backpressure.go
@@ -4,8 +4,8 @@
 // until all are under the low one. The gap keeps a level that swings around one mark from turning
 // it on and off at every step.
 const (
-	highMark = 0.9
-	lowMark  = 0.7
+	highWatermark = 0.9
+	lowWatermark  = 0.7
 )
 
 // backpressure is whether clients should hold back.
@@ -17,22 +17,22 @@
 // fillLevel is how full a resource is, from 0 to 1.
 type fillLevel struct {
 	resource string
-	share    float64
+	fraction float64
 }
 
 // update takes the levels of one step and reports whether what clients should do has changed.
 func (b *backpressure) update(levels ...fillLevel) (changed bool) {
 	highest := fillLevel{}
 	for _, level := range levels {
-		if level.share > highest.share {
+		if level.fraction > highest.fraction {
 			highest = level
 		}
 	}
 	switch {
-	case !b.on && highest.share >= highMark:
+	case !b.on && highest.fraction >= highWatermark:
 		b.on, b.reason = true, highest.resource
 		return true
-	case b.on && highest.share <= lowMark:
+	case b.on && highest.fraction <= lowWatermark:
 		b.on, b.reason = false, ""
 		return true
 	}
--- a/sender/backpressure_test.go
+++ b/sender/backpressure_test.go
@@ -45,7 +45,7 @@
 	big := request(s, "big", 9e6)
 	big.Body = make([]byte, 20<<10)
 	f.step(t, big)
-	if len(listener.on) != 1 || s.journal.FillLevel() < highMark {
+	if len(listener.on) != 1 || s.journal.FillLevel() < highWatermark {
 		t.Fatal(listener.on, s.journal.FillLevel())
 	}
 }
--- a/sender/disk_stall.go
+++ b/sender/disk_stall.go
@@ -13,14 +13,14 @@
 // no decision could be recorded. Attempts in flight go on, and their messages' final answers are
 // sent once they are recorded.
 type diskStall struct {
-	err            error             // why the last write failed; nil: the journal can be written
-	retryScheduled bool              // a step that retries the write is due
-	transactions   []*Transaction    // accepted by the step that failed: answered once they are recorded
-	withheld       []withheldVerdict // on requests of that step: sent once nothing of it can be read back
+	err            error           // why the last write failed; nil: the journal can be written
+	retryScheduled bool            // a step that retries the write is due
+	transactions   []*Transaction  // accepted by the step that failed: answered once they are recorded
+	withheld       []withheldReply // on requests of that step: sent once nothing of it can be read back
 }
 
-// withheldVerdict is a request and the reply that waits.
-type withheldVerdict struct {
+// withheldReply is a request and the reply that waits.
+type withheldReply struct {
 	request *Request
 	reply   reply
 }
@@ -53,7 +53,7 @@
 func (s *Sender) undoRequests(decided *decision) map[string]bool {
 	undone := map[string]bool{} // true: the scheduler has heard how the attempt ended
 	for _, request := range decided.input.requests {
-		if _, ended := decided.replies[request.ID]; ended || !request.single() {
+		if _, ended := decided.replies[request.ID]; ended || !request.standalone() {
 			continue
 		}
 		s.pending--
@@ -82,7 +82,7 @@
 			if stats := s.routeStats[endpoint]; stats != nil {
 				stats.InFlight--
 			}
-			s.addEvents(finishedUnsent(attempt.ID, endpoint))
+			s.addEvents(unsentAttemptEvent(attempt.ID, endpoint))
 		}
 	}
 }
@@ -93,12 +93,12 @@
 // nothing is sent any more. Their clients time out.
 func (s *Sender) answerRequests(decided *decision) {
 	for _, request := range decided.input.requests {
-		if !request.single() {
+		if !request.standalone() {
 			continue
 		}
 		answer := decided.replies[request.ID] // the zero reply is Accepted
 		if s.diskStall.err != nil && s.journal.Torn() {
-			s.diskStall.withheld = append(s.diskStall.withheld, withheldVerdict{request, answer})
+			s.diskStall.withheld = append(s.diskStall.withheld, withheldReply{request, answer})
 			continue
 		}
 		s.answer(request, answer)
@@ -136,11 +136,11 @@
 }
 
 func (s *Sender) rejectTransactions() {
-	for _, transaction := range s.next.transactions {
+	for _, transaction := range s.nextInput.transactions {
 		transaction.reply = reply{Rejected, s.retryAfterMs()}
 		s.answerTransaction(transaction)
 	}
-	s.next.transactions = nil
+	s.nextInput.transactions = nil
 }
 
 // finishOverdue fails messages whose deadline passes while the journal cannot be written, and sends
--- a/sender/exclusion_test.go
+++ b/sender/exclusion_test.go
@@ -36,7 +36,7 @@
 			t.Error("the result came before the change")
 		}
 	})
-	s.runTurn()
+	s.runIteration()
 	if errors.Is(err, noResult) {
 		t.Fatal(noResult)
 	}
@@ -45,7 +45,7 @@
 
 // An excluded endpoint gets no new attempts, whatever updates the registry sends and over restarts.
 // One call includes it again, and an endpoint that was never listed is an error.
-func TestExclusionsHold(t *testing.T) {
+func TestExclusionsPersist(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir, err := os.MkdirTemp("", "exclude")
 		if err != nil {
@@ -87,7 +87,7 @@
 				}
 			}
 			s.UpdateRoutes(scheduler.UpdateKind(kind), list)
-			s.runTurn()
+			s.runIteration()
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"patch": func(t *rapid.T) { update("patch", []Route{newRoute(name.Draw(t, "name"), state.Draw(t, "state"))}) },
@@ -103,7 +103,7 @@
 			"call": func(t *rapid.T) {
 				x, want, got := name.Draw(t, "name"), rapid.Bool().Draw(t, "out"), errors.New("no result")
 				s.Exclude(x, want, func(e error) { got = e })
-				s.runTurn()
+				s.runIteration()
 				if known := listed[x] || out[x]; known != (got == nil) || !known && !errors.Is(got, ErrUnknownEndpoint) {
 					t.Fatalf("%s, listed %v: %v", x, known, got)
 				} else if known {
@@ -119,12 +119,12 @@
 						delete(out, x)
 					}
 				}
-				s.runTurn()
+				s.runIteration()
 			},
 			"offer": func(t *rapid.T) {
 				n++
 				s.Submit(request(s, fmt.Sprint(n), 9e6))
-				s.runTurn()
+				s.runIteration()
 			},
 			"": func(t *rapid.T) {
 				avoided := 0
@@ -134,7 +134,7 @@
 					}
 				}
 				var text strings.Builder
-				s.routesAvoided.countedAt = s.routesAvoided.countedAt.Add(-avoidedCountInterval * 2)
+				s.avoidedRoutes.countedAt = s.avoidedRoutes.countedAt.Add(-maxAvoidedCountAge * 2)
 				s.updateMetrics()
 				if err := s.metrics.Write(&text); err != nil {
 					t.Fatal(err)
@@ -195,7 +195,7 @@
 }
 
 // Each final answer is counted once, by its class, and so is a rejection.
-func TestCountedOnce(t *testing.T) {
+func TestFinalAnswersAreCountedOnce(t *testing.T) {
 	s, f := newTestSender(t, t.TempDir(), 1<<20)
 	s.options.Settings.Limits.MaxMessages = 2
 	s.metrics = metrics.New([]string{"once"})
--- a/sender/expiry.go
+++ b/sender/expiry.go
@@ -8,8 +8,8 @@
 	"brackendale/internal/journal"
 )
 
-// minForgetInterval is the least time between two rounds of forgetting expired ids.
-const minForgetInterval = 20 * time.Millisecond
+// minExpiryInterval is the least time between two rounds of forgetting expired ids.
+const minExpiryInterval = 20 * time.Millisecond
 
 // expiringIDs are the acknowledged messages whose ids are kept until they expire. One timer serves
 // all of them.
@@ -18,41 +18,41 @@
 	timer *time.Timer // nil: never set
 }
 
-// scheduleForget forgets an acknowledged message once its class would not let it live any more,
+// scheduleExpiry forgets an acknowledged message once its class would not let it live any more,
 // counted from its deadline on.
-func (s *Sender) scheduleForget(entry *journal.Entry) {
+func (s *Sender) scheduleExpiry(entry *journal.Entry) {
 	at := entry.Deadline.Add(clock.Microseconds(s.classes[entry.Class].DeadlineUs))
 	if s.expiring.queue.add(at, entry.ID) {
-		s.armForgetTimer(at)
+		s.armExpiryTimer(at)
 	}
 }
 
-// armForgetTimer sets the timer. It may fire late: an id that is kept longer does no harm.
-func (s *Sender) armForgetTimer(at clock.Instant) {
-	delay := max(minForgetInterval, at.Sub(s.Now()))
+// armExpiryTimer sets the timer. It may fire late: an id that is kept longer does no harm.
+func (s *Sender) armExpiryTimer(at clock.Instant) {
+	delay := max(minExpiryInterval, at.Sub(s.Now()))
 	if s.expiring.timer == nil {
-		s.expiring.timer = time.AfterFunc(delay, func() { s.Post(s.forgetExpired) })
+		s.expiring.timer = time.AfterFunc(delay, func() { s.Post(s.removeExpired) })
 		return
 	}
 	s.expiring.timer.Reset(delay)
 }
 
-func (s *Sender) forgetExpired() {
+func (s *Sender) removeExpired() {
 	if s.handedOver() {
 		return
 	}
 	for _, id := range s.expiring.queue.popDue(s.Now()) {
-		s.forget(id)
+		s.removeMessage(id)
 	}
 	if len(s.expiring.queue) > 0 {
-		s.armForgetTimer(s.expiring.queue[0].at)
+		s.armExpiryTimer(s.expiring.queue[0].expiresAt)
 	}
 }
 
 // expiringID is an id and when it expires.
 type expiringID struct {
-	at clock.Instant
-	id string
+	expiresAt clock.Instant
+	id        string
 }
 
 // expiryQueue is a heap of ids by when they expire.
@@ -62,7 +62,7 @@
 func (q expiryQueue) Len() int { return len(q) }
 
 // Less implements heap.Interface.
-func (q expiryQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q expiryQueue) Less(i, j int) bool { return q[i].expiresAt < q[j].expiresAt }
 
 // Swap implements heap.Interface.
 func (q expiryQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
@@ -89,7 +89,7 @@
 
 // popDue returns the ids that have expired.
 func (q *expiryQueue) popDue(now clock.Instant) (ids []string) {
-	for len(*q) > 0 && (*q)[0].at <= now {
+	for len(*q) > 0 && (*q)[0].expiresAt <= now {
 		item, _ := heap.Pop(q).(expiringID)
 		ids = append(ids, item.id)
 	}
--- a/sender/final_answers.go
+++ b/sender/final_answers.go
@@ -26,7 +26,7 @@
 	})
 	s.countFinalAnswer(entry.Class, answer)
 	if in := s.ingresses[entry.Front]; in != nil && !in.MustNotify(answer) {
-		s.forget(id)
+		s.removeMessage(id)
 		return
 	}
 	s.journal.End(id, answer, retryAfterMs)
@@ -38,7 +38,7 @@
 	s.pending--
 	s.finishRestored(entry.ID)
 	s.metrics.CountFinal(entry.Class, metrics.ResultFailed)
-	s.forget(entry.ID)
+	s.removeMessage(entry.ID)
 }
 
 func (s *Sender) countFinalAnswer(class, answer string) {
@@ -99,23 +99,23 @@
 	}
 	if in := s.ingresses[entry.Front]; in != nil && in.Deduplicates() {
 		s.journal.Acknowledge(id)
-		s.scheduleForget(entry)
+		s.scheduleExpiry(entry)
 		return
 	}
-	s.forget(id)
+	s.removeMessage(id)
 }
 
-// forget removes a message from the journal.
-func (s *Sender) forget(id string) {
+// removeMessage removes a message from the journal.
+func (s *Sender) removeMessage(id string) {
 	if entry := s.journal.Get(id); entry != nil {
 		s.journal.Forget(id)
-		s.rememberEnded(entry)
+		s.recordEndedID(entry)
 	}
 }
 
-// rememberEnded keeps the id of a message that is over. An ingress that deduplicates drops an id
+// recordEndedID keeps the id of a message that is over. An ingress that deduplicates drops an id
 // only when it may be used anew, and then the sender owes a final answer for it.
-func (s *Sender) rememberEnded(entry *journal.Entry) {
+func (s *Sender) recordEndedID(entry *journal.Entry) {
 	if in := s.ingresses[entry.Front]; in != nil && !in.Deduplicates() {
 		s.endedIDs.add(entry.ID)
 	}
--- a/sender/golden_folder_test.go
+++ b/sender/golden_folder_test.go
@@ -22,12 +22,12 @@
 // a boot of its own, so that the tests go by the boot ID that they set and not by the uptime of the
 // machine that runs them.
 const (
-	goldenBoot                = "00000000-0000-4000-8000-00000000000a"
-	otherBoot                 = "00000000-0000-4000-8000-00000000000b"
-	goldenTime  clock.Instant = 1_000_000
-	goldenLeft  clock.Instant = 50_000_000
-	goldenDisk                = 1 << 20
-	goldenState               = "state"
+	goldenBoot                   = "00000000-0000-4000-8000-00000000000a"
+	otherBoot                    = "00000000-0000-4000-8000-00000000000b"
+	goldenTime     clock.Instant = 1_000_000
+	goldenTimeLeft clock.Instant = 50_000_000
+	goldenDisk                   = 1 << 20
+	goldenState                  = "state"
 )
 
 func goldenSettings() scheduler.Settings {
@@ -98,7 +98,7 @@
 func goldenEntry(id, class string) *journal.Entry {
 	return &journal.Entry{
 		ID: id, Class: class, Tenant: "t", Key: "key-" + id, Front: "f", Correlation: "note", Destination: 1,
-		Deadline: goldenTime + goldenLeft, Body: []byte(id),
+		Deadline: goldenTime + goldenTimeLeft, Body: []byte(id),
 	}
 }
 
--- a/sender/golden_restore_test.go
+++ b/sender/golden_restore_test.go
@@ -28,9 +28,9 @@
 	return slices.DeleteFunc(slices.Clone(list), func(id string) bool { return slices.Contains(drop, id) })
 }
 
-// goldenStart is a way in which the golden folder is restored, and what becomes of each message.
-type goldenStart struct {
-	name, boot           string // boot is that in which it is taken up
+// restoreCase is a way in which the golden folder is restored, and what becomes of each message.
+type restoreCase struct {
+	name, bootID         string // boot is that in which it is taken up
 	trust                FolderTrust
 	now                  clock.Instant // 0: the machine's
 	problem              string
@@ -41,32 +41,35 @@
 }
 
 var (
-	allClasses = []string{"once", "key", "free"}
-	charges    = []string{"once", "key"}
-	free       = []string{"free"}
+	allClasses        = []string{"once", "key", "free"}
+	unsafeClasses     = []string{"once", "key"}
+	idempotentClasses = []string{"free"}
 )
 
-const copied = "its files are copies of those of life 1"
+const copiedProblem = "its files are copies of those of life 1"
 
-// goldenStarts lists the ways for both tests. Those with a time are only planned: a sender goes by
+// restoreCases lists the ways for both tests. Those with a time are only planned: a sender goes by
 // the machine's clock.
-func goldenStarts() []goldenStart {
+func restoreCases() []restoreCase {
 	untouched := ids(allClasses, "untried", "turned")
-	inDoubt := ids(charges, "open", "mayrun")
-	goOn := append(ids(free, "open", "mayrun"), untouched...)
+	inDoubt := ids(unsafeClasses, "open", "mayrun")
+	goOn := append(ids(idempotentClasses, "open", "mayrun"), untouched...)
 	keyed := append(ids([]string{"key"}, "open", "mayrun"), goOn...)
 	charge := ids([]string{"once"}, "open", "mayrun")
-	allFree := ids(free, "untried", "open", "turned", "mayrun")
-	allCharges := ids(charges, "untried", "open", "turned", "mayrun")
+	allFree := ids(idempotentClasses, "untried", "open", "turned", "mayrun")
+	allCharges := ids(unsafeClasses, "untried", "open", "turned", "mayrun")
 	// A keyed message that was never tried goes on in an old folder of another boot: it counts as
 	// ten seconds old, which is within the window, since its time left is that of the last
 	// incarnation.
 	keyedOn := ids([]string{"key"}, "untried", "turned")
 	oldOn, oldFail := append(slices.Clone(keyedOn), allFree...), without(allCharges, keyedOn)
-	return []goldenStart{
+	return []restoreCase{
 		{"another boot", otherBoot, FolderMoved, 0, "", goOn, inDoubt, nil, provenance.FateNotify, "kept"},
 		{"another boot, trusted", otherBoot, FolderTrusted, 0, "", goOn, inDoubt, nil, provenance.FateNotify, "kept"},
-		{"another boot, a copy", otherBoot, FolderJudged, 0, copied, oldOn, oldFail, nil, provenance.FateNotifyAgain, "old"},
+		{
+			"another boot, a copy", otherBoot, FolderJudged, 0, copiedProblem, oldOn, oldFail, nil,
+			provenance.FateNotifyAgain, "old",
+		},
 		{
 			"another boot, restored", otherBoot, FolderRestored, 0, "by the operator's word", oldOn, oldFail, nil,
 			provenance.FateNotifyAgain, "old",
@@ -78,7 +81,7 @@
 		},
 		{"this boot, too late", goldenBoot, FolderMoved, 51_000_000, "", nil, inDoubt, goOn, provenance.FateNotify, ""},
 		{
-			"this boot, a copy behind the window", goldenBoot, FolderJudged, 31_000_000, copied, allFree, allCharges, nil,
+			"this boot, a copy behind the window", goldenBoot, FolderJudged, 31_000_000, copiedProblem, allFree, allCharges, nil,
 			provenance.FateNotifyAgain, "",
 		},
 	}
@@ -86,9 +89,9 @@
 
 // The plan for the golden folder names the same fate for each message.
 func TestGoldenFolderPlan(t *testing.T) {
-	for _, c := range goldenStarts() {
+	for _, c := range restoreCases() {
 		t.Run(c.name, func(t *testing.T) {
-			t.Cleanup(clock.SetBootID(c.boot))
+			t.Cleanup(clock.SetBootID(c.bootID))
 			now := c.now
 			if now == 0 {
 				now = clock.Steady()
@@ -119,12 +122,12 @@
 // An incarnation restores the golden folder: the same messages go on, the same final answers are
 // sent, and its metrics are the same.
 func TestGoldenFolderRestored(t *testing.T) {
-	for _, c := range goldenStarts() {
+	for _, c := range restoreCases() {
 		if c.now != 0 {
 			continue
 		}
 		t.Run(c.name, func(t *testing.T) {
-			t.Cleanup(clock.SetBootID(c.boot))
+			t.Cleanup(clock.SetBootID(c.bootID))
 			dir := goldenFolder(t)
 			s, err := New(goldenOptions(dir, c.trust))
 			if err != nil {
@@ -151,7 +154,7 @@
 func checkDeadlines(t *testing.T, s *Sender) {
 	t.Helper()
 	for _, e := range s.journal.Entries() {
-		if left := e.Deadline - s.startInstant; left > goldenLeft || left < goldenLeft-20_000_000 {
+		if left := e.Deadline - s.startInstant; left > goldenTimeLeft || left < goldenTimeLeft-20_000_000 {
 			t.Errorf("%s has %d us left", e.ID, left)
 		}
 	}
@@ -168,7 +171,7 @@
 		Addr: "a", MachineType: "k", Destination: 1,
 		State: "live",
 	}, Protocol: "p"}})
-	s.drainPosted()
+	s.runPosted()
 	s.restoreJournal()
 	until := time.Now().Add(15 * time.Second)
 	for reported := 0; len(f.attempts) < attempts && time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
@@ -218,7 +221,7 @@
 	}
 }
 
-func checkRecovery(t *testing.T, s *Sender, c goldenStart) {
+func checkRecovery(t *testing.T, s *Sender, c restoreCase) {
 	t.Helper()
 	want := map[string]string{
 		"lb_life_start": "1 [case " + c.start + "]", "lb_life_taken_up": "12 []",
--- a/sender/golden_test.go
+++ b/sender/golden_test.go
@@ -116,8 +116,8 @@
 	return nil
 }
 
-// line describes a step: the files that lie in dir after it, and those that were opened in it.
-func (w *openRecorder) line(t *testing.T, step, dir string) string {
+// describeStep describes a step: the files that lie in dir after it, and those that were opened in it.
+func (w *openRecorder) describeStep(t *testing.T, step, dir string) string {
 	t.Helper()
 	list, err := os.ReadDir(dir)
 	if err != nil {
@@ -172,7 +172,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		out.WriteString(w.line(t, c.step+", New", dir))
+		out.WriteString(w.describeStep(t, c.step+", New", dir))
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error, 1)
 		go func() { done <- s.Run(ctx) }()
@@ -183,7 +183,7 @@
 		if err := <-done; err != nil {
 			t.Fatal(err)
 		}
-		out.WriteString(w.line(t, c.step+", Run to its end", dir))
+		out.WriteString(w.describeStep(t, c.step+", Run to its end", dir))
 	}
 	checkGolden(t, "files.txt", []byte(out.String()))
 }
--- a/sender/hot_restart.go
+++ b/sender/hot_restart.go
@@ -99,7 +99,7 @@
 	if err := s.journal.Close(); err != nil {
 		s.log.Error().Err(err).Msg("closing the journal for the successor failed")
 	}
-	s.next.events, s.next.requests = nil, nil
+	s.nextInput.events, s.nextInput.requests = nil, nil
 	successor.JournalReleased()
 }
 
--- a/sender/recovery.go
+++ b/sender/recovery.go
@@ -73,8 +73,8 @@
 	return startNew
 }
 
-// foundCase returns how the folder was found. Any goroutine may call it.
-func (p *recoveryProgress) foundCase() startCase {
+// loadStart returns how the folder was found. Any goroutine may call it.
+func (p *recoveryProgress) loadStart() startCase {
 	found, _ := p.start.Load().(startCase)
 	return found
 }
@@ -139,7 +139,7 @@
 	progress := &s.recovery
 	ms := func(sinceStartUs *atomic.Int64) int64 { return sinceStartUs.Load() / 1000 }
 	s.log.Info().
-		Str("start", string(progress.foundCase())).
+		Str("start", string(progress.loadStart())).
 		Int("taken_up", progress.restoredCount).
 		Int64("journal_ms", progress.journalReadTime.Milliseconds()).
 		Int64("memory_ms", progress.snapshotReadTime.Milliseconds()).
@@ -163,7 +163,7 @@
 			Name: "lb_life_start",
 			Help: "How the folder that lasts was found: new, kept, journal (and no memory), memory (and no messages), " +
 				"handed, old (not as the last life left it).",
-			Label: []string{"case", string(progress.foundCase())},
+			Label: []string{"case", string(progress.loadStart())},
 			Value: 1,
 		},
 		{
--- a/sender/recovery_test.go
+++ b/sender/recovery_test.go
@@ -21,15 +21,15 @@
 func TestFullService(t *testing.T) {
 	dir := t.TempDir()
 	s, f := newTestSender(t, dir, 1<<20)
-	if s.recovery.foundCase() != startNew {
-		t.Errorf("an empty folder is %q", s.recovery.foundCase())
+	if s.recovery.loadStart() != startNew {
+		t.Errorf("an empty folder is %q", s.recovery.loadStart())
 	}
 	f.step(t, request(s, "m1", 60e6), request(s, "m2", 60e6))
 	_ = s.journal.Close()
 
 	s, f = newTestSender(t, dir, 1<<20)
-	if s.recovery.foundCase() != startJournal {
-		t.Errorf("a journal and no snapshot are %q", s.recovery.foundCase())
+	if s.recovery.loadStart() != startJournal {
+		t.Errorf("a journal and no snapshot are %q", s.recovery.loadStart())
 	}
 	s.restoreJournal()
 	s.recovery.fullServiceUs.Store(0) // the step above came before it, which no sender's does
@@ -101,15 +101,15 @@
 			t.Errorf("%q", line)
 		}
 	}
-	if len(f.answers) == 0 || len(f.answers)+out+before != 4 || s.recovery.foundCase() != startDistrusted {
-		t.Error(f.answers, out, before, s.recovery.foundCase())
+	if len(f.answers) == 0 || len(f.answers)+out+before != 4 || s.recovery.loadStart() != startDistrusted {
+		t.Error(f.answers, out, before, s.recovery.loadStart())
 	}
 }
 
 // An incarnation that finds an older folder is killed before its first step, again and again: what
 // may have been sent since stays ambiguous, also where the journal itself names a later first
 // attempt than there may have been.
-func TestAmbiguityOutlivesAKill(t *testing.T) {
+func TestAmbiguityPersistsAfterKill(t *testing.T) {
 	dir, set := t.TempDir(), testSettings()
 	set.Limits.MaxMessages = 30
 	set.Classes = append(set.Classes, scheduler.Class{
--- a/sender/restore.go
+++ b/sender/restore.go
@@ -39,7 +39,7 @@
 // flight may have run.
 func (s *Sender) restoreJournal() {
 	for _, entry := range s.journal.Forgotten() {
-		s.rememberEnded(entry)
+		s.recordEndedID(entry)
 	}
 	if s.options.Checkpoint != nil {
 		s.resumeCheckpoint(s.options.Checkpoint)
@@ -58,7 +58,7 @@
 
 func (s *Sender) restoreEntry(entry *journal.Entry) {
 	if entry.Acknowledged {
-		s.scheduleForget(entry)
+		s.scheduleExpiry(entry)
 		return
 	}
 	if entry.FinalAnswer != "" {
--- a/sender/retry_after.go
+++ b/sender/retry_after.go
@@ -21,12 +21,12 @@
 
 // add counts an event. now is the time since the start.
 func (r *decayingRate) add(now time.Duration) {
-	r.perSecond = r.at(now) + 1/rateTimeConstant.Seconds()
+	r.perSecond = r.rateAt(now) + 1/rateTimeConstant.Seconds()
 	r.updatedAt = now
 }
 
-// at returns the rate in events per second.
-func (r *decayingRate) at(now time.Duration) float64 {
+// rateAt returns the rate in events per second.
+func (r *decayingRate) rateAt(now time.Duration) float64 {
 	return r.perSecond * math.Exp(-(now-r.updatedAt).Seconds()/rateTimeConstant.Seconds())
 }
 
@@ -37,7 +37,7 @@
 	if limit == 0 {
 		limit = math.MaxInt64
 	}
-	rate := s.finalAnswerRate.at(time.Since(s.startedAt))
+	rate := s.finalAnswerRate.rateAt(time.Since(s.startedAt))
 	waitUs := s.retryAfterQueue.RetryAfter(int64(s.Now()), s.pending, rate, minRetryAfterMs*1000, limit, s.rng.Float64())
 	return waitUs / 1000
 }
--- a/sender/routes.go
+++ b/sender/routes.go
@@ -41,7 +41,7 @@
 		}
 	}
 	s.addEvents(event)
-	s.routesAvoided.countedAt = time.Time{}
+	s.avoidedRoutes.countedAt = time.Time{}
 	if kind != scheduler.UpdateStale || len(list) > 0 {
 		s.readiness.hasEndpointList = true
 		s.recordMilestone(&s.recovery.firstListUs)
--- a/sender/sender.go
+++ b/sender/sender.go
@@ -67,9 +67,9 @@
 	journal   *journal.Journal
 
 	// The steady clock is read once, at the start, and advanced by the monotonic clock from there.
-	startedAt    time.Time
-	startInstant clock.Instant
-	tick         time.Duration // the least time between two steps
+	startedAt       time.Time
+	startInstant    clock.Instant
+	minStepInterval time.Duration // the least time between two steps
 
 	// Functions that other goroutines posted for Run's goroutine.
 	mu     sync.Mutex
@@ -91,7 +91,7 @@
 	draining       drainingEndpoints
 
 	// Messages.
-	next          stepInput
+	nextInput     stepInput
 	lastStep      time.Time
 	pending       int                // accepted, without a final answer
 	unsentAnswers []*journal.Entry   // final answers to be handed to the ingresses once they are recorded
@@ -101,7 +101,7 @@
 	diskStall     diskStall          // the journal cannot be written
 	outbox        []outboxItem       // calls to the fronts, made at the end of the step
 	stats         State              // the counters of State
-	routesAvoided avoidedRoutesGauge // for the metrics
+	avoidedRoutes avoidedRoutesGauge // for the metrics
 
 	// Waits that clients get where the scheduler was not asked.
 	finalAnswerRate decayingRate
@@ -120,7 +120,7 @@
 	events        []scheduler.Event
 	requests      []*Request
 	requestIDs    map[string]bool // of requests
-	promisedBytes int             // what requests will take in the journal
+	reservedBytes int             // what requests will take in the journal
 	transactions  []*Transaction
 }
 
@@ -169,7 +169,7 @@
 		journal:         opened,
 		startedAt:       time.Now(),
 		startInstant:    clock.Steady(),
-		tick:            time.Duration(options.Settings.TickUs) * time.Microsecond,
+		minStepInterval: time.Duration(options.Settings.TickUs) * time.Microsecond,
 		wake:            make(chan struct{}, 1),
 		ingresses:       map[string]Ingress{},
 		egresses:        map[string]Egress{},
@@ -177,7 +177,7 @@
 		messagesPerCall: map[string]int{},
 		routes:          map[string]Route{},
 		routeStats:      map[string]*RouteState{},
-		next:            stepInput{requestIDs: map[string]bool{}},
+		nextInput:       stepInput{requestIDs: map[string]bool{}},
 		rng:             rand.New(rand.NewSource(options.Seed)),
 	}
 	s.recovery.restored = map[string]bool{}
@@ -220,8 +220,8 @@
 	}
 }
 
-// drainPosted runs what was posted.
-func (s *Sender) drainPosted() {
+// runPosted runs what was posted.
+func (s *Sender) runPosted() {
 	s.mu.Lock()
 	posted := s.posted
 	s.posted = nil
@@ -233,7 +233,7 @@
 
 // addEvents queues events for the next step.
 func (s *Sender) addEvents(events ...scheduler.Event) {
-	s.next.events = append(s.next.events, events...)
+	s.nextInput.events = append(s.nextInput.events, events...)
 }
 
 // Now reads the steady clock, which is the same in every process on this machine. It makes no
@@ -251,7 +251,7 @@
 		s.startSnapshotWriter()
 		defer s.stopSnapshotWriter()
 	}
-	s.drainPosted() // the scheduler hears of the endpoints before it hears of restored messages
+	s.runPosted() // the scheduler hears of the endpoints before it hears of restored messages
 	s.restoreJournal()
 	for {
 		select {
@@ -260,10 +260,10 @@
 		case <-s.wake:
 		}
 		// What comes within one tick of the last step is handed over together.
-		if wait := s.tick - time.Since(s.lastStep); wait > 0 {
+		if wait := s.minStepInterval - time.Since(s.lastStep); wait > 0 {
 			time.Sleep(wait)
 		}
-		s.runTurn()
+		s.runIteration()
 		s.writeSnapshotIfDue(false)
 		s.quiesceIfRequested()
 	}
--- a/sender/sender_test.go
+++ b/sender/sender_test.go
@@ -93,7 +93,7 @@
 func (f *recordingFront) step(t *testing.T, offers ...*Request) {
 	t.Helper()
 	f.sender.Submit(offers...)
-	f.sender.runTurn()
+	f.sender.runIteration()
 }
 
 func request(s *Sender, id string, leftUs int64) *Request {
@@ -105,7 +105,7 @@
 
 // What one step takes in and gives up at once is rejected and never written: its client will come
 // again.
-func TestAcceptedAndRejectedInOneStep(t *testing.T) {
+func TestExpiredRequestIsRejected(t *testing.T) {
 	s, f := newTestSender(t, t.TempDir(), 1<<20)
 	f.step(t, request(s, "late", 0))
 	f.expect(t, "late 1")
@@ -116,7 +116,7 @@
 
 // The same id is never accepted twice, and its final answer is sent again to a client that hands it
 // in again.
-func TestSameIDAgain(t *testing.T) {
+func TestDuplicateID(t *testing.T) {
 	s, f := newTestSender(t, t.TempDir(), 1<<20)
 	f.deduplicates = true
 	f.step(t, request(s, "m", 9e6), request(s, "m", 9e6))
@@ -156,7 +156,7 @@
 
 // What a whole list lacks is gone: its idle connections must not stay for its successor at the same
 // address.
-func TestMissingFromAWholeList(t *testing.T) {
+func TestEndpointMissingFromFullList(t *testing.T) {
 	s, f := newTestSender(t, t.TempDir(), 1<<20)
 	s.UpdateRoutes("whole", []Route{{Endpoint: scheduler.Endpoint{
 		Addr: "b", MachineType: "k", Destination: 1,
@@ -172,7 +172,7 @@
 
 // With the limit of messages or the disk budget reached a message is rejected, and accepted ones
 // are not harmed.
-func TestNoRoom(t *testing.T) {
+func TestMessageLimitAndDiskBudget(t *testing.T) {
 	s, f := newTestSender(t, t.TempDir(), 1<<20)
 	f.step(t, request(s, "a", 9e6), request(s, "b", 9e6), request(s, "c", 9e6), request(s, "d", 9e6))
 	f.expect(t, "d 1", "a 1", "b 0", "c 0") // the module makes room for the next among those that wait
@@ -186,7 +186,7 @@
 // A charge whose attempt was recorded without a result may have run: it fails in the next
 // incarnation, which repeats that final answer until it is acknowledged. It is marked as repeated
 // where its client may have got it.
-func TestNextIncarnation(t *testing.T) {
+func TestAmbiguousMessageAfterRestart(t *testing.T) {
 	dir := t.TempDir()
 	s, f := newTestSender(t, dir, 1<<20)
 	f.step(t, request(s, "m", 9e6))
@@ -230,7 +230,7 @@
 
 // Where the disk has no room nothing is accepted, sent or notified that is not written. Attempts in
 // flight go on, and all goes on as soon as there is room.
-func TestDiskWithoutRoom(t *testing.T) {
+func TestFullDisk(t *testing.T) {
 	s, f := newTestSender(t, t.TempDir(), 1<<20)
 	f.step(t, request(s, "out", 9e6))
 	if f.answers = nil; len(f.attempts) != 1 {
@@ -266,7 +266,7 @@
 // A journal that cannot be written, whatever the reason, ends nothing: what comes is rejected,
 // nothing is sent, and the sender says why it is not ready. A missing folder is an error at the
 // start.
-func TestJournalThatCannotBeWritten(t *testing.T) {
+func TestUnwritableJournal(t *testing.T) {
 	s, f := newTestSender(t, t.TempDir(), 1<<20)
 	_ = s.journal.Close() // EBADF from here on
 	f.step(t, request(s, "m", 9e6))
@@ -287,7 +287,7 @@
 // While the journal cannot be written, a message whose deadline passes fails all the same, once,
 // and nothing else is answered. Where the cut of a failed write fails too, nobody is told that a
 // retry does no harm until nothing can be read back.
-func TestEndsWhileTheJournalFails(t *testing.T) {
+func TestDeadlinesWhileJournalFails(t *testing.T) {
 	s, f := newTestSender(t, t.TempDir(), 1<<20)
 	f.deduplicates = true
 	// pending, with no attempt in flight
--- a/sender/snapshots_test.go
+++ b/sender/snapshots_test.go
@@ -20,7 +20,7 @@
 // A Retry-After of one incarnation holds in the next one. A snapshot of another sender, a torn
 // one, and a journal without a snapshot cost nothing but that; a folder that is too small for both
 // keeps messages alone.
-func TestSnapshotOverRestarts(t *testing.T) {
+func TestSnapshotAcrossRestarts(t *testing.T) {
 	dir := t.TempDir()
 	runSender := func(name string, disk int64, f func(*Sender)) string {
 		t.Helper()
@@ -143,9 +143,9 @@
 		readTime += s.recovery.journalReadTime
 		s.UpdateRoutes("whole", list)
 		began := time.Now()
-		s.drainPosted()
+		s.runPosted()
 		s.restoreJournal()
-		s.runTurn()
+		s.runIteration()
 		restoreTime += time.Since(began)
 		began = time.Now()
 		s.scheduler.Fingerprint()
--- a/sender/state.go
+++ b/sender/state.go
@@ -110,16 +110,16 @@
 	countedAt time.Time // zero: count again at the next step
 }
 
-// avoidedCountInterval is how old the number of avoided routes may be while the sender is at work.
-const avoidedCountInterval = 100 * time.Millisecond
+// maxAvoidedCountAge is how old the number of avoided routes may be while the sender is at work.
+const maxAvoidedCountAge = 100 * time.Millisecond
 
 // updateMetrics sets the gauges.
 func (s *Sender) updateMetrics() {
 	if s.metrics == nil {
 		return
 	}
-	gauge := &s.routesAvoided
-	if time.Since(gauge.countedAt) > avoidedCountInterval {
+	gauge := &s.avoidedRoutes
+	if time.Since(gauge.countedAt) > maxAvoidedCountAge {
 		gauge.countedAt, gauge.count = time.Now(), 0
 		for name, route := range s.routes {
 			if route.State != scheduler.StatusLive || s.journal.Excluded(name) || s.scheduler.Avoids(name) {
--- a/sender/step.go
+++ b/sender/step.go
@@ -8,12 +8,12 @@
 	"brackendale/scheduler"
 )
 
-// maxReusedCap is the capacity, in elements, up to which a list of one step is kept for the next.
-const maxReusedCap = 4096
+// maxReusedCapacity is the capacity, in elements, up to which a list of one step is kept for the next.
+const maxReusedCapacity = 4096
 
-// runTurn takes in what was posted, makes one step, and calls the fronts.
-func (s *Sender) runTurn() {
-	s.drainPosted()
+// runIteration takes in what was posted, makes one step, and calls the fronts.
+func (s *Sender) runIteration() {
+	s.runPosted()
 	if !s.handedOver() {
 		s.step()
 		s.updateBackpressure()
@@ -57,9 +57,9 @@
 
 // decide hands the scheduler what has come since the last step.
 func (s *Sender) decide() *decision {
-	decided := &decision{input: s.next, replies: map[string]reply{}}
+	decided := &decision{input: s.nextInput, replies: map[string]reply{}}
 	clear(decided.input.requestIDs)
-	s.next = stepInput{requestIDs: decided.input.requestIDs}
+	s.nextInput = stepInput{requestIDs: decided.input.requestIDs}
 	s.lastStep = time.Now()
 	now := int64(s.Now())
 	decided.actions = s.scheduler.Step(now, decided.input.events)
@@ -86,7 +86,7 @@
 		s.recordTransaction(transaction)
 	}
 	for _, request := range decided.input.requests {
-		if _, ended := decided.replies[request.ID]; !ended && request.single() {
+		if _, ended := decided.replies[request.ID]; !ended && request.standalone() {
 			s.pending++
 			s.journal.Accept(newEntry(request))
 		}
@@ -102,8 +102,8 @@
 	}
 }
 
-// single reports whether a request came alone and was not withdrawn.
-func (request *Request) single() bool { return request.Front != "" && request.transaction == nil }
+// standalone reports whether a request came alone and was not withdrawn.
+func (request *Request) standalone() bool { return request.Front != "" && request.transaction == nil }
 
 // flush writes the record of the step. Where that fails, none of the step's transactions are
 // answered and no calls are sent.
@@ -168,13 +168,13 @@
 // reuseBuffers gives the lists of a finished step to the next one, unless that has begun its own.
 // The scheduler and the fronts keep what is in the lists, but not the lists.
 func (s *Sender) reuseBuffers(events []scheduler.Event, requests []*Request) {
-	if s.next.events == nil && cap(events) <= maxReusedCap {
+	if s.nextInput.events == nil && cap(events) <= maxReusedCapacity {
 		clear(events)
-		s.next.events = events[:0]
+		s.nextInput.events = events[:0]
 	}
-	if s.next.requests == nil && cap(requests) <= maxReusedCap {
+	if s.nextInput.requests == nil && cap(requests) <= maxReusedCapacity {
 		clear(requests)
-		s.next.requests = requests[:0]
+		s.nextInput.requests = requests[:0]
 	}
 }
 
@@ -185,7 +185,7 @@
 		return
 	}
 	failpoint.Reach(failpoint.StepDecided)
-	s.outbox = make([]outboxItem, 0, min(len(batch), maxReusedCap))
+	s.outbox = make([]outboxItem, 0, min(len(batch), maxReusedCapacity))
 	s.options.RunOnFronts(func() {
 		for i := range batch {
 			batch[i].deliver()
--- a/sender/transactions.go
+++ b/sender/transactions.go
@@ -33,7 +33,7 @@
 		return
 	}
 	// Also one that is rejected here, since verdicts come in the order of the transactions.
-	s.next.transactions = append(s.next.transactions, transaction)
+	s.nextInput.transactions = append(s.nextInput.transactions, transaction)
 	size := 0
 	for _, request := range transaction.Requests {
 		decided, early := s.admit(request, transaction.newRequests, size)
@@ -108,7 +108,7 @@
 			remaining = append(remaining, action)
 		} else if action.Kind == scheduler.StartAttempt {
 			withdrawn[action.ID] = true
-			events = append(events, finishedUnsent(action.ID, action.Endpoint))
+			events = append(events, unsentAttemptEvent(action.ID, action.Endpoint))
 		}
 	}
 	for id, wanted := range withdrawn {
@@ -120,8 +120,8 @@
 	decided.actions = remaining
 }
 
-// finishedUnsent tells the scheduler that an attempt was not sent and that its request has gone.
-func finishedUnsent(id, endpoint string) scheduler.Event {
+// unsentAttemptEvent tells the scheduler that an attempt was not sent and that its request has gone.
+func unsentAttemptEvent(id, endpoint string) scheduler.Event {
 	return scheduler.Event{
 		Kind:     scheduler.AttemptFinished,
 		ID:       id,
--- a/sender/transactions_test.go
+++ b/sender/transactions_test.go
@@ -19,7 +19,7 @@
 // A transaction of which the scheduler, the limit or the journal rejects one message is rejected
 // whole: nothing of it is written, sent or acknowledged, and the scheduler holds nothing of it
 // either.
-func TestTransactionAllOrNone(t *testing.T) {
+func TestTransactionIsAtomic(t *testing.T) {
 	s, f := newTestSender(t, t.TempDir(), 1<<20)
 	f.deduplicates = true
 	f.step(t, request(s, "old", 9e6))
