--- a/sender/backpressure_test.go
+++ b/sender/backpressure_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// Backpressure begins at the high mark and ends at the low one, and does not change in between.
+// Backpressure turns on at the high watermark, turns off at the low one, and does not change in between.
 func TestBackpressure(t *testing.T) {
-	var p backpressure
-	for i, c := range []struct {
+	var state backpressure
+	for i, test := range []struct {
 		a, b        float64
 		changed, on bool
 	}{
@@ -18,42 +18,42 @@
 		{1, 1, true, true},
 		{0, 0, true, false},
 	} {
-		got := p.update(fillLevel{"a", c.a}, fillLevel{"b", c.b})
-		if got != c.changed || p.on != c.on || p.on == (p.reason == "") {
-			t.Fatalf("step %d: %v, %+v", i, got, p)
+		got := state.update(fillLevel{"a", test.a}, fillLevel{"b", test.b})
+		if got != test.changed || state.on != test.on || state.on == (state.reason == "") {
+			t.Fatalf("step %d: changed %v, %+v", i, got, state)
 		}
 	}
 }
 
-// A front that listens gets one call when clients should hold back, and one when they need not any
-// more. A nearly full journal is reason enough.
+// A BackpressureListener is called once when backpressure turns on and once when it turns off. A nearly
+// full journal turns it on.
 func TestBackpressureIsNotified(t *testing.T) {
-	s, f := newTestSender(t, t.TempDir(), 1<<20)
-	listener := &backpressureFront{recordingFront: f}
-	s.AddIngress("g", listener)
+	core, front := newTestSender(t, t.TempDir(), 1<<20)
+	listener := &backpressureFront{recordingFront: front}
+	core.AddIngress("g", listener)
 	for _, on := range []bool{true, false} {
-		s.Pause(on)
-		f.step(t)
-		f.step(t)
+		core.Pause(on)
+		front.step(t)
+		front.step(t)
 	}
 	if len(listener.on) != 2 || !listener.on[0] || listener.on[1] {
 		t.Fatal(listener.on)
 	}
-	s, f = newTestSender(t, t.TempDir(), 64<<10)
-	listener = &backpressureFront{recordingFront: f}
-	s.AddIngress("g", listener)
-	big := request(s, "big", 9e6)
+	core, front = newTestSender(t, t.TempDir(), 64<<10)
+	listener = &backpressureFront{recordingFront: front}
+	core.AddIngress("g", listener)
+	big := request(core, "big", 9e6)
 	big.Body = make([]byte, 20<<10)
-	f.step(t, big)
-	if len(listener.on) != 1 || s.journal.FillLevel() < highWatermark {
-		t.Fatal(listener.on, s.journal.FillLevel())
+	front.step(t, big)
+	if len(listener.on) != 1 || core.journal.FillLevel() < highWatermark {
+		t.Fatal(listener.on, core.journal.FillLevel())
 	}
 }
 
-// backpressureFront is a front that listens for backpressure.
+// backpressureFront is a front that records its SetBackpressure calls.
 type backpressureFront struct {
 	*recordingFront
 	on []bool
 }
 
-func (p *backpressureFront) SetBackpressure(on bool, _ string) { p.on = append(p.on, on) }
+func (f *backpressureFront) SetBackpressure(on bool, _ string) { f.on = append(f.on, on) }
--- a/sender/exclusion_test.go
+++ b/sender/exclusion_test.go
@@ -16,7 +16,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain draws the same cases every time.
+// TestMain fixes the random seed, so that every run checks the same cases.
 func TestMain(m *testing.M) { testkit.Seeded(m, "100") }
 
 func newRoute(addr, state string) Route {
@@ -26,25 +26,26 @@
 	}, Protocol: "p"}
 }
 
-// exclude calls Exclude and returns its result, which must not come before the record is written.
-func exclude(t *testing.T, s *Sender, name string, out bool) (err error) {
+// exclude calls Exclude and returns its result, which must not be reported before the change is
+// recorded.
+func exclude(t *testing.T, core *Sender, name string, excluded bool) (err error) {
 	t.Helper()
 	noResult := errors.New("no result")
 	err = noResult
-	s.Exclude(name, out, func(e error) {
-		if err = e; e == nil && s.journal.Excluded(name) != out {
-			t.Error("the result came before the change")
+	core.Exclude(name, excluded, func(result error) {
+		if err = result; result == nil && core.journal.Excluded(name) != excluded {
+			t.Error("the result was reported before the change")
 		}
 	})
-	s.runIteration()
+	core.runIteration()
 	if errors.Is(err, noResult) {
 		t.Fatal(noResult)
 	}
 	return err
 }
 
-// An excluded endpoint gets no new attempts, whatever updates the registry sends and over restarts.
-// One call includes it again, and an endpoint that was never listed is an error.
+// An excluded endpoint gets no new attempts, whatever updates the registry sends and across restarts.
+// One call includes it again. Excluding an endpoint that was never listed is an error.
 func TestExclusionsPersist(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir, err := os.MkdirTemp("", "exclude")
@@ -52,91 +53,93 @@
 			t.Fatal(err)
 		}
 		defer os.RemoveAll(dir)
-		var s *Sender
-		var f *recordingFront
+		var core *Sender
+		var front *recordingFront
 		restart := func() {
-			if s != nil {
-				_ = s.journal.Close()
+			if core != nil {
+				_ = core.journal.Close()
 			}
-			set := testSettings()
-			set.Limits.MaxMessages, set.Calls.ConcurrentCalls, set.Classes[0].Idempotency = 1000, 100, "repeatable"
-			if s, err = New(Options{
-				Settings: set, StateDir: dir, DiskBytes: 1 << 20, Log: zerolog.Nop(),
+			settings := testSettings()
+			settings.Limits.MaxMessages, settings.Calls.ConcurrentCalls,
+				settings.Classes[0].Idempotency = 1000, 100, "repeatable"
+			if core, err = New(Options{
+				Settings: settings, StateDir: dir, DiskBytes: 1 << 20, Log: zerolog.Nop(),
 				Metrics: metrics.New([]string{"once"}),
 			}); err != nil {
 				t.Fatal(err)
 			}
-			f = &recordingFront{sender: s}
-			s.AddIngress("f", f)
-			s.AddEgress("p", &deliveringEgress{t: t, sender: s})
-			s.restoreJournal()
+			front = &recordingFront{sender: core}
+			core.AddIngress("f", front)
+			core.AddEgress("p", &deliveringEgress{t: t, sender: core})
+			core.restoreJournal()
 		}
 		restart()
-		defer func() { _ = s.journal.Close() }()
+		defer func() { _ = core.journal.Close() }()
 		names := []string{"a", "b", "c"}
 		name, state := rapid.SampledFrom(names), rapid.SampledFrom([]string{"live", "live", "quiescing", "dead"})
-		listed, out, now, n := map[string]bool{}, map[string]bool{}, map[string]string{}, 0
+		listed, excluded, states, messages := map[string]bool{}, map[string]bool{}, map[string]string{}, 0
 		update := func(kind string, list []Route) {
 			if kind == "whole" {
-				clear(now)
+				clear(states)
 			}
-			for _, r := range list {
-				listed[r.Addr] = true
-				if now[r.Addr] = string(r.State); r.State == "dead" {
-					delete(now, r.Addr)
+			for _, route := range list {
+				listed[route.Addr] = true
+				if states[route.Addr] = string(route.State); route.State == "dead" {
+					delete(states, route.Addr)
 				}
 			}
-			s.UpdateRoutes(scheduler.UpdateKind(kind), list)
-			s.runIteration()
+			core.UpdateRoutes(scheduler.UpdateKind(kind), list)
+			core.runIteration()
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"patch": func(t *rapid.T) { update("patch", []Route{newRoute(name.Draw(t, "name"), state.Draw(t, "state"))}) },
 			"whole": func(t *rapid.T) {
 				var list []Route
-				for _, x := range names {
-					if st := state.Draw(t, x); st != "dead" {
-						list = append(list, newRoute(x, st))
+				for _, endpoint := range names {
+					if status := state.Draw(t, endpoint); status != "dead" {
+						list = append(list, newRoute(endpoint, status))
 					}
 				}
 				update("whole", list)
 			},
 			"call": func(t *rapid.T) {
-				x, want, got := name.Draw(t, "name"), rapid.Bool().Draw(t, "out"), errors.New("no result")
-				s.Exclude(x, want, func(e error) { got = e })
-				s.runIteration()
-				if known := listed[x] || out[x]; known != (got == nil) || !known && !errors.Is(got, ErrUnknownEndpoint) {
-					t.Fatalf("%s, listed %v: %v", x, known, got)
+				endpoint, want, got := name.Draw(t, "name"), rapid.Bool().Draw(t, "out"), errors.New("no result")
+				core.Exclude(endpoint, want, func(result error) { got = result })
+				core.runIteration()
+				if known := listed[endpoint] || excluded[endpoint]; known != (got == nil) ||
+					!known && !errors.Is(got, ErrUnknownEndpoint) {
+					t.Fatalf("endpoint %s, known %v: %v", endpoint, known, got)
 				} else if known {
-					out[x] = want
+					excluded[endpoint] = want
 				}
 			},
-			"restart": func(*rapid.T) { // names that were listed before are not known, but for those that are excluded
+			"restart": func(*rapid.T) { // only excluded endpoints are known across a restart
 				restart()
-				clear(now)
+				clear(states)
 				clear(listed)
-				for x, yes := range out {
-					if !yes {
-						delete(out, x)
+				for endpoint, isExcluded := range excluded {
+					if !isExcluded {
+						delete(excluded, endpoint)
 					}
 				}
-				s.runIteration()
+				core.runIteration()
 			},
 			"offer": func(t *rapid.T) {
-				n++
-				s.Submit(request(s, fmt.Sprint(n), 9e6))
-				s.runIteration()
+				messages++
+				core.Submit(request(core, fmt.Sprint(messages), 9e6))
+				core.runIteration()
 			},
 			"": func(t *rapid.T) {
 				avoided := 0
-				for x, st := range now {
-					if st != "live" || out[x] {
+				for endpoint, status := range states {
+					if status != "live" || excluded[endpoint] {
 						avoided++
 					}
 				}
 				var text strings.Builder
-				s.avoidedRoutes.countedAt = s.avoidedRoutes.countedAt.Add(-maxAvoidedCountAge * 2)
-				s.updateMetrics()
-				if err := s.metrics.Write(&text); err != nil {
+				core.avoidedRoutes.countedAt = core.avoidedRoutes.countedAt.Add(-maxAvoidedCountAge * 2)
+				core.updateMetrics()
+				if err := core.metrics.Write(&text); err != nil {
 					t.Fatal(err)
 				}
 				if want := fmt.Sprintf("lb_skipped_endpoints %d\n", avoided); !strings.Contains(text.String(), want) {
@@ -147,7 +150,7 @@
 	})
 }
 
-// deliveringEgress reports success at once, and fails a test whose sender sends to an excluded
+// deliveringEgress reports success at once. It fails the test if an attempt is sent to an excluded
 // endpoint.
 type deliveringEgress struct {
 	recordingFront
@@ -155,37 +158,41 @@
 	sender *Sender
 }
 
-func (k *deliveringEgress) Send(to Route, attempts []Attempt) {
-	if k.sender.journal.Excluded(to.Addr) {
-		k.t.Fatalf("sent to %s, which is excluded", to.Addr)
+func (e *deliveringEgress) Send(route Route, attempts []Attempt) {
+	if e.sender.journal.Excluded(route.Addr) {
+		e.t.Fatalf("sent to %s, which is excluded", route.Addr)
 	}
-	for _, h := range attempts {
-		k.sender.ReportAttempts(AttemptResult{ID: h.ID, Attempt: h.Number, Endpoint: to.Addr, Outcome: OutcomeSuccess})
+	for _, attempt := range attempts {
+		e.sender.ReportAttempts(AttemptResult{
+			ID: attempt.ID, Attempt: attempt.Number, Endpoint: route.Addr,
+			Outcome: OutcomeSuccess,
+		})
 	}
 }
 
-// An endpoint that is included again gets a slow start, once. Without room the exclusion fails.
+// An endpoint that is included again gets a slow start, once. When the journal has the maximum number
+// of exclusions, another one fails.
 func TestSlowStartAfterExclusion(t *testing.T) {
-	s, f := newTestSender(t, t.TempDir(), 1<<20)
-	if err := exclude(t, s, "a", true); err != nil {
+	core, front := newTestSender(t, t.TempDir(), 1<<20)
+	if err := exclude(t, core, "a", true); err != nil {
 		t.Fatal(err)
 	}
-	f.step(t, request(s, "m", 9e6))
-	if len(f.attempts) != 0 {
+	front.step(t, request(core, "m", 9e6))
+	if len(front.attempts) != 0 {
 		t.Fatal("sent to an excluded endpoint")
 	}
-	if err := exclude(t, s, "a", false); err != nil {
+	if err := exclude(t, core, "a", false); err != nil {
 		t.Fatal(err)
 	}
-	if len(f.attempts) != 1 || s.routes["a"].SlowStart {
-		t.Fatalf("%d attempts after the inclusion, slow start %v", len(f.attempts), s.routes["a"].SlowStart)
+	if len(front.attempts) != 1 || core.routes["a"].SlowStart {
+		t.Fatalf("%d attempts after the inclusion, slow start %v", len(front.attempts), core.routes["a"].SlowStart)
 	}
-	if err := exclude(t, s, "nobody", true); !errors.Is(err, ErrUnknownEndpoint) {
+	if err := exclude(t, core, "nobody", true); !errors.Is(err, ErrUnknownEndpoint) {
 		t.Fatal(err)
 	}
 	for i := 0; ; i++ {
-		s.knownEndpoints.add(fmt.Sprint("t", i))
-		if err := exclude(t, s, fmt.Sprint("t", i), true); err != nil {
+		core.knownEndpoints.add(fmt.Sprint("t", i))
+		if err := exclude(t, core, fmt.Sprint("t", i), true); err != nil {
 			if !errors.Is(err, journal.ErrFull) || i != journal.MaxExcluded {
 				t.Fatal(i, err)
 			}
@@ -194,23 +201,23 @@
 	}
 }
 
-// Each final answer is counted once, by its class, and so is a rejection.
+// Each final answer and each rejection is counted once, by class.
 func TestFinalAnswersAreCountedOnce(t *testing.T) {
-	s, f := newTestSender(t, t.TempDir(), 1<<20)
-	s.options.Settings.Limits.MaxMessages = 2
-	s.metrics = metrics.New([]string{"once"})
-	f.mustNotify = false
-	f.step(t, request(s, "m1", 9e6))
-	s.ReportAttempts(AttemptResult{ID: "m1", Attempt: 0, Endpoint: "a", Outcome: OutcomeSuccess})
-	f.step(t, request(s, "m1", 9e6))
-	f.step(t, request(s, "m2", 9e6))
-	s.ReportAttempts(AttemptResult{ID: "m2", Attempt: 0, Endpoint: "a", Outcome: OutcomeReset})
-	f.step(t)
-	f.step(t, request(s, "m3", 9e6))
-	s.Pause(true)
-	f.step(t, request(s, "m4", 9e6))
+	core, front := newTestSender(t, t.TempDir(), 1<<20)
+	core.options.Settings.Limits.MaxMessages = 2
+	core.metrics = metrics.New([]string{"once"})
+	front.mustNotify = false
+	front.step(t, request(core, "m1", 9e6))
+	core.ReportAttempts(AttemptResult{ID: "m1", Attempt: 0, Endpoint: "a", Outcome: OutcomeSuccess})
+	front.step(t, request(core, "m1", 9e6))
+	front.step(t, request(core, "m2", 9e6))
+	core.ReportAttempts(AttemptResult{ID: "m2", Attempt: 0, Endpoint: "a", Outcome: OutcomeReset})
+	front.step(t)
+	front.step(t, request(core, "m3", 9e6))
+	core.Pause(true)
+	front.step(t, request(core, "m4", 9e6))
 	var text strings.Builder
-	if err := s.metrics.Write(&text); err != nil {
+	if err := core.metrics.Write(&text); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{
--- a/sender/golden_folder_test.go
+++ b/sender/golden_folder_test.go
@@ -18,9 +18,9 @@
 	"github.com/rs/zerolog"
 )
 
-// The golden folder is one of an incarnation that was killed. All of its times are one second after
-// a boot of its own, so that the tests go by the boot ID that they set and not by the uptime of the
-// machine that runs them.
+// The golden folder is the state folder of an incarnation that was killed. All of its times are one
+// second after a boot with an ID of its own, so that the tests depend on the boot ID that they set and
+// not on the uptime of the machine that runs them.
 const (
 	goldenBoot                   = "00000000-0000-4000-8000-00000000000a"
 	otherBoot                    = "00000000-0000-4000-8000-00000000000b"
@@ -48,17 +48,18 @@
 	}
 }
 
-// makeGoldenFolder makes the golden folder anew with the program as it is.
+// makeGoldenFolder recreates the golden folder with the current code.
 func makeGoldenFolder(t *testing.T) {
 	t.Helper()
 	defer clock.SetBootID(goldenBoot)()
 	dir := t.TempDir()
-	s, err := New(goldenOptions(dir, FolderJudged))
+	core, err := New(goldenOptions(dir, FolderJudged))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.draining.names = []string{"gone-target"}
-	err = errors.Join(snapshot.Write(dir, s.newSnapshot()), s.journal.Close(), os.Remove(filepath.Join(dir, "spool")))
+	core.draining.names = []string{"gone-target"}
+	err = errors.Join(snapshot.Write(dir, core.newSnapshot()), core.journal.Close(),
+		os.Remove(filepath.Join(dir, "spool")))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -102,7 +103,7 @@
 	}
 }
 
-// goldenMessages records a message of a class in each state without a final answer.
+// goldenMessages records messages of a class without final answers, one for each attempt state.
 func goldenMessages(opened *journal.Journal, class string) {
 	for _, state := range []string{"untried", "open", "turned", "mayrun"} {
 		id := state + "-" + class
@@ -126,7 +127,7 @@
 	return dir
 }
 
-// The golden folder has the files that an incarnation leaves. With the update flag it is made anew
+// The golden folder has the files that an incarnation leaves. With the update flag it is recreated
 // first.
 func TestGoldenFolder(t *testing.T) {
 	if *updateGolden {
@@ -137,23 +138,24 @@
 		t.Fatal(err)
 	}
 	var names []string
-	for _, f := range list {
-		names = append(names, f.Name())
+	for _, file := range list {
+		names = append(names, file.Name())
 	}
 	if !slices.Equal(names, []string{"life", "lock", "memory", "spool"}) {
 		t.Error(names)
 	}
-	m, there, err := snapshot.Read(goldenFolder(t), "n1")
-	if !there || err != nil || m.TakenAt.ID != goldenBoot || !slices.Equal(m.Draining, []string{"gone-target"}) {
-		t.Errorf("snapshot: %v %v %+v", there, err, m)
+	stored, found, err := snapshot.Read(goldenFolder(t), "n1")
+	if !found || err != nil || stored.TakenAt.ID != goldenBoot || !slices.Equal(stored.Draining, []string{"gone-target"}) {
+		t.Errorf("snapshot: %v %v %+v", found, err, stored)
 	}
-	f := readEvidence(goldenPath(goldenState), 1, 15)
-	if !f.HasNote || f.Note.Name != "n1" || f.Note.Incarnation != 1 || f.Note.Stamp.Inode == 0 {
-		t.Errorf("note: %+v", f.Note)
+	evidence := readEvidence(goldenPath(goldenState), 1, 15)
+	if !evidence.HasNote || evidence.Note.Name != "n1" || evidence.Note.Incarnation != 1 ||
+		evidence.Note.Stamp.Inode == 0 {
+		t.Errorf("note: %+v", evidence.Note)
 	}
 }
 
-// The journal of the golden folder is written again with the same bytes.
+// Writing the journal of the golden folder again produces the same bytes.
 func TestGoldenFolderJournal(t *testing.T) {
 	t.Cleanup(clock.SetBootID(goldenBoot))
 	dir := t.TempDir()
--- a/sender/golden_restore_test.go
+++ b/sender/golden_restore_test.go
@@ -12,7 +12,7 @@
 	"brackendale/scheduler"
 )
 
-// ids returns names of the golden folder's messages: each state with each class.
+// ids returns ids of the golden folder's messages: each of states with each of classes.
 func ids(classes []string, states ...string) (list []string) {
 	for _, state := range states {
 		for _, class := range classes {
@@ -23,16 +23,16 @@
 	return list
 }
 
-// without returns list without the names in drop.
-func without(list, drop []string) []string {
-	return slices.DeleteFunc(slices.Clone(list), func(id string) bool { return slices.Contains(drop, id) })
+// without returns list without the ids in dropped.
+func without(list, dropped []string) []string {
+	return slices.DeleteFunc(slices.Clone(list), func(id string) bool { return slices.Contains(dropped, id) })
 }
 
-// restoreCase is a way in which the golden folder is restored, and what becomes of each message.
+// restoreCase is one way to restore the golden folder, with the expected disposition of each message.
 type restoreCase struct {
-	name, bootID         string // boot is that in which it is taken up
+	name, bootID         string // bootID is that of the boot in which the folder is restored
 	trust                FolderTrust
-	now                  clock.Instant // 0: the machine's
+	now                  clock.Instant // 0: the machine's clock
 	problem              string
 	continued, ambiguous []string
 	expired              []string
@@ -41,159 +41,168 @@
 }
 
 var (
-	allClasses        = []string{"once", "key", "free"}
-	unsafeClasses     = []string{"once", "key"}
-	idempotentClasses = []string{"free"}
+	allClasses           = []string{"once", "key", "free"}
+	nonIdempotentClasses = []string{"once", "key"}
+	idempotentClasses    = []string{"free"}
 )
 
 const copiedProblem = "its files are copies of those of life 1"
 
-// restoreCases lists the ways for both tests. Those with a time are only planned: a sender goes by
-// the machine's clock.
+// restoreCases returns the cases of both tests. Those with a time are used only for plans, since a
+// sender uses the machine's clock.
 func restoreCases() []restoreCase {
-	untouched := ids(allClasses, "untried", "turned")
-	inDoubt := ids(unsafeClasses, "open", "mayrun")
-	goOn := append(ids(idempotentClasses, "open", "mayrun"), untouched...)
-	keyed := append(ids([]string{"key"}, "open", "mayrun"), goOn...)
-	charge := ids([]string{"once"}, "open", "mayrun")
-	allFree := ids(idempotentClasses, "untried", "open", "turned", "mayrun")
-	allCharges := ids(unsafeClasses, "untried", "open", "turned", "mayrun")
-	// A keyed message that was never tried goes on in an old folder of another boot: it counts as
-	// ten seconds old, which is within the window, since its time left is that of the last
-	// incarnation.
-	keyedOn := ids([]string{"key"}, "untried", "turned")
-	oldOn, oldFail := append(slices.Clone(keyedOn), allFree...), without(allCharges, keyedOn)
+	notRun := ids(allClasses, "untried", "turned")
+	ambiguous := ids(nonIdempotentClasses, "open", "mayrun")
+	continued := append(ids(idempotentClasses, "open", "mayrun"), notRun...)
+	continuedInWindow := append(ids([]string{"key"}, "open", "mayrun"), continued...)
+	ambiguousInWindow := ids([]string{"once"}, "open", "mayrun")
+	allIdempotent := ids(idempotentClasses, "untried", "open", "turned", "mayrun")
+	allNonIdempotent := ids(nonIdempotentClasses, "untried", "open", "turned", "mayrun")
+	// A message with an idempotency key that was not attempted is still sent from an older folder of
+	// another boot. It keeps the 50 of 60 seconds that it had left in the last incarnation, so it counts
+	// as ten seconds old, which is within the idempotency window.
+	keyedInWindow := ids([]string{"key"}, "untried", "turned")
+	olderContinued, olderAmbiguous := append(slices.Clone(keyedInWindow), allIdempotent...),
+		without(allNonIdempotent, keyedInWindow)
 	return []restoreCase{
-		{"another boot", otherBoot, FolderMoved, 0, "", goOn, inDoubt, nil, provenance.FateNotify, "kept"},
-		{"another boot, trusted", otherBoot, FolderTrusted, 0, "", goOn, inDoubt, nil, provenance.FateNotify, "kept"},
+		{"another boot", otherBoot, FolderMoved, 0, "", continued, ambiguous, nil, provenance.FateNotify, "kept"},
+		{"another boot, trusted", otherBoot, FolderTrusted, 0, "", continued, ambiguous, nil, provenance.FateNotify, "kept"},
 		{
-			"another boot, a copy", otherBoot, FolderJudged, 0, copiedProblem, oldOn, oldFail, nil,
+			"another boot, a copy", otherBoot, FolderJudged, 0, copiedProblem, olderContinued, olderAmbiguous, nil,
 			provenance.FateNotifyAgain, "old",
 		},
 		{
-			"another boot, restored", otherBoot, FolderRestored, 0, "by the operator's word", oldOn, oldFail, nil,
-			provenance.FateNotifyAgain, "old",
+			"another boot, restored", otherBoot, FolderRestored, 0, "by the operator's word", olderContinued, olderAmbiguous,
+			nil, provenance.FateNotifyAgain, "old",
+		},
+		{
+			"this boot, a second later", goldenBoot, FolderMoved, 2_000_000, "", continuedInWindow, ambiguousInWindow, nil,
+			provenance.FateNotify, "",
+		},
+		{
+			"this boot, behind the window", goldenBoot, FolderMoved, 31_000_000, "", continued, ambiguous, nil,
+			provenance.FateNotify, "",
 		},
-		{"this boot, a second later", goldenBoot, FolderMoved, 2_000_000, "", keyed, charge, nil, provenance.FateNotify, ""},
 		{
-			"this boot, behind the window", goldenBoot, FolderMoved, 31_000_000, "", goOn, inDoubt, nil,
+			"this boot, too late", goldenBoot, FolderMoved, 51_000_000, "", nil, ambiguous, continued,
 			provenance.FateNotify, "",
 		},
-		{"this boot, too late", goldenBoot, FolderMoved, 51_000_000, "", nil, inDoubt, goOn, provenance.FateNotify, ""},
 		{
-			"this boot, a copy behind the window", goldenBoot, FolderJudged, 31_000_000, copiedProblem, allFree, allCharges, nil,
-			provenance.FateNotifyAgain, "",
+			"this boot, a copy behind the window", goldenBoot, FolderJudged, 31_000_000, copiedProblem, allIdempotent,
+			allNonIdempotent, nil, provenance.FateNotifyAgain, "",
 		},
 	}
 }
 
-// The plan for the golden folder names the same fate for each message.
+// PlanRecovery gives the expected disposition for each message of the golden folder.
 func TestGoldenFolderPlan(t *testing.T) {
-	for _, c := range restoreCases() {
-		t.Run(c.name, func(t *testing.T) {
-			t.Cleanup(clock.SetBootID(c.bootID))
-			now := c.now
+	for _, test := range restoreCases() {
+		t.Run(test.name, func(t *testing.T) {
+			t.Cleanup(clock.SetBootID(test.bootID))
+			now := test.now
 			if now == 0 {
 				now = clock.Steady()
 			}
-			p, err := PlanRecovery(goldenFolder(t), "n1", c.trust, goldenSettings(), goldenDisk, now)
-			if err != nil || p.Problem != c.problem {
-				t.Fatal(p.Problem, err)
+			plan, err := PlanRecovery(goldenFolder(t), "n1", test.trust, goldenSettings(), goldenDisk, now)
+			if err != nil || plan.Problem != test.problem {
+				t.Fatal(plan.Problem, err)
 			}
 			got := map[string]provenance.Fate{}
-			for _, x := range p.Messages {
-				got[x.ID] = x.Fate
+			for _, message := range plan.Messages {
+				got[message.ID] = message.Fate
 			}
-			want := map[string]provenance.Fate{"ended": c.notified, "back": c.notified}
+			want := map[string]provenance.Fate{"ended": test.notified, "back": test.notified}
 			for fate, list := range map[provenance.Fate][]string{
-				provenance.FateContinue: c.continued, provenance.FateAmbiguous: c.ambiguous, provenance.FateExpired: c.expired,
+				provenance.FateContinue: test.continued, provenance.FateAmbiguous: test.ambiguous,
+				provenance.FateExpired: test.expired,
 			} {
 				for _, id := range list {
 					want[id] = fate
 				}
 			}
-			if !maps.Equal(got, want) || p.Counts[provenance.FateAcknowledged] != 1 || len(want) != 14 {
-				t.Errorf("got  %v\nwant %v\n%v", got, want, p.Counts)
+			if !maps.Equal(got, want) || plan.Counts[provenance.FateAcknowledged] != 1 || len(want) != 14 {
+				t.Errorf("got  %v\nwant %v\n%v", got, want, plan.Counts)
 			}
 		})
 	}
 }
 
-// An incarnation restores the golden folder: the same messages go on, the same final answers are
-// sent, and its metrics are the same.
+// An incarnation that restores the golden folder sends the expected attempts and final answers and has
+// the expected metrics.
 func TestGoldenFolderRestored(t *testing.T) {
-	for _, c := range restoreCases() {
-		if c.now != 0 {
+	for _, test := range restoreCases() {
+		if test.now != 0 {
 			continue
 		}
-		t.Run(c.name, func(t *testing.T) {
-			t.Cleanup(clock.SetBootID(c.bootID))
+		t.Run(test.name, func(t *testing.T) {
+			t.Cleanup(clock.SetBootID(test.bootID))
 			dir := goldenFolder(t)
-			s, err := New(goldenOptions(dir, c.trust))
+			core, err := New(goldenOptions(dir, test.trust))
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Cleanup(func() { _ = s.journal.Close() })
-			if s.recovery.folderProblem != c.problem || !slices.Equal(s.draining.names, []string{"gone-target"}) {
-				t.Errorf("problem %q, draining %v", s.recovery.folderProblem, s.draining.names)
+			t.Cleanup(func() { _ = core.journal.Close() })
+			if core.recovery.folderProblem != test.problem || !slices.Equal(core.draining.names, []string{"gone-target"}) {
+				t.Errorf("problem %q, draining %v", core.recovery.folderProblem, core.draining.names)
 			}
-			checkDeadlines(t, s)
-			f := restoreGolden(t, s, len(c.continued))
-			checkAttempts(t, f, c.continued)
-			checkAnswers(t, f, c.ambiguous)
-			checkRecovery(t, s, c)
-			if e := s.journal.Get("heard"); e == nil || !e.Acknowledged || e.FinalAnswer != "delivered" {
-				t.Errorf("acknowledged: %+v", e)
+			checkDeadlines(t, core)
+			front := restoreGolden(t, core, len(test.continued))
+			checkAttempts(t, front, test.continued)
+			checkAnswers(t, front, test.ambiguous)
+			checkRecovery(t, core, test)
+			if entry := core.journal.Get("heard"); entry == nil || !entry.Acknowledged || entry.FinalAnswer != "delivered" {
+				t.Errorf("acknowledged: %+v", entry)
 			}
 		})
 	}
 }
 
-// checkDeadlines checks that each message has the time left that it had when the last incarnation
-// was killed.
-func checkDeadlines(t *testing.T, s *Sender) {
+// checkDeadlines checks that each message has the time left that it had when the last incarnation was
+// killed.
+func checkDeadlines(t *testing.T, core *Sender) {
 	t.Helper()
-	for _, e := range s.journal.Entries() {
-		if left := e.Deadline - s.startInstant; left > goldenTimeLeft || left < goldenTimeLeft-20_000_000 {
-			t.Errorf("%s has %d us left", e.ID, left)
+	for _, entry := range core.journal.Entries() {
+		if left := entry.Deadline - core.startInstant; left > goldenTimeLeft || left < goldenTimeLeft-20_000_000 {
+			t.Errorf("%s has %d us left", entry.ID, left)
 		}
 	}
 }
 
-// restoreGolden makes steps until so many attempts have been sent, and some more in which none may
-// be added.
-func restoreGolden(t *testing.T, s *Sender, attempts int) *recordingFront {
+// restoreGolden restores the messages and runs iterations until the given number of attempts has been
+// sent, and five more, which must not add attempts.
+func restoreGolden(t *testing.T, core *Sender, attempts int) *recordingFront {
 	t.Helper()
-	f := &recordingFront{sender: s, mustNotify: true, deduplicates: true}
-	s.AddIngress("f", f)
-	s.AddEgress("p", f)
-	s.UpdateRoutes("whole", []Route{{Endpoint: scheduler.Endpoint{
+	front := &recordingFront{sender: core, mustNotify: true, deduplicates: true}
+	core.AddIngress("f", front)
+	core.AddEgress("p", front)
+	core.UpdateRoutes("whole", []Route{{Endpoint: scheduler.Endpoint{
 		Addr: "a", MachineType: "k", Destination: 1,
 		State: "live",
 	}, Protocol: "p"}})
-	s.runPosted()
-	s.restoreJournal()
-	until := time.Now().Add(15 * time.Second)
-	for reported := 0; len(f.attempts) < attempts && time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
-		f.step(t)
-		for ; reported < len(f.attempts); reported++ {
-			a := f.attempts[reported]
-			s.ReportAttempts(AttemptResult{ID: a.ID, Attempt: a.Number, Endpoint: "a", Outcome: OutcomeSuccess})
+	core.runPosted()
+	core.restoreJournal()
+	deadline := time.Now().Add(15 * time.Second)
+	for reported := 0; len(front.attempts) < attempts && time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
+		front.step(t)
+		for ; reported < len(front.attempts); reported++ {
+			attempt := front.attempts[reported]
+			core.ReportAttempts(AttemptResult{ID: attempt.ID, Attempt: attempt.Number, Endpoint: "a", Outcome: OutcomeSuccess})
 		}
 	}
 	for range 5 {
-		f.step(t)
+		front.step(t)
 	}
-	return f
+	return front
 }
 
-func checkAttempts(t *testing.T, f *recordingFront, want []string) {
+// checkAttempts checks the ids of the attempted messages, and their keys and bodies.
+func checkAttempts(t *testing.T, front *recordingFront, want []string) {
 	t.Helper()
 	var got []string
-	for _, a := range f.attempts {
-		got = append(got, a.ID)
-		if a.Key != "key-"+a.ID || string(a.Body) != a.ID {
-			t.Errorf("%s leaves with key %q and body %q", a.ID, a.Key, a.Body)
+	for _, attempt := range front.attempts {
+		got = append(got, attempt.ID)
+		if attempt.Key != "key-"+attempt.ID || string(attempt.Body) != attempt.ID {
+			t.Errorf("%s is sent with key %q and body %q", attempt.ID, attempt.Key, attempt.Body)
 		}
 	}
 	slices.Sort(got)
@@ -203,43 +212,44 @@
 	}
 }
 
-// checkAnswers checks the final answers that are sent: those from before, those of what may have
-// run, and those of the attempts.
-func checkAnswers(t *testing.T, f *recordingFront, fail []string) {
+// checkAnswers checks the final answers that are sent: those of the last incarnation, those of the
+// ambiguous messages, and those of the attempts.
+func checkAnswers(t *testing.T, front *recordingFront, ambiguous []string) {
 	t.Helper()
 	want := []string{"ended delivered again", "back returned again"}
-	for _, id := range fail {
+	for _, id := range ambiguous {
 		want = append(want, id+" failed")
 	}
-	for _, a := range f.attempts {
-		want = append(want, a.ID+" delivered")
+	for _, attempt := range front.attempts {
+		want = append(want, attempt.ID+" delivered")
 	}
-	got := slices.Sorted(slices.Values(f.answers))
+	got := slices.Sorted(slices.Values(front.answers))
 	slices.Sort(want)
 	if !slices.Equal(got, want) {
 		t.Errorf("final answers:\ngot  %v\nwant %v", got, want)
 	}
 }
 
-func checkRecovery(t *testing.T, s *Sender, c restoreCase) {
+// checkRecovery checks the metrics of the start and the number of the incarnation.
+func checkRecovery(t *testing.T, core *Sender, test restoreCase) {
 	t.Helper()
 	want := map[string]string{
-		"lb_life_start": "1 [case " + c.start + "]", "lb_life_taken_up": "12 []",
-		"lb_life_doubtful": fmt.Sprintf("%d []", len(c.ambiguous)),
+		"lb_life_start": "1 [case " + test.start + "]", "lb_life_taken_up": "12 []",
+		"lb_life_doubtful": fmt.Sprintf("%d []", len(test.ambiguous)),
 	}
-	for _, x := range s.RecoveryFigures() {
-		if w, ok := want[x.Name]; ok && w != fmt.Sprint(x.Value, x.Label) {
-			t.Errorf("%s %v %v, want %s", x.Name, x.Value, x.Label, w)
+	for _, metric := range core.RecoveryFigures() {
+		if wanted, ok := want[metric.Name]; ok && wanted != fmt.Sprint(metric.Value, metric.Label) {
+			t.Errorf("%s %v %v, want %s", metric.Name, metric.Value, metric.Label, wanted)
 		}
-		delete(want, x.Name)
+		delete(want, metric.Name)
 	}
 	if len(want) > 0 {
-		t.Errorf("no figures %v", want)
+		t.Errorf("missing metrics: %v", want)
 	}
-	if s.journal.Incarnation() != map[FolderTrust]uint64{
+	if core.journal.Incarnation() != map[FolderTrust]uint64{
 		FolderTrusted: 1, FolderJudged: 2, FolderRestored: 2,
 		FolderMoved: 2,
-	}[c.trust] {
-		t.Errorf("incarnation %d", s.journal.Incarnation())
+	}[test.trust] {
+		t.Errorf("incarnation %d", core.journal.Incarnation())
 	}
 }
--- a/sender/golden_test.go
+++ b/sender/golden_test.go
@@ -26,13 +26,13 @@
 //
 //	go test ./sender -run Golden -update-golden
 //
-// The files pin what is stored. Regenerate them only for an intended change of it, and keep old
-// folders readable.
+// The files pin the stored formats. Regenerate them only for an intended change of a format, and keep
+// old folders readable.
 var updateGolden = flag.Bool("update-golden", false, "write the files in testdata/golden anew")
 
 func goldenPath(name string) string { return filepath.Join("testdata", "golden", name) }
 
-// checkGolden compares got with a golden file, byte by byte, and returns the file.
+// checkGolden compares got with a golden file, byte by byte, and returns the file's content.
 func checkGolden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	if *updateGolden {
@@ -50,14 +50,14 @@
 	return want
 }
 
-// The note is written with the same bytes under the same name, and read back with every field.
+// The provenance note keeps its file name and its bytes, and every field is read back.
 func TestGoldenNote(t *testing.T) {
-	for name, n := range map[string]provenance.Note{
+	for name, note := range map[string]provenance.Note{
 		"life":        {Name: "n1", Incarnation: 3, Stamp: provenance.Stamp{Inode: 7, CreatedNs: 1_700_000_000_000_000_001}},
 		"life-unborn": {Name: "n1", Incarnation: 1, Stamp: provenance.Stamp{Inode: 7}},
 	} {
 		dir := t.TempDir()
-		if err := writeNote(dir, n); err != nil {
+		if err := writeNote(dir, note); err != nil {
 			t.Fatal(err)
 		}
 		raw, err := os.ReadFile(filepath.Join(dir, "life"))
@@ -69,19 +69,19 @@
 		if err := os.WriteFile(filepath.Join(other, "life"), golden, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		f := readEvidence(other, 5, 2)
+		evidence := readEvidence(other, 5, 2)
 		if want := (provenance.Evidence{
-			Note: n, HasNote: true, JournalIncarnation: 5, Messages: 2,
-			Stamp: f.Stamp,
-		}); f != want {
-			t.Errorf("%s: got %+v, want %+v", name, f, want)
+			Note: note, HasNote: true, JournalIncarnation: 5, Messages: 2,
+			Stamp: evidence.Stamp,
+		}); evidence != want {
+			t.Errorf("%s: got %+v, want %+v", name, evidence, want)
 		}
 	}
 }
 
-// What one process hands to the next, which may be of another version, has the same names.
+// The checkpoint keeps its field names: the successor of a hot restart may be of another version.
 func TestGoldenCheckpoint(t *testing.T) {
-	c := Checkpoint{
+	checkpoint := Checkpoint{
 		Scheduler: scheduler.State{Format: 1}, Ended: []string{"over"}, KnownEndpoints: []string{"a"},
 		Draining: []string{"b"},
 		Routes: []Route{{Endpoint: scheduler.Endpoint{
@@ -89,34 +89,35 @@
 			SlowStart: true,
 		}, Dial: "127.0.0.1:1", Protocol: "p"}},
 	}
-	raw, err := json.MarshalIndent(c, "", "  ")
+	raw, err := json.MarshalIndent(checkpoint, "", "  ")
 	if err != nil {
 		t.Fatal(err)
 	}
 	dec := json.NewDecoder(bytes.NewReader(checkGolden(t, "checkpoint.json", raw)))
 	dec.DisallowUnknownFields()
 	var got Checkpoint
-	if err := dec.Decode(&got); err != nil || !reflect.DeepEqual(got, c) {
-		t.Errorf("%v: got %+v, want %+v", err, got, c)
+	if err := dec.Decode(&got); err != nil || !reflect.DeepEqual(got, checkpoint) {
+		t.Errorf("%v: got %+v, want %+v", err, got, checkpoint)
 	}
 }
 
-// openRecorder records which files in the folder are opened.
+// openRecorder records which files in the state folder are opened.
 type openRecorder struct {
 	mu    sync.Mutex
 	names []string
 }
 
-func (w *openRecorder) hook(c statefs.Call, name string) *statefs.Fault {
+func (w *openRecorder) hook(call statefs.Call, name string) *statefs.Fault {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if c == statefs.CallOpen && !slices.Contains(w.names, name) {
+	if call == statefs.CallOpen && !slices.Contains(w.names, name) {
 		w.names = append(w.names, name)
 	}
 	return nil
 }
 
-// describeStep describes a step: the files that lie in dir after it, and those that were opened in it.
+// describeStep returns the files that are in dir after a step of the test, and those that were opened in
+// the step.
 func (w *openRecorder) describeStep(t *testing.T, step, dir string) string {
 	t.Helper()
 	list, err := os.ReadDir(dir)
@@ -124,12 +125,12 @@
 		t.Fatal(err)
 	}
 	var files []string
-	for _, f := range list {
-		at, err := f.Info()
+	for _, file := range list {
+		info, err := file.Info()
 		if err != nil {
 			t.Fatal(err)
 		}
-		files = append(files, fmt.Sprintf("%s(%v)", f.Name(), at.Mode()))
+		files = append(files, fmt.Sprintf("%s(%v)", file.Name(), info.Mode()))
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -139,24 +140,24 @@
 	return out
 }
 
-// waitPosted waits until Run has run what is posted.
-func waitPosted(t *testing.T, s *Sender) {
+// waitPosted waits until Run has run the functions posted before.
+func waitPosted(t *testing.T, core *Sender) {
 	t.Helper()
 	done := make(chan struct{})
-	s.Post(func() { close(done) })
+	core.Post(func() { close(done) })
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
-		t.Fatal("Run does not run what is posted")
+		t.Fatal("Run did not run a posted function within 20 s")
 	}
 }
 
-// A sender creates the same files in its folder, each in the same step.
+// The sender creates the same files in its state folder, each in the same step.
 func TestGoldenFiles(t *testing.T) {
 	var w openRecorder
 	defer statefs.SetHook(w.hook)()
 	var out strings.Builder
-	for _, c := range []struct {
+	for _, test := range []struct {
 		step string
 		opt  Options
 	}{
@@ -166,24 +167,24 @@
 		{"judged, memory", Options{FolderTrust: FolderJudged, KeepSnapshot: true}},
 	} {
 		dir := t.TempDir()
-		c.opt.Name, c.opt.Settings, c.opt.StateDir = "n1", testSettings(), dir
-		c.opt.DiskBytes, c.opt.Log = 1<<20, zerolog.Nop()
-		s, err := New(c.opt)
+		test.opt.Name, test.opt.Settings, test.opt.StateDir = "n1", testSettings(), dir
+		test.opt.DiskBytes, test.opt.Log = 1<<20, zerolog.Nop()
+		core, err := New(test.opt)
 		if err != nil {
 			t.Fatal(err)
 		}
-		out.WriteString(w.describeStep(t, c.step+", New", dir))
+		out.WriteString(w.describeStep(t, test.step+", New", dir))
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error, 1)
-		go func() { done <- s.Run(ctx) }()
-		for range 3 { // the third is done in after a whole step
-			waitPosted(t, s)
+		go func() { done <- core.Run(ctx) }()
+		for range 3 { // the third posted function runs after a complete step
+			waitPosted(t, core)
 		}
 		cancel()
 		if err := <-done; err != nil {
 			t.Fatal(err)
 		}
-		out.WriteString(w.describeStep(t, c.step+", Run to its end", dir))
+		out.WriteString(w.describeStep(t, test.step+", Run to its end", dir))
 	}
 	checkGolden(t, "files.txt", []byte(out.String()))
 }
--- a/sender/recovery_test.go
+++ b/sender/recovery_test.go
@@ -15,42 +15,44 @@
 	"github.com/rs/zerolog"
 )
 
-// An incarnation is in full service once it knows an endpoint list, all that the last one left has
-// its final answer, and no more is pending than was accepted within a second. Each start names
-// trust the folder was found.
+// An incarnation is in full service once it has an endpoint list, all messages that the previous one
+// left have their final answers, and no more are pending than were accepted within a second. Each
+// start reports how the state folder was found.
 func TestFullService(t *testing.T) {
 	dir := t.TempDir()
-	s, f := newTestSender(t, dir, 1<<20)
-	if s.recovery.loadStart() != startNew {
-		t.Errorf("an empty folder is %q", s.recovery.loadStart())
+	core, front := newTestSender(t, dir, 1<<20)
+	if core.recovery.loadStart() != startNew {
+		t.Errorf("start case of an empty folder: %q", core.recovery.loadStart())
 	}
-	f.step(t, request(s, "m1", 60e6), request(s, "m2", 60e6))
-	_ = s.journal.Close()
+	front.step(t, request(core, "m1", 60e6), request(core, "m2", 60e6))
+	_ = core.journal.Close()
 
-	s, f = newTestSender(t, dir, 1<<20)
-	if s.recovery.loadStart() != startJournal {
-		t.Errorf("a journal and no snapshot are %q", s.recovery.loadStart())
-	}
-	s.restoreJournal()
-	s.recovery.fullServiceUs.Store(0) // the step above came before it, which no sender's does
-	s.recovery.window.checkedAt = time.Now().Add(-time.Second)
-	f.step(t)
-	if s.recovery.fullServiceUs.Load() != 0 || s.recovery.restoredCount == 0 || s.recovery.firstListUs.Load() == 0 {
-		t.Fatalf("full with %d left of %d, list %d", len(s.recovery.restored), s.recovery.restoredCount,
-			s.recovery.firstListUs.Load())
-	}
-	for id := range s.recovery.restored {
-		s.finish(id, Delivered, 0)
-	}
-	s.recovery.window.checkedAt = time.Now().Add(-time.Second)
-	f.step(t)
-	if s.recovery.fullServiceUs.Load() == 0 || s.recovery.restoredDoneUs.Load() == 0 {
-		t.Error("never full")
-	}
-	want := map[string]float64{"lb_life_full": 1, "lb_life_taken_up": float64(s.recovery.restoredCount)}
-	for _, x := range s.RecoveryFigures() {
-		if v, ok := want[x.Name]; ok && v != x.Value {
-			t.Errorf("%s %v, want %v", x.Name, x.Value, v)
+	core, front = newTestSender(t, dir, 1<<20)
+	if core.recovery.loadStart() != startJournal {
+		t.Errorf("start case of a journal without a snapshot: %q", core.recovery.loadStart())
+	}
+	core.restoreJournal()
+	core.recovery.fullServiceUs.Store(0) // the step in newTestSender preceded the restore, unlike in Run
+	core.recovery.window.checkedAt = time.Now().Add(-time.Second)
+	front.step(t)
+	if core.recovery.fullServiceUs.Load() != 0 || core.recovery.restoredCount == 0 ||
+		core.recovery.firstListUs.Load() == 0 {
+		t.Fatalf("full service with %d of %d restored messages pending, first list at %d us",
+			len(core.recovery.restored), core.recovery.restoredCount,
+			core.recovery.firstListUs.Load())
+	}
+	for id := range core.recovery.restored {
+		core.finish(id, Delivered, 0)
+	}
+	core.recovery.window.checkedAt = time.Now().Add(-time.Second)
+	front.step(t)
+	if core.recovery.fullServiceUs.Load() == 0 || core.recovery.restoredDoneUs.Load() == 0 {
+		t.Error("full service is not reached")
+	}
+	want := map[string]float64{"lb_life_full": 1, "lb_life_taken_up": float64(core.recovery.restoredCount)}
+	for _, metric := range core.RecoveryFigures() {
+		if value, ok := want[metric.Name]; ok && value != metric.Value {
+			t.Errorf("%s %v, want %v", metric.Name, metric.Value, value)
 		}
 	}
 	got := fmt.Sprint(startCaseOf(true, true, true), startCaseOf(false, true, true), startCaseOf(false, false, true))
@@ -59,114 +61,119 @@
 	}
 }
 
-// A folder turns out to be an older state while its messages wait: none of those that must not be
-// repeated is sent any more, and each fails; one in flight goes on.
+// When the state folder turns out to be an older state, pending messages that must not be repeated are
+// not sent any more and fail. One in flight continues.
 func TestDistrustedFolder(t *testing.T) {
-	dir, set := t.TempDir(), testSettings()
-	set.Limits.MaxMessages = 30
-	s, f := newTestSenderWith(t, dir, 1<<20, set)
-	f.step(t, request(s, "m1", 8e6), request(s, "m2", 8e6), request(s, "m3", 8e6), request(s, "m4", 8e6))
-	before := len(f.attempts)
-	_ = s.journal.Close()
-	s, f = newTestSenderWith(t, dir, 1<<20, set)
-	s.restoreJournal()
-	f.step(t)
-	out := len(f.attempts)
-	f.answers = nil
-	booked := 0
-	s.DistrustFolder("by a word", func() {
-		booked++
+	dir, settings := t.TempDir(), testSettings()
+	settings.Limits.MaxMessages = 30
+	core, front := newTestSenderWith(t, dir, 1<<20, settings)
+	front.step(t, request(core, "m1", 8e6), request(core, "m2", 8e6), request(core, "m3", 8e6), request(core, "m4", 8e6))
+	sentEarlier := len(front.attempts)
+	_ = core.journal.Close()
+	core, front = newTestSenderWith(t, dir, 1<<20, settings)
+	core.restoreJournal()
+	front.step(t)
+	sentBefore := len(front.attempts)
+	front.answers = nil
+	recorded := 0
+	core.DistrustFolder("by a word", func() {
+		recorded++
 		copied := filepath.Join(t.TempDir(), "copy")
 		err := fleet.Backup(dir, copied)
-		l, _, lerr := journal.ReadOnly(copied, 1<<20)
-		if err = errors.Join(err, lerr); err != nil || len(l) == 0 {
-			t.Error(len(l), err)
+		entries, _, readErr := journal.ReadOnly(copied, 1<<20)
+		if err = errors.Join(err, readErr); err != nil || len(entries) == 0 {
+			t.Error(len(entries), err)
 		}
-		for _, e := range l {
-			if e.FinalAnswer == "" && e.FirstRun == 0 && e.InFlightSince == 0 {
-				t.Error("booked, and the next incarnation would not know:", e.ID, err)
+		for _, entry := range entries {
+			if entry.FinalAnswer == "" && entry.FirstRun == 0 && entry.InFlightSince == 0 {
+				t.Error("not recorded for the next incarnation:", entry.ID, err)
 			}
 		}
 	})
-	f.step(t)
-	f.step(t)
-	if booked != 1 {
-		t.Error("booked", booked, "times")
+	front.step(t)
+	front.step(t)
+	if recorded != 1 {
+		t.Error("reported as recorded", recorded, "times")
 	}
-	if len(f.attempts) != out {
-		t.Fatalf("%d sent after the call, %d before it", len(f.attempts)-out, out)
+	if len(front.attempts) != sentBefore {
+		t.Fatalf("%d attempts sent after the call, %d before it", len(front.attempts)-sentBefore, sentBefore)
 	}
-	for _, line := range f.answers {
-		if id := strings.TrimSuffix(line, " failed"); id == line || id == f.attempts[0].ID {
+	for _, line := range front.answers {
+		if id := strings.TrimSuffix(line, " failed"); id == line || id == front.attempts[0].ID {
 			t.Errorf("%q", line)
 		}
 	}
-	if len(f.answers) == 0 || len(f.answers)+out+before != 4 || s.recovery.loadStart() != startDistrusted {
-		t.Error(f.answers, out, before, s.recovery.loadStart())
+	if len(front.answers) == 0 || len(front.answers)+sentBefore+sentEarlier != 4 ||
+		core.recovery.loadStart() != startDistrusted {
+		t.Error(front.answers, sentBefore, sentEarlier, core.recovery.loadStart())
 	}
 }
 
-// An incarnation that finds an older folder is killed before its first step, again and again: what
-// may have been sent since stays ambiguous, also where the journal itself names a later first
-// attempt than there may have been.
+// Incarnations that start on an older folder are killed before their first step. Messages that may have
+// been sent since stay ambiguous in every following incarnation, also one whose journal records a
+// later first attempt than there may have been.
 func TestAmbiguityPersistsAfterKill(t *testing.T) {
-	dir, set := t.TempDir(), testSettings()
-	set.Limits.MaxMessages = 30
-	set.Classes = append(set.Classes, scheduler.Class{
+	dir, settings := t.TempDir(), testSettings()
+	settings.Limits.MaxMessages = 30
+	settings.Classes = append(settings.Classes, scheduler.Class{
 		Name: "key", Idempotency: "by_key", LatencyObjectiveUs: 1e6, DeadlineUs: 9e6,
 		KeyWindowUs: 4e6, PriorityWeight: 1,
 	})
 	open := func(trust FolderTrust) *Sender {
 		t.Helper()
-		s, err := New(Options{Settings: set, StateDir: dir, DiskBytes: 1 << 20, Log: zerolog.Nop(), FolderTrust: trust})
+		core, err := New(Options{
+			Settings: settings, StateDir: dir, DiskBytes: 1 << 20, Log: zerolog.Nop(),
+			FolderTrust: trust,
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return s
+		return core
 	}
-	s := open(FolderJudged)
-	now := s.Now()
+	core := open(FolderJudged)
+	now := core.Now()
 	for id, class := range map[string]string{"held": "once", "tried": "key"} {
-		s.journal.Accept(&journal.Entry{ID: id, Class: class, Destination: 1, Deadline: now + 8_500_000})
+		core.journal.Accept(&journal.Entry{ID: id, Class: class, Destination: 1, Deadline: now + 8_500_000})
 	}
-	s.journal.StartAttempt("tried", "z", now)
-	if err := s.journal.Flush(); err != nil {
+	core.journal.StartAttempt("tried", "z", now)
+	if err := core.journal.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	_ = s.journal.Close()
+	_ = core.journal.Close()
 	for _, trust := range []FolderTrust{FolderRestored, FolderJudged, FolderJudged} {
-		s = open(trust)
-		if at := s.journal.Get("held").FirstRun; at == 0 {
-			t.Fatalf("trust %d: a charge of an older folder is not ambiguous", trust)
+		core = open(trust)
+		if firstRun := core.journal.Get("held").FirstRun; firstRun == 0 {
+			t.Fatalf("trust %d: an unsafe message of an older folder is not ambiguous", trust)
 		}
-		if at := s.journal.Get("tried").FirstRun; at != now-500_000 {
-			t.Fatalf("trust %d: a keyed one may have run since %d us, not %d", trust, now-at, 500_000)
+		if firstRun := core.journal.Get("tried").FirstRun; firstRun != now-500_000 {
+			t.Fatalf("trust %d: a keyed message may have run for the first time %d us ago, want %d",
+				trust, now-firstRun, 500_000)
 		}
-		if (s.recovery.folderProblem != "") != (trust == FolderRestored) {
-			t.Fatalf("trust %d: %q", trust, s.recovery.folderProblem)
+		if (core.recovery.folderProblem != "") != (trust == FolderRestored) {
+			t.Fatalf("trust %d: folder problem %q", trust, core.recovery.folderProblem)
 		}
-		_ = s.journal.Close() // as a kill does, before the first step
+		_ = core.journal.Close() // like a kill before the first step
 	}
 }
 
-// A client that is rejected for want of room gets a wait until half of what is pending has gone, at
-// the rate of this incarnation or, before anything has ended in it, of the last one.
+// A client that is rejected because a limit is reached gets a Retry-After in which half of the pending
+// messages get their final answers, at the rate of this incarnation.
 func TestRetryAfter(t *testing.T) {
-	set := testSettings()
-	set.Limits.MaxRetryAfterUs = 30e6
-	s, _ := newTestSenderWith(t, t.TempDir(), 1<<20, set)
-	s.pending = 100
-	if ms := s.retryAfterMs(); ms < 250 || ms > 750 {
-		t.Errorf("with no pace known: %d", ms)
-	}
-	for i := range 1000 { // ten a second, for long
-		s.finalAnswerRate.add(time.Since(s.startedAt) - time.Duration(999-i)*100*time.Millisecond)
-	}
-	if ms := s.retryAfterMs(); ms < 2400 || ms > 8500 {
-		t.Errorf("fifty at ten a second: %d", ms)
-	}
-	s.pending = 1e6
-	if ms := s.retryAfterMs(); ms < 10_000 || ms > 30_000 {
-		t.Errorf("%d, and the settings say 30000", ms)
+	settings := testSettings()
+	settings.Limits.MaxRetryAfterUs = 30e6
+	core, _ := newTestSenderWith(t, t.TempDir(), 1<<20, settings)
+	core.pending = 100
+	if ms := core.retryAfterMs(); ms < 250 || ms > 750 {
+		t.Errorf("Retry-After without a known rate: %d ms", ms)
+	}
+	for i := range 1000 { // ten per second for 100 seconds
+		core.finalAnswerRate.add(time.Since(core.startedAt) - time.Duration(999-i)*100*time.Millisecond)
+	}
+	if ms := core.retryAfterMs(); ms < 2400 || ms > 8500 {
+		t.Errorf("Retry-After for half of 100 messages at ten per second: %d ms", ms)
+	}
+	core.pending = 1e6
+	if ms := core.retryAfterMs(); ms < 10_000 || ms > 30_000 {
+		t.Errorf("Retry-After %d ms, the limit in the settings is 30000 ms", ms)
 	}
 }
--- a/sender/sender_test.go
+++ b/sender/sender_test.go
@@ -17,7 +17,7 @@
 	"github.com/rs/zerolog"
 )
 
-// recordingFront is an ingress and an egress that only records its calls.
+// recordingFront is an ingress and an egress that records its calls.
 type recordingFront struct {
 	sender       *Sender
 	answers      []string
@@ -27,19 +27,19 @@
 	mustNotify   bool
 }
 
-func (f *recordingFront) Answer(x *Request, v Verdict, waitMs int64) {
-	f.answers = append(f.answers, fmt.Sprintf("%s %d", x.ID, v))
-	if v == Accepted && f.sender.journal.Get(x.ID) == nil && !f.sender.endedIDs.has(x.ID) {
+func (f *recordingFront) Answer(request *Request, verdict Verdict, retryAfterMs int64) {
+	f.answers = append(f.answers, fmt.Sprintf("%s %d", request.ID, verdict))
+	if verdict == Accepted && f.sender.journal.Get(request.ID) == nil && !f.sender.endedIDs.has(request.ID) {
 		f.answers = append(f.answers, "taken before it was written")
 	}
 }
 func (f *recordingFront) MustNotify(string) bool { return f.mustNotify }
 func (f *recordingFront) Deduplicates() bool     { return f.deduplicates }
-func (f *recordingFront) Notify(id, _, end string, _ int64, again bool) {
-	if again {
-		end += " again"
+func (f *recordingFront) Notify(id, _, answer string, _ int64, repeated bool) {
+	if repeated {
+		answer += " again"
 	}
-	f.answers = append(f.answers, id+" "+end)
+	f.answers = append(f.answers, id+" "+answer)
 }
 
 func (f *recordingFront) Send(_ Route, attempts []Attempt) {
@@ -49,6 +49,7 @@
 func (f *recordingFront) CloseIdle(Route)           {}
 func (f *recordingFront) UpdateRoutes(list []Route) { f.changed = list }
 
+// expect checks the replies since the last call: "ID VERDICT" or "ID FINAL-ANSWER".
 func (f *recordingFront) expect(t *testing.T, want ...string) {
 	t.Helper()
 	if fmt.Sprint(f.answers) != fmt.Sprint(want) {
@@ -57,224 +58,232 @@
 	f.answers = nil
 }
 
-func testSettings() (s scheduler.Settings) {
-	s.Senders, s.TickUs, s.Discovery, s.MachineTypes = 1, 5000, "pushed", []string{"k"}
-	s.Classes = []scheduler.Class{{
+// testSettings returns settings with one unsafe class and a limit of three messages.
+func testSettings() (settings scheduler.Settings) {
+	settings.Senders, settings.TickUs, settings.Discovery, settings.MachineTypes = 1, 5000, "pushed", []string{"k"}
+	settings.Classes = []scheduler.Class{{
 		Name: "once", Idempotency: "once", LatencyObjectiveUs: 1e6, DeadlineUs: 9e6,
 		PriorityWeight: 1,
 	}}
-	s.Calls.EndpointLimits, s.Calls.MessagesPerCall, s.Calls.ConcurrentCalls = []bool{false}, []int{1}, 4
-	s.Limits.MaxMessages, s.Limits.MaxAttempts, s.Limits.CanSendRetryAfter, s.Limits.MaxRetryAfterUs = 3, 8, true, 1e6
-	return s
+	settings.Calls.EndpointLimits, settings.Calls.MessagesPerCall, settings.Calls.ConcurrentCalls =
+		[]bool{false}, []int{1}, 4
+	settings.Limits.MaxMessages, settings.Limits.MaxAttempts, settings.Limits.CanSendRetryAfter,
+		settings.Limits.MaxRetryAfterUs = 3, 8, true, 1e6
+	return settings
 }
 
+// newTestSender returns a sender with one endpoint, a, and the front of its ingress and egress.
 func newTestSender(t *testing.T, dir string, disk int64) (*Sender, *recordingFront) {
 	t.Helper()
 	return newTestSenderWith(t, dir, disk, testSettings())
 }
 
-func newTestSenderWith(t *testing.T, dir string, disk int64, set scheduler.Settings) (*Sender, *recordingFront) {
+func newTestSenderWith(t *testing.T, dir string, disk int64, settings scheduler.Settings) (*Sender, *recordingFront) {
 	t.Helper()
-	s, err := New(Options{Settings: set, StateDir: dir, DiskBytes: disk, Log: zerolog.Nop()})
+	core, err := New(Options{Settings: settings, StateDir: dir, DiskBytes: disk, Log: zerolog.Nop()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &recordingFront{sender: s, mustNotify: true}
-	s.AddIngress("f", f)
-	s.AddEgress("p", f)
-	s.UpdateRoutes("whole", []Route{{Endpoint: scheduler.Endpoint{
+	front := &recordingFront{sender: core, mustNotify: true}
+	core.AddIngress("f", front)
+	core.AddEgress("p", front)
+	core.UpdateRoutes("whole", []Route{{Endpoint: scheduler.Endpoint{
 		Addr: "a", MachineType: "k", Destination: 1,
 		State: "live",
 	}, Protocol: "p"}})
-	f.step(t)
-	return s, f
+	front.step(t)
+	return core, front
 }
 
-func (f *recordingFront) step(t *testing.T, offers ...*Request) {
+// step submits requests and runs one iteration of the sender's loop.
+func (f *recordingFront) step(t *testing.T, requests ...*Request) {
 	t.Helper()
-	f.sender.Submit(offers...)
+	f.sender.Submit(requests...)
 	f.sender.runIteration()
 }
 
-func request(s *Sender, id string, leftUs int64) *Request {
+func request(core *Sender, id string, leftUs int64) *Request {
 	return &Request{
-		ID: id, Class: "once", Destination: 1, Deadline: s.Now().Add(clock.Microseconds(leftUs)), Front: "f",
+		ID: id, Class: "once", Destination: 1, Deadline: core.Now().Add(clock.Microseconds(leftUs)), Front: "f",
 		Body: make([]byte, 100),
 	}
 }
 
-// What one step takes in and gives up at once is rejected and never written: its client will come
-// again.
+// A request that the step receiving it finds expired is rejected and never recorded: its client is
+// expected to submit it again.
 func TestExpiredRequestIsRejected(t *testing.T) {
-	s, f := newTestSender(t, t.TempDir(), 1<<20)
-	f.step(t, request(s, "late", 0))
-	f.expect(t, "late 1")
-	if s.journal.Get("late") != nil || s.pending != 0 {
-		t.Fatal("it is accepted")
+	core, front := newTestSender(t, t.TempDir(), 1<<20)
+	front.step(t, request(core, "late", 0))
+	front.expect(t, "late 1")
+	if core.journal.Get("late") != nil || core.pending != 0 {
+		t.Fatal("an expired request was accepted")
 	}
 }
 
-// The same id is never accepted twice, and its final answer is sent again to a client that hands it
-// in again.
+// A message id is never accepted twice. A client that submits it again gets its final answer again.
 func TestDuplicateID(t *testing.T) {
-	s, f := newTestSender(t, t.TempDir(), 1<<20)
-	f.deduplicates = true
-	f.step(t, request(s, "m", 9e6), request(s, "m", 9e6))
-	f.expect(t, "m 1", "m 0")
-	f.step(t, request(s, "m", 9e6))
-	f.expect(t, "m 0")
-	s.ReportAttempts(AttemptResult{ID: "m", Attempt: 0, Endpoint: "a", Outcome: OutcomeSuccess})
-	f.step(t)
-	f.expect(t, "m delivered")
-	s.Acknowledge("m")
-	f.step(t, request(s, "m", 9e6))
-	f.expect(t, "m 0", "m delivered again")
-	if len(f.attempts) != 1 {
-		t.Fatal("sent", len(f.attempts), "times")
+	core, front := newTestSender(t, t.TempDir(), 1<<20)
+	front.deduplicates = true
+	front.step(t, request(core, "m", 9e6), request(core, "m", 9e6))
+	front.expect(t, "m 1", "m 0")
+	front.step(t, request(core, "m", 9e6))
+	front.expect(t, "m 0")
+	core.ReportAttempts(AttemptResult{ID: "m", Attempt: 0, Endpoint: "a", Outcome: OutcomeSuccess})
+	front.step(t)
+	front.expect(t, "m delivered")
+	core.Acknowledge("m")
+	front.step(t, request(core, "m", 9e6))
+	front.expect(t, "m 0", "m delivered again")
+	if len(front.attempts) != 1 {
+		t.Fatal("sent", len(front.attempts), "times")
 	}
 }
 
-// The id of a message that is over is not sent again, nor in the next incarnation: a client that
-// uses another's id must not repeat its charge.
+// A request with the id of a removed message is not sent, also in the next incarnation: a client that
+// uses another client's id must not cause a repeat of an unsafe message.
 func TestEndedID(t *testing.T) {
 	dir := t.TempDir()
-	s, f := newTestSender(t, dir, 1<<20)
-	f.mustNotify = false
-	f.step(t, request(s, "m", 9e6))
-	s.ReportAttempts(AttemptResult{ID: "m", Attempt: 0, Endpoint: "a", Outcome: OutcomeSuccess})
-	f.step(t, request(s, "m", 9e6))
-	f.expect(t, "m 0", "m 0")
-	_ = s.journal.Close()
-	n := len(f.attempts)
-	s, f = newTestSender(t, dir, 1<<20)
-	s.restoreJournal()
-	f.step(t, request(s, "m", 9e6))
-	if f.expect(t, "m 0"); n != 1 || len(f.attempts) > 0 {
-		t.Fatal("sent again")
+	core, front := newTestSender(t, dir, 1<<20)
+	front.mustNotify = false
+	front.step(t, request(core, "m", 9e6))
+	core.ReportAttempts(AttemptResult{ID: "m", Attempt: 0, Endpoint: "a", Outcome: OutcomeSuccess})
+	front.step(t, request(core, "m", 9e6))
+	front.expect(t, "m 0", "m 0")
+	_ = core.journal.Close()
+	sentBefore := len(front.attempts)
+	core, front = newTestSender(t, dir, 1<<20)
+	core.restoreJournal()
+	front.step(t, request(core, "m", 9e6))
+	if front.expect(t, "m 0"); sentBefore != 1 || len(front.attempts) > 0 {
+		t.Fatal("the message was sent again")
 	}
 }
 
-// What a whole list lacks is gone: its idle connections must not stay for its successor at the same
-// address.
+// An endpoint that is missing from a full list is removed, and its egress is notified: idle connections
+// to it must not be used for another endpoint at the same address.
 func TestEndpointMissingFromFullList(t *testing.T) {
-	s, f := newTestSender(t, t.TempDir(), 1<<20)
-	s.UpdateRoutes("whole", []Route{{Endpoint: scheduler.Endpoint{
+	core, front := newTestSender(t, t.TempDir(), 1<<20)
+	core.UpdateRoutes("whole", []Route{{Endpoint: scheduler.Endpoint{
 		Addr: "b", MachineType: "k", Destination: 1,
 		State: "live",
 	}, Protocol: "p"}})
-	f.step(t)
-	_, old := s.routes["a"]
-	if len(f.changed) == 0 || f.changed[0].Addr != "a" || f.changed[0].State != "dead" || old ||
-		s.routes["b"].State != "live" {
-		t.Fatal(f.changed)
+	front.step(t)
+	_, stillListed := core.routes["a"]
+	if len(front.changed) == 0 || front.changed[0].Addr != "a" || front.changed[0].State != "dead" || stillListed ||
+		core.routes["b"].State != "live" {
+		t.Fatal(front.changed)
 	}
 }
 
-// With the limit of messages or the disk budget reached a message is rejected, and accepted ones
-// are not harmed.
+// A message that exceeds the limit on messages or the disk budget is rejected, and accepted messages
+// are not affected.
 func TestMessageLimitAndDiskBudget(t *testing.T) {
-	s, f := newTestSender(t, t.TempDir(), 1<<20)
-	f.step(t, request(s, "a", 9e6), request(s, "b", 9e6), request(s, "c", 9e6), request(s, "d", 9e6))
-	f.expect(t, "d 1", "a 1", "b 0", "c 0") // the module makes room for the next among those that wait
-	s, f = newTestSender(t, t.TempDir(), 64<<10)
-	big := request(s, "big", 9e6)
+	core, front := newTestSender(t, t.TempDir(), 1<<20)
+	front.step(t, request(core, "a", 9e6), request(core, "b", 9e6), request(core, "c", 9e6), request(core, "d", 9e6))
+	front.expect(t, "d 1", "a 1", "b 0", "c 0") // d exceeds the limit; the scheduler sheds a, to have room for the next
+	core, front = newTestSender(t, t.TempDir(), 64<<10)
+	big := request(core, "big", 9e6)
 	big.Body = make([]byte, 40<<10)
-	f.step(t, big, request(s, "small", 9e6))
-	f.expect(t, "big 1", "small 0")
+	front.step(t, big, request(core, "small", 9e6))
+	front.expect(t, "big 1", "small 0")
 }
 
-// A charge whose attempt was recorded without a result may have run: it fails in the next
-// incarnation, which repeats that final answer until it is acknowledged. It is marked as repeated
-// where its client may have got it.
+// An unsafe message whose attempt was recorded without a result may have run: it fails in the next
+// incarnation. Each later incarnation repeats that final answer until it is acknowledged, marked as
+// repeated if the client may have received it.
 func TestAmbiguousMessageAfterRestart(t *testing.T) {
 	dir := t.TempDir()
-	s, f := newTestSender(t, dir, 1<<20)
-	f.step(t, request(s, "m", 9e6))
-	if len(f.attempts) != 1 {
+	core, front := newTestSender(t, dir, 1<<20)
+	front.step(t, request(core, "m", 9e6))
+	if len(front.attempts) != 1 {
 		t.Fatal("no attempt")
 	}
 	for _, want := range []string{"m failed", "m failed again"} {
-		_ = s.journal.Close()
-		s, f = newTestSender(t, dir, 1<<20)
-		s.restoreJournal()
-		f.step(t)
-		f.expect(t, want)
+		_ = core.journal.Close()
+		core, front = newTestSender(t, dir, 1<<20)
+		core.restoreJournal()
+		front.step(t)
+		front.expect(t, want)
 	}
-	f.step(t, request(s, "m", 9e6))
-	f.expect(t, "m 0", "m failed again")
-	s.Acknowledge("m")
-	f.step(t)
-	_ = s.journal.Close()
-	s, f = newTestSender(t, dir, 1<<20)
-	s.restoreJournal()
-	f.step(t)
-	f.expect(t)
+	front.step(t, request(core, "m", 9e6))
+	front.expect(t, "m 0", "m failed again")
+	core.Acknowledge("m")
+	front.step(t)
+	_ = core.journal.Close()
+	core, front = newTestSender(t, dir, 1<<20)
+	core.restoreJournal()
+	front.step(t)
+	front.expect(t)
 }
 
-// A keyed attempt that follows one that may have run says by when it must be written.
+// A message with an idempotency key that may have run before must be written within its idempotency
+// window.
 func TestStartBy(t *testing.T) {
-	s := &Sender{classes: map[string]scheduler.Class{
+	core := &Sender{classes: map[string]scheduler.Class{
 		"key":  {Idempotency: "by_key", KeyWindowUs: 1000},
 		"once": {Idempotency: "once", KeyWindowUs: 1000},
 	}}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		class string
 		first clock.Instant
 		want  clock.Instant
 	}{{"key", 0, 0}, {"key", 500, 1500}, {"once", 500, 0}} {
-		if got := s.startBy(&journal.Entry{Class: c.class, FirstRun: c.first}); got != c.want {
-			t.Errorf("%+v: %d", c, got)
+		if got := core.startBy(&journal.Entry{Class: test.class, FirstRun: test.first}); got != test.want {
+			t.Errorf("%+v: got %d", test, got)
 		}
 	}
 }
 
-// Where the disk has no room nothing is accepted, sent or notified that is not written. Attempts in
-// flight go on, and all goes on as soon as there is room.
+// While the disk is full, nothing is accepted, sent or notified, since it cannot be recorded. Attempts in
+// flight continue, and so does everything else as soon as the disk has space.
 func TestFullDisk(t *testing.T) {
-	s, f := newTestSender(t, t.TempDir(), 1<<20)
-	f.step(t, request(s, "out", 9e6))
-	if f.answers = nil; len(f.attempts) != 1 {
-		t.Fatal(f.attempts)
+	core, front := newTestSender(t, t.TempDir(), 1<<20)
+	front.step(t, request(core, "out", 9e6))
+	if front.answers = nil; len(front.attempts) != 1 {
+		t.Fatal(front.attempts)
 	}
-	room := func(on bool) {
-		if err := fleet.FullDisk(os.Getpid(), !on); err != nil {
+	setDiskSpace := func(available bool) {
+		if err := fleet.FullDisk(os.Getpid(), !available); err != nil {
 			t.Fatal(err)
 		}
 	}
-	room(false)
-	defer room(true)
-	f.step(t, request(s, "m", 9e6))
-	f.expect(t, "m 1")
-	f.step(t, request(s, "n", 9e6))
-	f.expect(t, "n 1")
-	s.ReportAttempts(AttemptResult{ID: "out", Attempt: f.attempts[0].Number, Endpoint: "a", Outcome: OutcomeSuccess})
-	f.step(t)
-	f.expect(t)
-	if ok, why := s.Ready(); ok || len(f.attempts) != 1 || s.pending != 0 {
-		t.Fatal(ok, why, f.attempts, s.pending)
+	setDiskSpace(false)
+	defer setDiskSpace(true)
+	front.step(t, request(core, "m", 9e6))
+	front.expect(t, "m 1")
+	front.step(t, request(core, "n", 9e6))
+	front.expect(t, "n 1")
+	core.ReportAttempts(AttemptResult{
+		ID: "out", Attempt: front.attempts[0].Number, Endpoint: "a",
+		Outcome: OutcomeSuccess,
+	})
+	front.step(t)
+	front.expect(t)
+	if ok, reason := core.Ready(); ok || len(front.attempts) != 1 || core.pending != 0 {
+		t.Fatal(ok, reason, front.attempts, core.pending)
 	}
-	room(true)
-	f.step(t)
-	f.expect(t, "out delivered")
-	f.step(t, request(s, "m", 9e6))
-	f.expect(t, "m 0")
-	if ok, why := s.Ready(); !ok || len(f.attempts) != 2 || f.attempts[1].ID != "m" {
-		t.Fatal(ok, why, f.attempts)
+	setDiskSpace(true)
+	front.step(t)
+	front.expect(t, "out delivered")
+	front.step(t, request(core, "m", 9e6))
+	front.expect(t, "m 0")
+	if ok, reason := core.Ready(); !ok || len(front.attempts) != 2 || front.attempts[1].ID != "m" {
+		t.Fatal(ok, reason, front.attempts)
 	}
 }
 
-// A journal that cannot be written, whatever the reason, ends nothing: what comes is rejected,
-// nothing is sent, and the sender says why it is not ready. A missing folder is an error at the
+// A journal that cannot be written, for whatever reason, does not end the sender: new messages are
+// rejected, nothing is sent, and the sender is not ready. A missing state folder is an error at the
 // start.
 func TestUnwritableJournal(t *testing.T) {
-	s, f := newTestSender(t, t.TempDir(), 1<<20)
-	_ = s.journal.Close() // EBADF from here on
-	f.step(t, request(s, "m", 9e6))
-	f.expect(t) // the cut fails too: nobody knows what the next process would find
-	f.step(t, request(s, "n", 9e6))
-	f.expect(t, "n 1")
-	if ok, why := s.Ready(); ok || len(f.attempts) > 0 || s.pending != 0 || s.journal.Get("m") != nil {
-		t.Fatal(ok, why, f.attempts, s.pending)
+	core, front := newTestSender(t, t.TempDir(), 1<<20)
+	_ = core.journal.Close() // writes return EBADF from here on
+	front.step(t, request(core, "m", 9e6))
+	front.expect(t) // truncating the record fails too: the next process may or may not read it back
+	front.step(t, request(core, "n", 9e6))
+	front.expect(t, "n 1")
+	if ok, reason := core.Ready(); ok || len(front.attempts) > 0 || core.pending != 0 || core.journal.Get("m") != nil {
+		t.Fatal(ok, reason, front.attempts, core.pending)
 	}
 	if _, err := New(Options{
 		Settings: testSettings(), StateDir: filepath.Join(os.TempDir(), "no", "such"),
@@ -284,52 +293,52 @@
 	}
 }
 
-// While the journal cannot be written, a message whose deadline passes fails all the same, once,
-// and nothing else is answered. Where the cut of a failed write fails too, nobody is told that a
-// retry does no harm until nothing can be read back.
+// While the journal cannot be written, a message whose deadline passes still fails, once, and nothing
+// else is answered. If truncating a failed write fails too, no client is notified that a retry is safe
+// until no part of the record can be read back.
 func TestDeadlinesWhileJournalFails(t *testing.T) {
-	s, f := newTestSender(t, t.TempDir(), 1<<20)
-	f.deduplicates = true
+	core, front := newTestSender(t, t.TempDir(), 1<<20)
+	front.deduplicates = true
 	// pending, with no attempt in flight
 	for id, left := range map[string]time.Duration{"long": time.Hour, "short": 100 * time.Millisecond} {
-		s.journal.Accept(&journal.Entry{ID: id, Class: "once", Destination: 1, Front: "f", Deadline: s.Now().Add(left)})
-		s.pending++
+		core.journal.Accept(&journal.Entry{ID: id, Class: "once", Destination: 1, Front: "f", Deadline: core.Now().Add(left)})
+		core.pending++
 	}
-	if err := s.journal.Flush(); err != nil {
+	if err := core.journal.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	cuts := 0
-	undo := statefs.SetHook(func(c statefs.Call, name string) *statefs.Fault {
+	truncations := 0
+	undo := statefs.SetHook(func(call statefs.Call, name string) *statefs.Fault {
 		switch {
-		case c == statefs.CallTruncate && cuts < 2:
-			cuts++
+		case call == statefs.CallTruncate && truncations < 2:
+			truncations++
 			return &statefs.Fault{Err: syscall.EIO}
-		case c == statefs.CallWrite && name == "spool":
+		case call == statefs.CallWrite && name == "spool":
 			return &statefs.Fault{Err: syscall.EIO, After: 1 << 20}
 		}
 		return nil
 	})
 	defer undo()
-	f.step(t, request(s, "new", 9e6)) // the cut fails
-	f.expect(t)
-	f.step(t) // and again
-	f.expect(t)
-	f.step(t) // it is cut off, and the write fails once more
-	f.expect(t, "new 1")
-	for s.Now() < s.journal.Get("short").Deadline {
+	front.step(t, request(core, "new", 9e6)) // truncating the record fails
+	front.expect(t)
+	front.step(t) // it fails again
+	front.expect(t)
+	front.step(t) // the record is truncated, and the write fails once more
+	front.expect(t, "new 1")
+	for core.Now() < core.journal.Get("short").Deadline {
 		time.Sleep(time.Millisecond)
 	}
-	f.step(t)
-	f.expect(t, "short failed")
-	f.step(t)
-	f.expect(t)
-	if ok, _ := s.Ready(); ok || len(f.attempts) > 0 || s.journal.Get("new") != nil {
-		t.Fatal(ok, f.attempts)
+	front.step(t)
+	front.expect(t, "short failed")
+	front.step(t)
+	front.expect(t)
+	if ok, _ := core.Ready(); ok || len(front.attempts) > 0 || core.journal.Get("new") != nil {
+		t.Fatal(ok, front.attempts)
 	}
 	undo()
-	f.step(t)
-	f.expect(t)
-	if ok, _ := s.Ready(); !ok || s.journal.Get("long") == nil || s.journal.Get("long").FinalAnswer != "" {
-		t.Fatal(ok, s.journal.Get("long"))
+	front.step(t)
+	front.expect(t)
+	if ok, _ := core.Ready(); !ok || core.journal.Get("long") == nil || core.journal.Get("long").FinalAnswer != "" {
+		t.Fatal(ok, core.journal.Get("long"))
 	}
 }
--- a/sender/snapshots_test.go
+++ b/sender/snapshots_test.go
@@ -17,70 +17,70 @@
 	"github.com/rs/zerolog"
 )
 
-// A Retry-After of one incarnation holds in the next one. A snapshot of another sender, a torn
-// one, and a journal without a snapshot cost nothing but that; a folder that is too small for both
-// keeps messages alone.
+// A Retry-After that one incarnation received is still respected by the next one. A snapshot of another
+// sender, a torn snapshot or a missing one only loses the learned state. With a disk budget that is
+// too small for both, only messages are kept.
 func TestSnapshotAcrossRestarts(t *testing.T) {
 	dir := t.TempDir()
-	runSender := func(name string, disk int64, f func(*Sender)) string {
+	runSender := func(name string, disk int64, use func(*Sender)) string {
 		t.Helper()
 		var log bytes.Buffer
-		s, err := New(Options{
+		core, err := New(Options{
 			Name: name, Settings: testSettings(), StateDir: dir, DiskBytes: disk, KeepSnapshot: true,
 			Log: zerolog.New(&log),
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.UpdateRoutes("whole", []Route{{Endpoint: scheduler.Endpoint{
+		core.UpdateRoutes("whole", []Route{{Endpoint: scheduler.Endpoint{
 			Addr: "a", MachineType: "k", Destination: 1,
 			State: "live",
 		}, Protocol: "p"}})
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error, 1)
-		go func() { done <- s.Run(ctx) }()
-		f(s)
+		go func() { done <- core.Run(ctx) }()
+		use(core)
 		cancel()
 		if err := <-done; err != nil {
 			t.Fatal(err)
 		}
 		return log.String()
 	}
-	retryAfter := func(s *Sender) (us int64) {
+	retryAfter := func(core *Sender) (us int64) {
 		t.Helper()
-		heard := make(chan int64, 1)
-		s.Health(nil, func(list []scheduler.Health, _ []int64) {
+		received := make(chan int64, 1)
+		core.Health(nil, func(list []scheduler.Health, _ []int64) {
 			us := int64(0)
-			for _, h := range list {
-				us = max(us, h.RetryAfterUs)
+			for _, health := range list {
+				us = max(us, health.RetryAfterUs)
 			}
-			heard <- us
+			received <- us
 		})
 		select {
-		case us = <-heard:
+		case us = <-received:
 		case <-time.After(20 * time.Second):
-			t.Fatal("no answer")
+			t.Fatal("Health did not report within 20 s")
 		}
 		return us
 	}
-	runSender("n", 1<<20, func(s *Sender) {
-		s.Inject(scheduler.Event{Kind: scheduler.RetryAfterShared, Destination: 1, Deadline: int64(s.Now()) + 50e6})
-		// until a step has taken it in
-		for until := time.Now().Add(20 * time.Second); retryAfter(s) == 0 && time.Now().Before(until); {
+	runSender("n", 1<<20, func(core *Sender) {
+		core.Inject(scheduler.Event{Kind: scheduler.RetryAfterShared, Destination: 1, Deadline: int64(core.Now()) + 50e6})
+		// until a step has processed the event
+		for deadline := time.Now().Add(20 * time.Second); retryAfter(core) == 0 && time.Now().Before(deadline); {
 			time.Sleep(time.Millisecond)
 		}
 	})
-	log := runSender("n", 1<<20, func(s *Sender) {
-		if us := retryAfter(s); us < 20e6 {
-			t.Errorf("a wait of 50 s is lost: %d us left", us)
+	log := runSender("n", 1<<20, func(core *Sender) {
+		if us := retryAfter(core); us < 20e6 {
+			t.Errorf("a Retry-After of 50 s is lost: %d us left", us)
 		}
 	})
 	if !strings.Contains(log, "learned state of the previous incarnation restored") {
 		t.Error(log)
 	}
-	if log := runSender("other", 1<<20, func(s *Sender) {
-		if us := retryAfter(s); us != 0 {
-			t.Errorf("another sender's wait: %d", us)
+	if log := runSender("other", 1<<20, func(core *Sender) {
+		if us := retryAfter(core); us != 0 {
+			t.Errorf("another sender's Retry-After was restored: %d us", us)
 		}
 	}); !strings.Contains(log, "dropped") {
 		t.Error(log)
@@ -101,18 +101,18 @@
 	}
 	runSender("n", 100_000, func(*Sender) {})
 	if _, err := os.Stat(path); !os.IsNotExist(err) {
-		t.Errorf("a folder that is too small has a snapshot: %v", err)
+		t.Errorf("a snapshot exists despite a disk budget that is too small: %v", err)
 	}
 }
 
-// BenchmarkStart is a start with 100,000 messages for 10,000 destinations in the journal, and what
-// a second of snapshots costs the core: the fingerprint and the snapshot.
+// BenchmarkStart measures a start with 100,000 messages for 10,000 destinations in the journal, and the
+// cost of snapshots on Run's goroutine: the fingerprint and the snapshot.
 func BenchmarkStart(b *testing.B) {
 	const messages, dests = 100_000, 10_000
-	dir, set := b.TempDir(), testSettings()
-	set.Limits.MaxMessages = 2 * messages
-	opt := Options{Settings: set, StateDir: dir, DiskBytes: 256 << 20, Log: zerolog.Nop(), KeepSnapshot: true}
-	s, err := New(opt)
+	dir, settings := b.TempDir(), testSettings()
+	settings.Limits.MaxMessages = 2 * messages
+	options := Options{Settings: settings, StateDir: dir, DiskBytes: 256 << 20, Log: zerolog.Nop(), KeepSnapshot: true}
+	core, err := New(options)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -125,40 +125,40 @@
 	}
 	body := make([]byte, 200)
 	for i := range messages {
-		s.journal.Accept(&journal.Entry{
+		core.journal.Accept(&journal.Entry{
 			ID: fmt.Sprint("message-", i), Class: "once", Destination: int64(i % dests),
-			Deadline: s.Now() + 9e6, Body: body,
+			Deadline: core.Now() + 9e6, Body: body,
 		})
 	}
-	if err := s.journal.Flush(); err != nil {
+	if err := core.journal.Flush(); err != nil {
 		b.Fatal(err)
 	}
-	_ = s.journal.Close()
+	_ = core.journal.Close()
 	var readTime, restoreTime, fingerprintTime, snapshotTime time.Duration
 	size := 0
 	for b.Loop() {
-		if s, err = New(opt); err != nil {
+		if core, err = New(options); err != nil {
 			b.Fatal(err)
 		}
-		readTime += s.recovery.journalReadTime
-		s.UpdateRoutes("whole", list)
+		readTime += core.recovery.journalReadTime
+		core.UpdateRoutes("whole", list)
 		began := time.Now()
-		s.runPosted()
-		s.restoreJournal()
-		s.runIteration()
+		core.runPosted()
+		core.restoreJournal()
+		core.runIteration()
 		restoreTime += time.Since(began)
 		began = time.Now()
-		s.scheduler.Fingerprint()
+		core.scheduler.Fingerprint()
 		fingerprintTime += time.Since(began)
 		began = time.Now()
-		m := snapshot.Snapshot{Scheduler: s.scheduler.LearnedState(maxSnapshotDestinations)}
+		taken := snapshot.Snapshot{Scheduler: core.scheduler.LearnedState(maxSnapshotDestinations)}
 		snapshotTime += time.Since(began)
-		raw, err := snapshot.Encode(m)
+		raw, err := snapshot.Encode(taken)
 		if err != nil {
 			b.Fatal(err)
 		}
 		size = len(raw)
-		_ = s.journal.Close()
+		_ = core.journal.Close()
 	}
 	for name, spent := range map[string]time.Duration{
 		"read": readTime, "taken-up": restoreTime, "worth": fingerprintTime, "image": snapshotTime,
--- a/sender/transactions_test.go
+++ b/sender/transactions_test.go
@@ -5,85 +5,92 @@
 	"testing"
 )
 
-func (f *recordingFront) AnswerTransaction(g *Transaction, v Verdict, _ int64) {
-	f.answers = append(f.answers, fmt.Sprintf("group of %d: %d", len(g.Requests), v))
+func (f *recordingFront) AnswerTransaction(transaction *Transaction, verdict Verdict, _ int64) {
+	f.answers = append(f.answers, fmt.Sprintf("group of %d: %d", len(transaction.Requests), verdict))
 }
 
-func (f *recordingFront) submitTransaction(t *testing.T, g *Transaction) {
+func (f *recordingFront) submitTransaction(t *testing.T, transaction *Transaction) {
 	t.Helper()
-	g.Front = "f"
-	f.sender.SubmitTransaction(g)
+	transaction.Front = "f"
+	f.sender.SubmitTransaction(transaction)
 	f.step(t)
 }
 
-// A transaction of which the scheduler, the limit or the journal rejects one message is rejected
-// whole: nothing of it is written, sent or acknowledged, and the scheduler holds nothing of it
-// either.
+// A transaction is rejected as a whole if the scheduler, the limit on messages or the journal rejects
+// one of its messages: nothing of it is recorded, sent or acknowledged, and the scheduler keeps
+// nothing of it.
 func TestTransactionIsAtomic(t *testing.T) {
-	s, f := newTestSender(t, t.TempDir(), 1<<20)
-	f.deduplicates = true
-	f.step(t, request(s, "old", 9e6))
-	s.ReportAttempts(AttemptResult{ID: "old", Attempt: 0, Endpoint: "a", Outcome: OutcomeSuccess})
-	f.step(t)
-	f.expect(t, "old 0", "old delivered")
-	f.attempts = nil
-	for _, g := range []*Transaction{
-		{Requests: []*Request{request(s, "a", 9e6), request(s, "late", 0)}, Acknowledged: []string{"old"}},
-		{Requests: []*Request{request(s, "a", 9e6), request(s, "a", 9e6)}, Acknowledged: []string{"old"}},
-		{Requests: []*Request{request(s, "a", 9e6), request(s, "b", 9e6), request(s, "c", 9e6), request(s, "d", 9e6)}},
+	core, front := newTestSender(t, t.TempDir(), 1<<20)
+	front.deduplicates = true
+	front.step(t, request(core, "old", 9e6))
+	core.ReportAttempts(AttemptResult{ID: "old", Attempt: 0, Endpoint: "a", Outcome: OutcomeSuccess})
+	front.step(t)
+	front.expect(t, "old 0", "old delivered")
+	front.attempts = nil
+	for _, transaction := range []*Transaction{
+		{Requests: []*Request{request(core, "a", 9e6), request(core, "late", 0)}, Acknowledged: []string{"old"}},
+		{Requests: []*Request{request(core, "a", 9e6), request(core, "a", 9e6)}, Acknowledged: []string{"old"}},
+		{Requests: []*Request{
+			request(core, "a", 9e6), request(core, "b", 9e6), request(core, "c", 9e6),
+			request(core, "d", 9e6),
+		}},
 	} {
-		f.submitTransaction(t, g)
-		f.expect(t, fmt.Sprintf("group of %d: 1", len(g.Requests)))
-		f.step(t) // the scheduler hears that they have gone
-		if len(f.attempts) > 0 || s.journal.Get("a") != nil || s.pending != 0 || s.journal.Get("old").Acknowledged {
-			t.Fatal(len(f.attempts), s.pending)
+		front.submitTransaction(t, transaction)
+		front.expect(t, fmt.Sprintf("group of %d: 1", len(transaction.Requests)))
+		front.step(t) // withdraws the requests from the scheduler
+		if len(front.attempts) > 0 || core.journal.Get("a") != nil || core.pending != 0 ||
+			core.journal.Get("old").Acknowledged {
+			t.Fatal(len(front.attempts), core.pending)
 		}
 	}
-	f.submitTransaction(t, &Transaction{
-		Requests:     []*Request{request(s, "a", 9e6), request(s, "b", 9e6), request(s, "old", 9e6)},
+	front.submitTransaction(t, &Transaction{
+		Requests:     []*Request{request(core, "a", 9e6), request(core, "b", 9e6), request(core, "old", 9e6)},
 		Acknowledged: []string{"old"},
 	})
-	f.expect(t, "group of 3: 0", "old delivered again")
-	if len(f.attempts) != 2 || s.pending != 2 || !s.journal.Get("old").Acknowledged {
-		t.Fatal(len(f.attempts), s.pending)
+	front.expect(t, "group of 3: 0", "old delivered again")
+	if len(front.attempts) != 2 || core.pending != 2 || !core.journal.Get("old").Acknowledged {
+		t.Fatal(len(front.attempts), core.pending)
 	}
-	s.ReportAttempts(AttemptResult{ID: "a", Attempt: 0, Endpoint: "a", Outcome: OutcomeSuccess},
+	core.ReportAttempts(AttemptResult{ID: "a", Attempt: 0, Endpoint: "a", Outcome: OutcomeSuccess},
 		AttemptResult{ID: "b", Attempt: 0, Endpoint: "a", Outcome: OutcomeSuccess})
-	f.step(t)
-	f.expect(t, "a delivered", "b delivered")
+	front.step(t)
+	front.expect(t, "a delivered", "b delivered")
 }
 
-// Two transactions of one step are answered in their order, whatever the verdicts.
+// The transactions of one step are answered in their order, whatever the verdicts.
 func TestTransactionsAreAnsweredInOrder(t *testing.T) {
-	s, f := newTestSender(t, t.TempDir(), 1<<20)
-	for _, g := range []*Transaction{
-		{Requests: []*Request{request(s, "a", 9e6)}},
-		{Requests: []*Request{request(s, "b", 9e6), request(s, "b", 9e6)}}, // rejected for its double id
-		{Requests: []*Request{request(s, "late", 0), request(s, "c", 9e6), request(s, "d", 9e6)}},
+	core, front := newTestSender(t, t.TempDir(), 1<<20)
+	for _, transaction := range []*Transaction{
+		{Requests: []*Request{request(core, "a", 9e6)}},
+		{Requests: []*Request{request(core, "b", 9e6), request(core, "b", 9e6)}}, // rejected for its duplicate id
+		{Requests: []*Request{request(core, "late", 0), request(core, "c", 9e6), request(core, "d", 9e6)}},
 	} { // rejected by the scheduler or the limit
-		g.Front = "f"
-		s.SubmitTransaction(g)
+		transaction.Front = "f"
+		core.SubmitTransaction(transaction)
 	}
-	f.step(t)
-	f.expect(t, "group of 1: 0", "group of 2: 1", "group of 3: 1")
+	front.step(t)
+	front.expect(t, "group of 1: 0", "group of 2: 1", "group of 3: 1")
 }
 
-// The sender ends after the journal is written and before the verdict: all of the transaction is
-// there in the next incarnation.
+// The sender ends after the transaction is recorded and before its verdict is sent: the next
+// incarnation has all of the transaction.
 func TestTransactionAfterRestart(t *testing.T) {
 	dir := t.TempDir()
-	s, f := newTestSender(t, dir, 1<<20)
-	s.UpdateRoutes("whole", []Route{}) // nothing leaves
-	f.step(t)
-	s.SubmitTransaction(&Transaction{Front: "f", Requests: []*Request{request(s, "a", 9e6), request(s, "b", 9e6)}})
-	s.options.RunOnFronts = func(func()) {} // the answer is lost
-	f.step(t)
-	f.expect(t)
-	_ = s.journal.Close()
-	s, f = newTestSender(t, dir, 1<<20)
-	s.restoreJournal()
-	f.step(t)
-	if len(f.attempts) == 0 || s.pending != 2 || s.journal.Get("a") == nil || s.journal.Get("b") == nil {
-		t.Fatal(len(f.attempts), s.pending)
+	core, front := newTestSender(t, dir, 1<<20)
+	core.UpdateRoutes("whole", []Route{}) // without routes nothing is sent
+	front.step(t)
+	core.SubmitTransaction(&Transaction{
+		Front:    "f",
+		Requests: []*Request{request(core, "a", 9e6), request(core, "b", 9e6)},
+	})
+	core.options.RunOnFronts = func(func()) {} // the verdict is lost
+	front.step(t)
+	front.expect(t)
+	_ = core.journal.Close()
+	core, front = newTestSender(t, dir, 1<<20)
+	core.restoreJournal()
+	front.step(t)
+	if len(front.attempts) == 0 || core.pending != 2 || core.journal.Get("a") == nil || core.journal.Get("b") == nil {
+		t.Fatal(len(front.attempts), core.pending)
 	}
 }
