--- a/sender/golden_test.go
+++ b/sender/golden_test.go
@@ -107,18 +107,18 @@
 	names []string
 }
 
-func (w *openRecorder) hook(call statefs.Call, name string) *statefs.Fault {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if call == statefs.CallOpen && !slices.Contains(w.names, name) {
-		w.names = append(w.names, name)
+func (r *openRecorder) hook(call statefs.Call, name string) *statefs.Fault {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if call == statefs.CallOpen && !slices.Contains(r.names, name) {
+		r.names = append(r.names, name)
 	}
 	return nil
 }
 
 // describeStep returns the files that are in dir after a step of the test, and those that were opened in
 // the step.
-func (w *openRecorder) describeStep(t *testing.T, step, dir string) string {
+func (r *openRecorder) describeStep(t *testing.T, step, dir string) string {
 	t.Helper()
 	list, err := os.ReadDir(dir)
 	if err != nil {
@@ -132,11 +132,11 @@
 		}
 		files = append(files, fmt.Sprintf("%s(%v)", file.Name(), info.Mode()))
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	slices.Sort(w.names)
-	out := fmt.Sprintf("%s: files %s; opened %s\n", step, strings.Join(files, " "), strings.Join(w.names, " "))
-	w.names = nil
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	slices.Sort(r.names)
+	out := fmt.Sprintf("%s: files %s; opened %s\n", step, strings.Join(files, " "), strings.Join(r.names, " "))
+	r.names = nil
 	return out
 }
 
@@ -154,12 +154,12 @@
 
 // The sender creates the same files in its state folder, each in the same step.
 func TestGoldenFiles(t *testing.T) {
-	var w openRecorder
-	defer statefs.SetHook(w.hook)()
+	var recorder openRecorder
+	defer statefs.SetHook(recorder.hook)()
 	var out strings.Builder
 	for _, test := range []struct {
-		step string
-		opt  Options
+		step    string
+		options Options
 	}{
 		{"trusted, no memory", Options{}},
 		{"judged, no memory", Options{FolderTrust: FolderJudged}},
@@ -167,13 +167,13 @@
 		{"judged, memory", Options{FolderTrust: FolderJudged, KeepSnapshot: true}},
 	} {
 		dir := t.TempDir()
-		test.opt.Name, test.opt.Settings, test.opt.StateDir = "n1", testSettings(), dir
-		test.opt.DiskBytes, test.opt.Log = 1<<20, zerolog.Nop()
-		core, err := New(test.opt)
+		test.options.Name, test.options.Settings, test.options.StateDir = "n1", testSettings(), dir
+		test.options.DiskBytes, test.options.Log = 1<<20, zerolog.Nop()
+		core, err := New(test.options)
 		if err != nil {
 			t.Fatal(err)
 		}
-		out.WriteString(w.describeStep(t, test.step+", New", dir))
+		out.WriteString(recorder.describeStep(t, test.step+", New", dir))
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error, 1)
 		go func() { done <- core.Run(ctx) }()
@@ -184,7 +184,7 @@
 		if err := <-done; err != nil {
 			t.Fatal(err)
 		}
-		out.WriteString(w.describeStep(t, test.step+", Run to its end", dir))
+		out.WriteString(recorder.describeStep(t, test.step+", Run to its end", dir))
 	}
 	checkGolden(t, "files.txt", []byte(out.String()))
 }
--- a/sender/recovery_test.go
+++ b/sender/recovery_test.go
@@ -110,8 +110,8 @@
 }
 
 // Incarnations that start on an older folder are killed before their first step. Messages that may have
-// been sent since stay ambiguous in every following incarnation, also one whose journal records a
-// later first attempt than there may have been.
+// been sent since stay ambiguous in every following incarnation. This includes a message whose first
+// attempt may have been earlier than the one that the journal records.
 func TestAmbiguityPersistsAfterKill(t *testing.T) {
 	dir, settings := t.TempDir(), testSettings()
 	settings.Limits.MaxMessages = 30
