--- a/internal/recovery/golden_test.go
+++ b/internal/recovery/golden_test.go
@@ -29,21 +29,21 @@
 	plan := New(senders, rng.Float64)
 	return func(i int) string {
 		if i == 1000 {
-			plan.SetReturning()
+			plan.SetRestarted()
 		}
 		if i%100 == 99 { // another incarnation with the same number of senders
 			backlog := plan.BacklogDelay()
 			plan = New(senders, rng.Float64)
 			if i > 1000 {
-				plan.SetReturning()
+				plan.SetRestarted()
 			}
 			return fmt.Sprint(backlog)
 		}
 		downtimeUs, evenShare := rng.Int63n(1<<rng.Intn(36)), rng.Float64()*float64(rng.Intn(100)-5)
 		maxRate, durationUs := plan.CatchUpRate(rng.Float64()*50, downtimeUs)
-		return fmt.Sprint(plan.SenderFactor(), plan.Crowding(), plan.BacklogDelay(),
+		return fmt.Sprint(plan.SenderFactor(), plan.AggregateWeight(), plan.BacklogDelay(),
 			plan.FirstCallDelay(evenShare, downtimeUs), maxRate, durationUs,
-			plan.YoungMeanFactor(downtimeUs, 1+rng.Int63n(20_000_000)),
+			plan.MeanBiasCorrection(downtimeUs, 1+rng.Int63n(20_000_000)),
 			plan.RetryAfter(downtimeUs, 1+rng.Int63n(60_000_000)))
 	}
 }
--- a/internal/recovery/plan.go
+++ b/internal/recovery/plan.go
@@ -53,9 +53,9 @@
 // SenderFactor returns the number of senders in multiples of fewSenders, at least 1.
 func (p *Plan) SenderFactor() float64 { return p.senderFactor }
 
-// Crowding returns the weight of the expected behavior of all senders against this sender's own
+// AggregateWeight returns the weight of the expected behavior of all senders against this sender's own
 // observations: 0 for few senders, approaching 1 with their number.
-func (p *Plan) Crowding() float64 { return p.aggregateWeight }
+func (p *Plan) AggregateWeight() float64 { return p.aggregateWeight }
 
 // BacklogDelay returns for how long after its start an incarnation sends none of its restored
 // backlog: a random time, the same at each call; 0 for few senders.
@@ -92,14 +92,14 @@
 	return rate * (1 + 1/(1+p.aggregateWeight)), min(2*downtimeUs, priorRateValidUs)
 }
 
-// SetReturning records that there was an earlier incarnation, whose clients may all reconnect at
+// SetRestarted records that there was an earlier incarnation, whose clients may all reconnect at
 // the same time.
-func (p *Plan) SetReturning() { p.restarted = true }
+func (p *Plan) SetRestarted() { p.restarted = true }
 
-// YoungMeanFactor returns the bias correction of an exponentially weighted mean that started at
+// MeanBiasCorrection returns the bias correction of an exponentially weighted mean that started at
 // zero: the factor by which a mean with time constant decayUs is too low after ageUs. It is 1 where
 // the mean was restored from an earlier incarnation.
-func (p *Plan) YoungMeanFactor(ageUs, decayUs int64) float64 {
+func (p *Plan) MeanBiasCorrection(ageUs, decayUs int64) float64 {
 	if p.restarted {
 		return 1
 	}
--- a/internal/recovery/plan_test.go
+++ b/internal/recovery/plan_test.go
@@ -57,7 +57,7 @@
 	if us := lone.RetryAfter(900, 1000); us != 900 {
 		t.Error("a first incarnation spreads its Retry-After:", us)
 	}
-	if lone.SetReturning(); lone.RetryAfter(800, 10_000) != 600 || lone.RetryAfter(5000, 900) != 450 {
+	if lone.SetRestarted(); lone.RetryAfter(800, 10_000) != 600 || lone.RetryAfter(5000, 900) != 450 {
 		t.Error(lone.RetryAfter(800, 10_000), lone.RetryAfter(5000, 900))
 	}
 }
--- a/scheduler/pacing.go
+++ b/scheduler/pacing.go
@@ -164,7 +164,7 @@
 // climbRate raises a low rate with time: among many senders one sender's successes are too few to do so.
 func (s *Scheduler) climbRate(rt *route, us float64) {
 	bucket := &rt.bucket
-	arriving := s.arrivalRate(rt) * s.recovery.YoungMeanFactor(s.now-s.startedAt, arrivalRateDecayUs)
+	arriving := s.arrivalRate(rt) * s.recovery.MeanBiasCorrection(s.now-s.startedAt, arrivalRateDecayUs)
 	noSuccess := int(boolToFloat(s.now-rt.throughput.successRateAt > arrivalRateDecayUs))
 	top := math.Ldexp(arriving, -rt.health.consecutiveRejections-noSuccess)
 	if s.hasSharedLimit(rt) {
--- a/scheduler/pacing_test.go
+++ b/scheduler/pacing_test.go
@@ -129,7 +129,7 @@
 		rt.throughput.successRateAt = rig.sched.now
 		rt.destination.arrivalRate, rt.destination.arrivalRateAt = 0.44, rig.sched.now // two a second for two seconds
 		if returns {
-			rig.sched.recovery.SetReturning()
+			rig.sched.recovery.SetRestarted()
 		}
 		want := map[bool]float64{false: 2, true: 0.44}[returns]
 		if rig.sched.refillBucket(rt); math.Abs(rt.bucket.rate-want) > 0.02 {
--- a/scheduler/restorelearned.go
+++ b/scheduler/restorelearned.go
@@ -30,7 +30,7 @@
 		return err
 	}
 	s.now = now
-	s.recovery.SetReturning()
+	s.recovery.SetRestarted()
 	for i := range state.Destinations {
 		s.restoreLearnedDestination(&state.Destinations[i])
 	}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -112,7 +112,7 @@
 		tenants:             map[string]*tenant{},
 		senders:             float64(settings.Senders),
 		senderFactor:        plan.SenderFactor(),
-		crowding:            plan.Crowding(),
+		crowding:            plan.AggregateWeight(),
 		messages:            map[string]*message{},
 		keyQueues:           map[int64]*keyQueue{},
 		destinationByID:     map[int64]*destination{},
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -70,7 +70,7 @@
 	}
 	capacity := max(s.arrivalRate(rt)*s.crowding, rt.capacityHint, rt.throughput.peakSuccessRate/s.senderFactor)
 	if rt.latency.samples < peakMinSamples {
-		young := s.recovery.YoungMeanFactor(s.now-s.startedAt, arrivalRateDecayUs)
+		young := s.recovery.MeanBiasCorrection(s.now-s.startedAt, arrivalRateDecayUs)
 		capacity = max(capacity, s.arrivalRate(rt)*young/slowStartMarginMax)
 	}
 	return capacity
