--- a/internal/app/incarnation.go
+++ b/internal/app/incarnation.go
@@ -88,7 +88,7 @@
 		FolderTrust:  opt.FolderTrust,
 	}
 	if opt.FolderTrust == sender.FolderTrusted && inc.file != "" && !onPlatform() {
-		options.FolderTrust = sender.FolderJudged
+		options.FolderTrust = sender.FolderVerified
 	}
 	if opt.Trace {
 		options.Trace = os.Stderr
--- a/internal/app/restored_test.go
+++ b/internal/app/restored_test.go
@@ -35,7 +35,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		x, err := sender.PlanRecovery(o.state(), cfg.Name, sender.FolderJudged, cfg.Settings, 3<<20, clock.Steady())
+		x, err := sender.PlanRecovery(o.state(), cfg.Name, sender.FolderVerified, cfg.Settings, 3<<20, clock.Steady())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/cli/recover.go
+++ b/internal/cli/recover.go
@@ -37,7 +37,7 @@
 		return err
 	}
 	if trust == sender.FolderTrusted {
-		trust = sender.FolderJudged
+		trust = sender.FolderVerified
 	}
 	var plans []sender.RecoveryPlan
 	for _, dir := range cmd.Args().Slice() {
@@ -88,8 +88,8 @@
 			continue
 		}
 		for _, message := range plan.Messages {
-			fmt.Fprintf(table, "  %s\t%s\t%s\tdest %d\t%s\n", message.ID, message.Fate, message.Class, message.Dest,
-				message.End)
+			fmt.Fprintf(table, "  %s\t%s\t%s\tdest %d\t%s\n", message.ID, message.Disposition, message.Class,
+				message.Destination, message.FinalAnswer)
 		}
 	}
 	return table.Flush()
--- a/internal/net/amqpfront/queue.go
+++ b/internal/net/amqpfront/queue.go
@@ -83,15 +83,15 @@
 
 // outcomeNames are the type property of answers.
 var outcomeNames = map[string]string{
-	sender.Delivered: "delivered",
-	sender.Returned:  "refused",
-	sender.Abandoned: "failed",
+	sender.Delivered:      "delivered",
+	sender.Returned:       "refused",
+	sender.DeliveryFailed: "failed",
 }
 
 // outcomeBodies are the same as contents.
 var outcomeBodies = map[string][]byte{
 	sender.Delivered: []byte("delivered"), sender.Returned: []byte("refused"),
-	sender.Abandoned: []byte("failed"),
+	sender.DeliveryFailed: []byte("failed"),
 }
 
 // deliver writes an answer as basic.deliver.
--- a/internal/net/amqpfront/tx.go
+++ b/internal/net/amqpfront/tx.go
@@ -87,7 +87,7 @@
 func (ch *channel) commit() {
 	c := &txCommit{ch, *ch.tx}
 	*ch.tx = txState{}
-	g := &sender.Transaction{Front: ch.session.host.front, Requests: c.requests, Ref: c}
+	g := &sender.Transaction{Front: ch.session.host.front, Requests: c.requests, IngressData: c}
 	for _, a := range c.acks {
 		if !a.requeue {
 			g.Acknowledged = append(g.Acknowledged, a.answer.id)
@@ -101,7 +101,7 @@
 // AnswerTransaction ends a commit. A rejected one closes its channel: the specification has no other
 // answer, and what the client does next on the channel may depend on it.
 func (h *host) AnswerTransaction(tx *sender.Transaction, verdict sender.Verdict, waitMs int64) {
-	c, ok := tx.Ref.(*txCommit)
+	c, ok := tx.IngressData.(*txCommit)
 	if !ok {
 		return
 	}
--- a/internal/net/platform/golden_test.go
+++ b/internal/net/platform/golden_test.go
@@ -230,8 +230,8 @@
 		waitMs int64
 		again  bool
 	}{
-		{sender.Abandoned, 0, false},
-		{sender.Abandoned, 0, true},
+		{sender.DeliveryFailed, 0, false},
+		{sender.DeliveryFailed, 0, true},
 		{sender.Returned, 0, false},
 		{sender.Returned, 700, false},
 		{sender.Returned, 700, true},
--- a/sender/disk_stall.go
+++ b/sender/disk_stall.go
@@ -161,7 +161,7 @@
 	}
 	for _, entry := range s.journal.Entries() {
 		if entry.FinalAnswer == "" && entry.InFlightSince == 0 && now >= entry.Deadline && !unrecorded[entry.ID] {
-			s.finish(entry.ID, Abandoned, 0)
+			s.finish(entry.ID, DeliveryFailed, 0)
 			s.addEvents(scheduler.Event{Kind: scheduler.RequestWithdrawn, ID: entry.ID})
 		}
 	}
--- a/sender/golden_folder_test.go
+++ b/sender/golden_folder_test.go
@@ -53,7 +53,7 @@
 	t.Helper()
 	defer clock.SetBootID(goldenBoot)()
 	dir := t.TempDir()
-	core, err := New(goldenOptions(dir, FolderJudged))
+	core, err := New(goldenOptions(dir, FolderVerified))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/sender/golden_restore_test.go
+++ b/sender/golden_restore_test.go
@@ -68,7 +68,7 @@
 		{"another boot", otherBoot, FolderMoved, 0, "", continued, ambiguous, nil, provenance.FateNotify, "kept"},
 		{"another boot, trusted", otherBoot, FolderTrusted, 0, "", continued, ambiguous, nil, provenance.FateNotify, "kept"},
 		{
-			"another boot, a copy", otherBoot, FolderJudged, 0, copiedProblem, olderContinued, olderAmbiguous, nil,
+			"another boot, a copy", otherBoot, FolderVerified, 0, copiedProblem, olderContinued, olderAmbiguous, nil,
 			provenance.FateNotifyAgain, "old",
 		},
 		{
@@ -88,7 +88,7 @@
 			provenance.FateNotify, "",
 		},
 		{
-			"this boot, a copy behind the window", goldenBoot, FolderJudged, 31_000_000, copiedProblem, allIdempotent,
+			"this boot, a copy behind the window", goldenBoot, FolderVerified, 31_000_000, copiedProblem, allIdempotent,
 			allNonIdempotent, nil, provenance.FateNotifyAgain, "",
 		},
 	}
@@ -109,7 +109,7 @@
 			}
 			got := map[string]provenance.Fate{}
 			for _, message := range plan.Messages {
-				got[message.ID] = message.Fate
+				got[message.ID] = message.Disposition
 			}
 			want := map[string]provenance.Fate{"ended": test.notified, "back": test.notified}
 			for fate, list := range map[provenance.Fate][]string{
@@ -237,7 +237,7 @@
 		"lb_life_start": "1 [case " + test.start + "]", "lb_life_taken_up": "12 []",
 		"lb_life_doubtful": fmt.Sprintf("%d []", len(test.ambiguous)),
 	}
-	for _, metric := range core.RecoveryFigures() {
+	for _, metric := range core.RecoveryMetrics() {
 		if wanted, ok := want[metric.Name]; ok && wanted != fmt.Sprint(metric.Value, metric.Label) {
 			t.Errorf("%s %v %v, want %s", metric.Name, metric.Value, metric.Label, wanted)
 		}
@@ -247,7 +247,7 @@
 		t.Errorf("missing metrics: %v", want)
 	}
 	if core.journal.Incarnation() != map[FolderTrust]uint64{
-		FolderTrusted: 1, FolderJudged: 2, FolderRestored: 2,
+		FolderTrusted: 1, FolderVerified: 2, FolderRestored: 2,
 		FolderMoved: 2,
 	}[test.trust] {
 		t.Errorf("incarnation %d", core.journal.Incarnation())
--- a/sender/golden_test.go
+++ b/sender/golden_test.go
@@ -162,9 +162,9 @@
 		options Options
 	}{
 		{"trusted, no memory", Options{}},
-		{"judged, no memory", Options{FolderTrust: FolderJudged}},
+		{"judged, no memory", Options{FolderTrust: FolderVerified}},
 		{"trusted, memory", Options{KeepSnapshot: true}},
-		{"judged, memory", Options{FolderTrust: FolderJudged, KeepSnapshot: true}},
+		{"judged, memory", Options{FolderTrust: FolderVerified, KeepSnapshot: true}},
 	} {
 		dir := t.TempDir()
 		test.options.Name, test.options.Settings, test.options.StateDir = "n1", testSettings(), dir
--- a/sender/provenance.go
+++ b/sender/provenance.go
@@ -19,7 +19,7 @@
 // The levels of trust.
 const (
 	FolderTrusted  FolderTrust = iota // no checks are made, and no provenance note is written
-	FolderJudged                      // the provenance is checked: a folder that is not as it was left counts as restored
+	FolderVerified                    // the provenance is checked: a folder that is not as it was left counts as restored
 	FolderRestored                    // the operator states that the folder is an older state
 	FolderMoved                       // the operator states that the folder is as it was left, in another place
 )
--- a/sender/recovery.go
+++ b/sender/recovery.go
@@ -149,8 +149,8 @@
 		Msg("full service")
 }
 
-// RecoveryFigures returns the metrics of the start of this incarnation. Any goroutine may call it.
-func (s *Sender) RecoveryFigures() []metrics.Metric {
+// RecoveryMetrics returns the metrics of the start of this incarnation. Any goroutine may call it.
+func (s *Sender) RecoveryMetrics() []metrics.Metric {
 	progress := &s.recovery
 	seconds := func(sinceStartUs *atomic.Int64) float64 { return float64(sinceStartUs.Load()) / 1e6 }
 	inFullService := 0.0
--- a/sender/recovery_plan.go
+++ b/sender/recovery_plan.go
@@ -18,11 +18,11 @@
 // PendingMessage is a message of a folder that is not in use, and what the next incarnation would
 // do with it.
 type PendingMessage struct {
-	ID    string          `json:"id"`
-	Class string          `json:"class"`
-	Dest  int64           `json:"dest"`
-	Fate  provenance.Fate `json:"fate"`
-	End   string          `json:"end,omitempty"` // its final answer
+	ID          string          `json:"id"`
+	Class       string          `json:"class"`
+	Destination int64           `json:"dest"`
+	Disposition provenance.Fate `json:"fate"`
+	FinalAnswer string          `json:"end,omitempty"` // its final answer
 }
 
 // PlanRecovery reads a folder that no process uses, without changing it. maxBytes is the disk budget
@@ -43,15 +43,15 @@
 		Messages: []PendingMessage{},
 	}
 	for _, entry := range entries {
-		fate := provenanceMessage(entry, classes[entry.Class]).Fate(now, plan.Problem != "")
-		plan.Counts[fate]++
-		if fate != provenance.FateAcknowledged {
+		disposition := provenanceMessage(entry, classes[entry.Class]).Fate(now, plan.Problem != "")
+		plan.Counts[disposition]++
+		if disposition != provenance.FateAcknowledged {
 			plan.Messages = append(plan.Messages, PendingMessage{
-				ID:    entry.ID,
-				Class: entry.Class,
-				Dest:  entry.Destination,
-				Fate:  fate,
-				End:   entry.FinalAnswer,
+				ID:          entry.ID,
+				Class:       entry.Class,
+				Destination: entry.Destination,
+				Disposition: disposition,
+				FinalAnswer: entry.FinalAnswer,
 			})
 		}
 	}
--- a/sender/recovery_test.go
+++ b/sender/recovery_test.go
@@ -50,7 +50,7 @@
 		t.Error("full service is not reached")
 	}
 	want := map[string]float64{"lb_life_full": 1, "lb_life_taken_up": float64(core.recovery.restoredCount)}
-	for _, metric := range core.RecoveryFigures() {
+	for _, metric := range core.RecoveryMetrics() {
 		if value, ok := want[metric.Name]; ok && value != metric.Value {
 			t.Errorf("%s %v, want %v", metric.Name, metric.Value, value)
 		}
@@ -130,7 +130,7 @@
 		}
 		return core
 	}
-	core := open(FolderJudged)
+	core := open(FolderVerified)
 	now := core.Now()
 	for id, class := range map[string]string{"held": "once", "tried": "key"} {
 		core.journal.Accept(&journal.Entry{ID: id, Class: class, Destination: 1, Deadline: now + 8_500_000})
@@ -140,7 +140,7 @@
 		t.Fatal(err)
 	}
 	_ = core.journal.Close()
-	for _, trust := range []FolderTrust{FolderRestored, FolderJudged, FolderJudged} {
+	for _, trust := range []FolderTrust{FolderRestored, FolderVerified, FolderVerified} {
 		core = open(trust)
 		if firstRun := core.journal.Get("held").FirstRun; firstRun == 0 {
 			t.Fatalf("trust %d: an unsafe message of an older folder is not ambiguous", trust)
--- a/sender/request.go
+++ b/sender/request.go
@@ -34,9 +34,9 @@
 
 // The final answers of an accepted message. The journal stores these values.
 const (
-	Delivered = "delivered"
-	Returned  = "returned" // it has not run: submitting it again is safe
-	Abandoned = "failed"   // it will not be sent any more and may have run
+	Delivered      = "delivered"
+	Returned       = "returned" // it has not run: submitting it again is safe
+	DeliveryFailed = "failed"   // it will not be sent any more and may have run
 )
 
 // reply is a verdict and the Retry-After that goes with it.
--- a/sender/sender.go
+++ b/sender/sender.go
@@ -154,7 +154,7 @@
 	s := newSender(options, sched, opened)
 	s.recovery.journalReadTime = journalReadTime
 	s.restoreFolder()
-	s.metrics.Include(s.RecoveryFigures)
+	s.metrics.Include(s.RecoveryMetrics)
 	return s, nil
 }
 
--- a/sender/state.go
+++ b/sender/state.go
@@ -48,7 +48,7 @@
 type FinalAnswer struct {
 	ID           string    `json:"ID"`
 	Class        string    `json:"Class"`
-	Answer       string    `json:"End"` // Delivered, Returned or Abandoned
+	Answer       string    `json:"End"` // Delivered, Returned or DeliveryFailed
 	RetryAfterMs int64     `json:"WaitMs"`
 	At           time.Time `json:"At"`
 }
--- a/sender/step.go
+++ b/sender/step.go
@@ -100,7 +100,7 @@
 		case scheduler.Reject:
 			s.finish(action.ID, Returned, action.RetryAfterUs/1000)
 		case scheduler.Fail:
-			s.finish(action.ID, Abandoned, 0)
+			s.finish(action.ID, DeliveryFailed, 0)
 		}
 	}
 }
--- a/sender/transactions.go
+++ b/sender/transactions.go
@@ -12,7 +12,7 @@
 	Front        string
 	Requests     []*Request
 	Acknowledged []string // ids of messages whose final answers the client has received
-	Ref          any      // private data of the ingress, for the verdict
+	IngressData  any      // private data of the ingress, for the verdict
 
 	newRequests []*Request // those of Requests that the step decides on; the others are repeats
 	reply       reply      // Accepted until a request is rejected or fails
