--- a/sender/egress.go
+++ b/sender/egress.go
@@ -11,7 +11,7 @@
 	Key       string
 	Class     string
 	Body      []byte
-	Number    int           // of this attempt among those of the message
+	Number    int           // of earlier attempts of the message
 	TimeoutUs int64         // from now; the egress cancels the attempt then
 	Deadline  clock.Instant // of the request
 	StartBy   clock.Instant // it must not be written later: its idempotency window ends then; 0: no limit
--- a/sender/provenance.go
+++ b/sender/provenance.go
@@ -100,8 +100,9 @@
 	s.addEvents(scheduler.Event{Kind: scheduler.RequestWithdrawn, ID: entry.ID}, s.restoredEvent(entry))
 }
 
-// markAmbiguous records that a message of an older folder may have been sent since, unless that does
-// not matter. The record is needed because for the next incarnation the folder is as this one left it.
+// markAmbiguous records that a message of an older folder may have been sent since, unless the message is
+// idempotent or has its final answer. Without the record the next incarnation would not know: for it,
+// the folder is as this one left it.
 func (s *Sender) markAmbiguous(entry *journal.Entry) {
 	class := s.classes[entry.Class]
 	if entry.FinalAnswer != "" || entry.Acknowledged || class.Idempotency == scheduler.Idempotent {
--- a/sender/recovery_plan.go
+++ b/sender/recovery_plan.go
@@ -15,14 +15,14 @@
 	Messages []PendingMessage        `json:"owed"`
 }
 
-// PendingMessage is a message of a folder that is not in use, and what the next incarnation would
-// do with it.
+// PendingMessage is a message of a folder that is not in use whose final answer is not acknowledged, and
+// what the next incarnation would do with it.
 type PendingMessage struct {
 	ID          string          `json:"id"`
 	Class       string          `json:"class"`
 	Destination int64           `json:"dest"`
 	Disposition provenance.Fate `json:"fate"`
-	FinalAnswer string          `json:"end,omitempty"` // its final answer
+	FinalAnswer string          `json:"end,omitempty"` // empty: none yet
 }
 
 // PlanRecovery reads a folder that no process uses, without changing it. maxBytes is the disk budget
