--- a/scheduler/pacing.go
+++ b/scheduler/pacing.go
@@ -165,7 +165,7 @@
 // to raise it.
 func (s *Scheduler) raiseRateOverTime(rt *route, elapsedUs float64) {
 	bucket := &rt.bucket
-	arrivals := s.arrivalRate(rt) * s.recovery.YoungMeanFactor(s.now-s.startedAt, arrivalRateDecayUs)
+	arrivals := s.arrivalRate(rt) * s.recovery.MeanBiasCorrection(s.now-s.startedAt, arrivalRateDecayUs)
 	noSuccess := int(boolToFloat(s.now-rt.throughput.successRateAt > arrivalRateDecayUs))
 	limit := math.Ldexp(arrivals, -rt.health.consecutiveRejections-noSuccess)
 	if s.hasSharedLimit(rt) {
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -71,7 +71,7 @@
 	}
 	capacity := max(s.arrivalRate(rt)*s.contention, rt.capacityHint, rt.throughput.peakSuccessRate/s.senderFactor)
 	if rt.latency.samples < peakMinSamples {
-		startupFactor := s.recovery.YoungMeanFactor(s.now-s.startedAt, arrivalRateDecayUs)
+		startupFactor := s.recovery.MeanBiasCorrection(s.now-s.startedAt, arrivalRateDecayUs)
 		capacity = max(capacity, s.arrivalRate(rt)*startupFactor/slowStartMarginMax)
 	}
 	return capacity
--- a/sender/recovery_plan.go
+++ b/sender/recovery_plan.go
@@ -7,30 +7,31 @@
 	"brackendale/scheduler"
 )
 
-// RecoveryPlan is what the next incarnation would do with a state folder.
+// RecoveryPlan is what the next incarnation would do with the messages of a state folder.
 type RecoveryPlan struct {
 	Folder   string                  `json:"folder"`
-	Problem  string                  `json:"old"` // why it is not as the last incarnation left it; empty: it is
+	Problem  string                  `json:"old"` // why the folder is not as the last incarnation left it; empty: it is
 	Counts   map[provenance.Fate]int `json:"counts"`
 	Messages []PendingMessage        `json:"owed"`
 }
 
-// PendingMessage is a message of a folder that is not in use, and what the next incarnation would
-// do with it.
+// PendingMessage is a message of a folder that is not in use whose final answer is not acknowledged, and
+// what the next incarnation would do with it.
 type PendingMessage struct {
-	ID    string          `json:"id"`
-	Class string          `json:"class"`
-	Dest  int64           `json:"dest"`
-	Fate  provenance.Fate `json:"fate"`
-	End   string          `json:"end,omitempty"` // its final answer
+	ID          string          `json:"id"`
+	Class       string          `json:"class"`
+	Destination int64           `json:"dest"`
+	Disposition provenance.Fate `json:"fate"`
+	FinalAnswer string          `json:"end,omitempty"` // empty: none yet
 }
 
-// PlanRecovery reads a folder that no process uses, and changes nothing in it. now is the steady
-// clock; budget is in bytes. The error is journal.ErrLocked where a process uses the folder.
-func PlanRecovery(dir, name string, trust FolderTrust, settings scheduler.Settings, budget int64,
+// PlanRecovery reads a folder that no process uses, without changing it. maxBytes is the disk budget
+// of the journal and now the time of the steady clock. The error is journal.ErrLocked if a process
+// uses the folder.
+func PlanRecovery(dir, name string, trust FolderTrust, settings scheduler.Settings, maxBytes int64,
 	now clock.Instant,
 ) (RecoveryPlan, error) {
-	entries, incarnation, err := journal.ReadOnly(dir, budget)
+	entries, incarnation, err := journal.ReadOnly(dir, maxBytes)
 	if err != nil {
 		return RecoveryPlan{}, err
 	}
@@ -42,15 +43,15 @@
 		Messages: []PendingMessage{},
 	}
 	for _, entry := range entries {
-		fate := provenanceMessage(entry, classes[entry.Class]).Fate(now, plan.Problem != "")
-		plan.Counts[fate]++
-		if fate != provenance.FateAcknowledged {
+		disposition := provenanceMessage(entry, classes[entry.Class]).Fate(now, plan.Problem != "")
+		plan.Counts[disposition]++
+		if disposition != provenance.FateAcknowledged {
 			plan.Messages = append(plan.Messages, PendingMessage{
-				ID:    entry.ID,
-				Class: entry.Class,
-				Dest:  entry.Destination,
-				Fate:  fate,
-				End:   entry.FinalAnswer,
+				ID:          entry.ID,
+				Class:       entry.Class,
+				Destination: entry.Destination,
+				Disposition: disposition,
+				FinalAnswer: entry.FinalAnswer,
 			})
 		}
 	}
