--- a/internal/journal/encoding.go
+++ b/internal/journal/encoding.go
@@ -8,10 +8,10 @@
 	"brackendale/internal/clock"
 )
 
-// The first line of a file. They are stored data.
+// The first line of a file, which identifies its format. Stored data.
 const (
 	magic          = "brackendale spool 2\n"
-	magicWallClock = "brackendale spool 1\n" // of a version that wrote times of the wall clock
+	magicWallClock = "brackendale spool 1\n" // of an earlier version, which recorded times of the wall clock
 )
 
 // recordKind is the first byte of a record. The numbers are stored data.
@@ -22,81 +22,83 @@
 	recordAttemptStarted
 	recordAttemptEnded
 	recordFinalAnswer
-	recordForgotten
+	recordRemoved
 	recordAcknowledged
-	recordGroup       // other records, all of which stand or none: what one step has recorded
-	recordExclusion   // an endpoint is excluded, or not any more
-	recordIncarnation // which incarnation writes from here on
-	recordClock       // the steady clock at that time, and the boot too at the head of a file
+	recordBatch       // the records of one step, which are read back all or none
+	recordExclusion   // an endpoint is excluded, or no longer excluded
+	recordIncarnation // the incarnation that writes the following records
+	recordClock       // the time of the steady clock; at the head of a file also the boot ID
 )
 
-// headerSize is the bytes before each record: its length and its checksum.
+// headerSize is the size of the header before each record: its length and its checksum.
 const headerSize = 8
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// change is what a record other than recordAccepted and recordGroup holds. What number and text
-// mean depends on the kind.
-type change struct {
+// changeRecord is the content of a record of any kind but recordAccepted and recordBatch. The
+// meaning of number and text depends on the kind.
+type changeRecord struct {
 	kind   recordKind
-	id     string // of a message, or the name of an endpoint
+	id     string // of a message, or the address of an endpoint
 	number int64
 	text   string
 }
 
-// appendTo appends the record of the change.
-func (c change) appendTo(out []byte) []byte {
-	out, at := beginRecord(out)
+// appendTo appends the encoded record to out.
+func (c changeRecord) appendTo(out []byte) []byte {
+	out, start := beginRecord(out)
 	out = appendText(append(out, byte(c.kind)), c.id)
 	out = appendInt(out, c.number)
-	return finishRecord(appendText(out, c.text), at)
+	return finishRecord(appendText(out, c.text), start)
 }
 
-// clockChange records the time; bootID is empty where the boot is as before.
-func clockChange(now clock.Instant, bootID string) change {
-	return change{kind: recordClock, number: int64(now), text: bootID}
+// clockChange returns the record of a time. An empty bootID means that the boot is the one recorded
+// before.
+func clockChange(now clock.Instant, bootID string) changeRecord {
+	return changeRecord{kind: recordClock, number: int64(now), text: bootID}
 }
 
-func incarnationChange(n uint64) change {
-	return change{kind: recordIncarnation, number: int64(n)}
+func incarnationChange(n uint64) changeRecord {
+	return changeRecord{kind: recordIncarnation, number: int64(n)}
 }
 
-func exclusionChange(endpoint string, out bool) change {
-	return change{kind: recordExclusion, id: endpoint, number: boolInt(out)}
+func exclusionChange(endpoint string, excluded bool) changeRecord {
+	return changeRecord{kind: recordExclusion, id: endpoint, number: boolInt(excluded)}
 }
 
-// beginRecord leaves room for a record's header, which finishRecord fills in.
-func beginRecord(out []byte) (_ []byte, at int) {
+// beginRecord appends space for a record's header, which finishRecord fills in.
+func beginRecord(out []byte) (_ []byte, start int) {
 	return append(out, make([]byte, headerSize)...), len(out)
 }
 
-// finishRecord fills in the header of the record that begins at an offset and ends with out.
-func finishRecord(out []byte, at int) []byte {
-	payload := out[at+headerSize:]
-	binary.LittleEndian.PutUint32(out[at:], uint32(len(payload)))
-	binary.LittleEndian.PutUint32(out[at+4:], crc32.Checksum(payload, crcTable))
+// finishRecord fills in the header of the record that begins at the offset start and ends with out.
+func finishRecord(out []byte, start int) []byte {
+	payload := out[start+headerSize:]
+	binary.LittleEndian.PutUint32(out[start:], uint32(len(payload)))
+	binary.LittleEndian.PutUint32(out[start+4:], crc32.Checksum(payload, crcTable))
 	return out
 }
 
-// walkRecords hands each sound record to apply and returns how many bytes they take. It ends at the
-// first record that is not sound or that apply refuses.
-func walkRecords(raw []byte, apply func(payload []byte) bool) (at int) {
-	for len(raw)-at >= headerSize {
-		size := int(binary.LittleEndian.Uint32(raw[at:]))
-		sum := binary.LittleEndian.Uint32(raw[at+4:])
-		if len(raw)-at-headerSize < size {
+// walkRecords passes the payload of each valid record to apply and returns the size of those records
+// in bytes. It stops at the first record that is incomplete, has a wrong checksum or is rejected by
+// apply.
+func walkRecords(raw []byte, apply func(payload []byte) bool) (offset int) {
+	for len(raw)-offset >= headerSize {
+		size := int(binary.LittleEndian.Uint32(raw[offset:]))
+		sum := binary.LittleEndian.Uint32(raw[offset+4:])
+		if len(raw)-offset-headerSize < size {
 			break
 		}
-		payload := raw[at+headerSize : at+headerSize+size]
+		payload := raw[offset+headerSize : offset+headerSize+size]
 		if crc32.Checksum(payload, crcTable) != sum || !apply(payload) {
 			break
 		}
-		at += headerSize + size
+		offset += headerSize + size
 	}
-	return at
+	return offset
 }
 
-// hasMagic reports whether a file begins as one of this package.
+// hasMagic reports whether raw begins with the first line of a journal.
 func hasMagic(raw []byte) bool {
 	if len(raw) < len(magic) {
 		return false
@@ -118,8 +120,8 @@
 	return 0
 }
 
-// fieldReader reads the fields of a record. malformed is set once the record does not hold what is
-// asked of it.
+// fieldReader reads the fields of a record one after another. malformed is set once a field cannot
+// be read.
 type fieldReader struct {
 	unread    []byte
 	malformed bool
--- a/internal/journal/entry.go
+++ b/internal/journal/entry.go
@@ -6,45 +6,46 @@
 	"brackendale/internal/clock"
 )
 
-// Entry is one message in the journal.
+// Entry is the state of one message in the journal.
 type Entry struct {
 	ID          string
 	Class       string
 	Tenant      string
 	Key         string // the idempotency key
-	Front       string // that handed it in
-	Correlation string // what that front wants back with the final answer
+	Front       string // the front that submitted it
+	Correlation string // opaque to the journal; returned to that front with the final answer
 	Destination int64
 	Deadline    clock.Instant
 	Body        []byte // empty once there is a final answer: the message is not sent again
 
 	Attempts      int
-	FirstRun      clock.Instant // when the first attempt was sent that may have run; 0: none
-	Zone          string        // of that attempt
-	InFlightSince clock.Instant // when the attempt was sent that has no result yet; 0: none
-	InFlightZone  string        // of that attempt
+	FirstRun      clock.Instant // when the first attempt that may have run was sent; 0: none
+	Zone          string        // to which that attempt was sent
+	InFlightSince clock.Instant // when the attempt in flight was sent; 0: none
+	InFlightZone  string        // to which that attempt was sent
 
 	FinalAnswer  string // empty: none yet
-	RetryAfterMs int64  // that goes with it
-	Acknowledged bool   // its client has the final answer: only the id is remembered
-	Notified     bool   // its client may have got the final answer. It is set by the caller and not recorded
+	RetryAfterMs int64  // sent with the final answer
+	Acknowledged bool   // the client has confirmed the final answer; the entry is kept to recognize its ID
+	Notified     bool   // the client may have received the final answer; set by the caller, not recorded
 
-	order uint64 // entries are listed by it
+	order uint64 // position in the order of acceptance
 }
 
-// RecordSize is what an entry takes in the file, in bytes, with the records that it may still need.
+// RecordSize returns the space that an entry takes in the file, in bytes, including the records that
+// may still follow for it.
 func RecordSize(entry *Entry) int {
 	size := len(entry.ID) + len(entry.Class) + len(entry.Tenant) + len(entry.Key) + len(entry.Front) +
 		len(entry.Correlation)
 	if entry.Acknowledged {
 		return size + attemptOverhead
 	}
-	return size + len(entry.ID) + len(entry.Body) + messageOverhead // its later records name the id again
+	return size + len(entry.ID) + len(entry.Body) + messageOverhead // its later records contain the ID again
 }
 
-// appendTo appends the record of the entry.
+// appendTo appends the entry's encoded record to out.
 func (e *Entry) appendTo(out []byte) []byte {
-	out, at := beginRecord(out)
+	out, start := beginRecord(out)
 	out = append(out, byte(recordAccepted))
 	for _, text := range [...]string{e.ID, e.Class, e.Tenant, e.Key, e.Front, e.Correlation} {
 		out = appendText(out, text)
@@ -59,10 +60,10 @@
 	out = appendInt(out, e.RetryAfterMs)
 	out = appendInt(out, boolInt(e.Acknowledged))
 	out = binary.AppendUvarint(out, uint64(len(e.Body)))
-	return finishRecord(append(out, e.Body...), at)
+	return finishRecord(append(out, e.Body...), start)
 }
 
-// readEntry reads what appendTo wrote behind the kind. fields says whether it is malformed.
+// readEntry decodes what appendTo wrote after the kind. fields.malformed reports whether that failed.
 func readEntry(fields *fieldReader) *Entry {
 	entry := &Entry{
 		ID:            fields.text(),
--- a/internal/journal/faults_test.go
+++ b/internal/journal/faults_test.go
@@ -11,175 +11,177 @@
 	"brackendale/internal/statefs"
 )
 
-// A write fails behind any of its bytes, and the cut behind it too, once, or three times in a row.
-// Killed then, the next process finds all that was written before and nothing of that step, unless
-// all of it was written. Written again, it is all there.
+// A write fails after each possible number of bytes, once or three times in a row, and with it the
+// truncation that should remove those bytes, or not. If the process is killed then, the next one must
+// find everything written before and nothing of the failed step, or all of it if all its bytes were
+// written. If the process goes on, the next successful Flush must write all of it.
 func TestWriteFailsAtEveryByte(t *testing.T) {
 	size := 1
 	for after := 0; after <= size; after++ {
-		for _, fails := range []int{1, 3} {
-			for _, cut := range []bool{true, false} {
+		for _, failures := range []int{1, 3} {
+			for _, truncateFails := range []bool{true, false} {
 				dir := t.TempDir()
-				s := openTest(t, dir, budget)
-				s.Accept(&Entry{ID: "old", Body: []byte("body")})
-				flush(t, s)
-				writes := fails
-				undo := statefs.SetHook(func(c statefs.Call, name string) *statefs.Fault {
-					if name != fileName || c == statefs.CallTruncate && cut {
+				j := openTest(t, dir, budget)
+				j.Accept(&Entry{ID: "old", Body: []byte("body")})
+				flush(t, j)
+				remaining := failures
+				undo := statefs.SetHook(func(call statefs.Call, name string) *statefs.Fault {
+					if name != fileName || call == statefs.CallTruncate && truncateFails {
 						return nil
 					}
-					if c == statefs.CallTruncate || c == statefs.CallWrite && writes > 0 {
-						if c == statefs.CallWrite {
-							writes--
+					if call == statefs.CallTruncate || call == statefs.CallWrite && remaining > 0 {
+						if call == statefs.CallWrite {
+							remaining--
 						}
 						return &statefs.Fault{Err: syscall.EIO, After: after}
 					}
 					return nil
 				})
-				s.Accept(&Entry{ID: "new", Body: []byte("body")})
-				s.StartAttempt("old", "z", 7)
-				size = len(s.buffer)
-				for range fails {
-					if err := s.Flush(); err == nil {
-						t.Fatal("no error")
+				j.Accept(&Entry{ID: "new", Body: []byte("body")})
+				j.StartAttempt("old", "z", 7)
+				size = len(j.buffer)
+				for range failures {
+					if err := j.Flush(); err == nil {
+						t.Fatal("Flush succeeded although the write fails")
 					}
-					s.Accept(&Entry{ID: "more" + string(rune('a'+len(s.buffer)%26))}) // what is recorded meanwhile
-					s.Forget("more" + string(rune('a'+len(s.buffer)%26)))
+					j.Accept(&Entry{ID: "more" + string(rune('a'+len(j.buffer)%26))}) // recorded between the failed writes
+					j.Forget("more" + string(rune('a'+len(j.buffer)%26)))
 				}
-				killed := t.TempDir()
+				killedDir := t.TempDir()
 				raw, err := os.ReadFile(filepath.Join(dir, fileName))
 				if err == nil {
-					err = os.WriteFile(filepath.Join(killed, fileName), raw, 0o600)
+					err = os.WriteFile(filepath.Join(killedDir, fileName), raw, 0o600)
 				}
 				if err != nil {
 					t.Fatal(err)
 				}
-				next := replayFile(t, killed)
-				if all := next.Get("new") != nil; next.Get("old") == nil || all != (next.Get("old").InFlightSince != 0) || all &&
-					(cut || after < size) {
-					t.Fatalf("after %d of %d, cut %v: %s", after, size, cut, describe(next))
+				next := replayFile(t, killedDir)
+				if complete := next.Get("new") != nil; next.Get("old") == nil || complete != (next.Get("old").InFlightSince != 0) ||
+					complete && (truncateFails || after < size) {
+					t.Fatalf("write failed after %d of %d bytes, truncation fails %v: %s", after, size, truncateFails, describe(next))
 				}
 				undo()
-				flush(t, s)
-				want := describe(s)
-				_ = s.Close()
+				flush(t, j)
+				want := describe(j)
+				_ = j.Close()
 				if got := describe(openTest(t, dir, budget)); got != want {
-					t.Fatalf("after %d of %d, cut %v\ngot  %s\nwant %s", after, size, cut, got, want)
+					t.Fatalf("write failed after %d of %d bytes, truncation fails %v\ngot  %s\nwant %s", after, size,
+						truncateFails, got, want)
 				}
 			}
 		}
 	}
 }
 
-// replayFile reads a journal while faults are set for another one: it does not see them.
+// replayFile reads the journal in dir without statefs, so that injected faults do not apply to it.
 func replayFile(t *testing.T, dir string) *Journal {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join(dir, fileName))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &Journal{entries: map[string]*Entry{}, excluded: map[string]bool{}}
-	s.replay(raw)
-	return s
+	j := &Journal{entries: map[string]*Entry{}, excluded: map[string]bool{}}
+	j.replay(raw)
+	return j
 }
 
-// In another boot of the machine the clock starts anew: a message without an attempt keeps the time
-// it had left, however long nobody wrote, and an attempt lies so far back that no retry depends on
-// its age. Within a boot nothing moves.
+// The steady clock restarts with each boot of the machine. A message without an attempt must keep the
+// time it had left until its deadline, however long no process ran. Attempts must move so far back
+// that no retry can depend on their age. Within one boot all times must stay as they are.
 func TestAnotherBoot(t *testing.T) {
 	dir := t.TempDir()
 	defer clock.SetBootID("one")()
-	s := openTest(t, dir, budget)
+	j := openTest(t, dir, budget)
 	now := clock.Steady()
-	s.SetClock(func() clock.Instant { return now })
-	s.Accept(&Entry{ID: "untried", Deadline: now.Add(9 * time.Second)})
-	s.Accept(&Entry{ID: "out", Deadline: now.Add(9 * time.Second)})
-	s.StartAttempt("out", "z", now)
-	s.Accept(&Entry{ID: "ran", Deadline: now.Add(9 * time.Second)})
-	s.StartAttempt("ran", "z", now)
-	s.EndAttempt("ran", true)
-	flush(t, s)
-	_ = s.Close()
-	s = openTest(t, dir, budget)
-	if e := s.Get("untried"); e.Deadline != now.Add(9*time.Second) || s.Get("out").InFlightSince != now ||
-		s.Get("ran").FirstRun != now || s.needsRewrite {
-		t.Fatal("times moved within a boot: ", describe(s))
+	j.SetClock(func() clock.Instant { return now })
+	j.Accept(&Entry{ID: "untried", Deadline: now.Add(9 * time.Second)})
+	j.Accept(&Entry{ID: "out", Deadline: now.Add(9 * time.Second)})
+	j.StartAttempt("out", "z", now)
+	j.Accept(&Entry{ID: "ran", Deadline: now.Add(9 * time.Second)})
+	j.StartAttempt("ran", "z", now)
+	j.EndAttempt("ran", true)
+	flush(t, j)
+	_ = j.Close()
+	j = openTest(t, dir, budget)
+	if entry := j.Get("untried"); entry.Deadline != now.Add(9*time.Second) || j.Get("out").InFlightSince != now ||
+		j.Get("ran").FirstRun != now || j.needsRewrite {
+		t.Fatal("times changed within a boot: ", describe(j))
 	}
-	_ = s.Close()
+	_ = j.Close()
 	defer clock.SetBootID("two")()
 	for range 2 {
-		began := clock.Steady()
-		s = openTest(t, dir, budget)
+		openedAt := clock.Steady()
+		j = openTest(t, dir, budget)
 		for _, id := range []string{"untried", "out", "ran"} {
-			if left := s.Get(id).Deadline.Sub(began); left < 8*time.Second || left > 11*time.Second {
-				t.Errorf("%s has %v left", id, left)
+			if remaining := j.Get(id).Deadline.Sub(openedAt); remaining < 8*time.Second || remaining > 11*time.Second {
+				t.Errorf("%s has %v left until its deadline", id, remaining)
 			}
 		}
-		if s.Get("out").InFlightSince != unknownStart || s.Get("ran").FirstRun != unknownStart ||
-			s.Get("untried").FirstRun != 0 {
-			t.Error(describe(s))
+		if j.Get("out").InFlightSince != unknownStart || j.Get("ran").FirstRun != unknownStart ||
+			j.Get("untried").FirstRun != 0 {
+			t.Error(describe(j))
 		}
-		flush(t, s)
-		_ = s.Close()
+		flush(t, j)
+		_ = j.Close()
 	}
 }
 
-// A journal of the version that wrote the wall clock's times is read: an hour more or less is not
-// believed.
+// A journal of the version that recorded times of the wall clock must be readable. If the wall clock
+// has been set an hour forward or back since, that must not change the time left to a message.
 func TestWallClockJournal(t *testing.T) {
-	for _, step := range []time.Duration{0, time.Hour, -time.Hour} {
+	for _, offset := range []time.Duration{0, time.Hour, -time.Hour} {
 		dir := t.TempDir()
 		wall := clock.Instant(clock.Now().Wall).Add(-2 * time.Second)
 		raw := []byte(magicWallClock)
 		raw = (&Entry{ID: "untried", Deadline: wall.Add(9 * time.Second)}).appendTo(raw)
 		raw = (&Entry{ID: "out", Deadline: wall.Add(9 * time.Second), Attempts: 0}).appendTo(raw)
-		b, at := beginRecord(raw)
-		b = appendText(append(b, byte(recordAttemptStarted)), "out")
-		b = appendInt(b, int64(wall))
-		raw = finishRecord(appendText(b, "z"), at)
+		out, start := beginRecord(raw)
+		out = appendText(append(out, byte(recordAttemptStarted)), "out")
+		out = appendInt(out, int64(wall))
+		raw = finishRecord(appendText(out, "z"), start)
 		if err := os.WriteFile(filepath.Join(dir, fileName), raw, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		clock.StepWall(step)
-		began := clock.Steady()
-		s := openTest(t, dir, budget)
-		clock.StepWall(-step)
-		left := s.Get("untried").Deadline.Sub(began)
-		if left < 6*time.Second || left > 10*time.Second || s.Get("out").InFlightSince != unknownStart ||
-			s.Get("out").Attempts != 1 {
-			t.Errorf("%v: %v left, %s", step, left, describe(s))
+		clock.StepWall(offset)
+		openedAt := clock.Steady()
+		j := openTest(t, dir, budget)
+		clock.StepWall(-offset)
+		remaining := j.Get("untried").Deadline.Sub(openedAt)
+		if remaining < 6*time.Second || remaining > 10*time.Second || j.Get("out").InFlightSince != unknownStart ||
+			j.Get("out").Attempts != 1 {
+			t.Errorf("wall clock moved by %v: %v left until the deadline, %s", offset, remaining, describe(j))
 		}
-		flush(t, s)
-		want := describe(s)
-		_ = s.Close()
+		flush(t, j)
+		want := describe(j)
+		_ = j.Close()
 		if got := describe(openTest(t, dir, budget)); got != want {
 			t.Errorf("got  %s\nwant %s", got, want)
 		}
 	}
 }
 
-// A budget that is lowered between two processes cuts nothing off, and LostBytes counts what cannot
-// be read back.
+// If the disk budget is lowered between two processes, the file is still read as a whole, and
+// LostBytes counts only the incomplete record at its end.
 func TestLoweredBudgetAndLostBytes(t *testing.T) {
 	dir := t.TempDir()
-	s := openTest(t, dir, budget)
+	j := openTest(t, dir, budget)
 	for i := range 40 {
-		s.Accept(&Entry{ID: string(rune('A' + i)), Body: make([]byte, 20_000)})
+		j.Accept(&Entry{ID: string(rune('A' + i)), Body: make([]byte, 20_000)})
 	}
-	flush(t, s)
-	want := describe(s)
-	_ = s.Close()
+	flush(t, j)
+	want := describe(j)
+	_ = j.Close()
 	f, err := os.OpenFile(filepath.Join(dir, fileName), os.O_WRONLY|os.O_APPEND, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, _ = f.WriteString("half a record")
 	_ = f.Close()
-	s = openTest(t, dir, 64<<10)
-	if got := describe(s); got != want || s.LostBytes() != int64(len("half a record")) {
-		t.Fatalf("%d bytes lost, %d of %d messages left", s.LostBytes(), len(s.Entries()), 40)
+	j = openTest(t, dir, 64<<10)
+	if got := describe(j); got != want || j.LostBytes() != int64(len("half a record")) {
+		t.Fatalf("%d bytes lost, %d of %d messages read", j.LostBytes(), len(j.Entries()), 40)
 	}
-	if s.HasRoom(1, 0) {
-		t.Error("there is room in a budget that is overdrawn")
+	if j.HasRoom(1, 0) {
+		t.Error("HasRoom accepts a message beyond the disk budget")
 	}
 }
--- a/internal/journal/golden_test.go
+++ b/internal/journal/golden_test.go
@@ -20,22 +20,22 @@
 //
 //	go test ./internal/journal -run Golden -update-golden
 //
-// The files pin the format on disk. Regenerate them only for an intended change of the format, and
-// keep the old ones readable.
+// The files fix the format on disk. Regenerate them only for an intended change of the format, and
+// keep the old format readable.
 var updateGolden = flag.Bool("update-golden", false, "write the files in testdata/golden anew")
 
 const (
-	goldenBoot                 = "00000000-0000-4000-8000-000000000001"
-	goldenStart  clock.Instant = 1_000_000 // one second after boot: any machine that runs a test is past it
-	goldenLimit  clock.Instant = 90_000_000
-	goldenSeen   clock.Instant = 5_000_000 // the last record of the clock
-	goldenBudget               = 1 << 20
+	goldenBoot                     = "00000000-0000-4000-8000-000000000001"
+	goldenStart      clock.Instant = 1_000_000 // one second after boot, which any machine that runs a test has passed
+	goldenDeadline   clock.Instant = 90_000_000
+	goldenLatestTime clock.Instant = 5_000_000 // the time in the last clock record
+	goldenBudget                   = 1 << 20
 )
 
 func goldenPath(name string) string { return filepath.Join("testdata", "golden", name) }
 
-// checkGolden compares raw with a golden file, byte by byte. The hex dump beside it is for reading,
-// and is compared too.
+// checkGolden compares raw with a golden file byte by byte, and its hex dump, which is for readers,
+// with the file beside it.
 func checkGolden(t *testing.T, name string, raw []byte) {
 	t.Helper()
 	for file, got := range map[string][]byte{name: raw, name + ".hex": []byte(hex.Dump(raw))} {
@@ -59,13 +59,13 @@
 	return raw
 }
 
-// fixBoot makes this process read the given boot ID until the test ends.
+// fixBoot makes clock.BootID return the given ID until the test ends.
 func fixBoot(t *testing.T, id string) {
 	t.Helper()
 	t.Cleanup(clock.SetBootID(id))
 }
 
-// goldenDir returns a folder whose journal has these bytes.
+// goldenDir returns a folder whose journal file has the given content.
 func goldenDir(t *testing.T, raw []byte) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -84,100 +84,99 @@
 	return raw
 }
 
-// newTestEntry returns an entry with every field set that a front sets.
+// newTestEntry returns an entry in which every field is set that is known when a message is accepted.
 func newTestEntry(id string) *Entry {
 	return &Entry{
 		ID: id, Class: "charge", Tenant: "tenant-1", Key: "key-" + id, Front: "amqp", Correlation: "note-" + id,
-		Destination: 42, Deadline: goldenLimit, Body: []byte("body of " + id),
+		Destination: 42, Deadline: goldenDeadline, Body: []byte("body of " + id),
 	}
 }
 
-// writeSteps writes every kind of record, one Flush a step. The first step writes the head of the
-// file, each further one a group.
-func writeSteps(t *testing.T, s *Journal) {
+// writeSteps writes every kind of record, with one Flush for each step. The first step writes the head
+// of the file, each further one a batch.
+func writeSteps(t *testing.T, j *Journal) {
 	t.Helper()
 	now := goldenStart
-	s.SetClock(func() clock.Instant { return now })
+	j.SetClock(func() clock.Instant { return now })
 	step := func(f func()) {
 		t.Helper()
 		f()
-		flush(t, s)
-		now += 500_000 // every second step has a record of the clock
+		flush(t, j)
+		now += 500_000 // every second step gets a clock record
 	}
-	step(func() { s.SetIncarnation(3) })
+	step(func() { j.SetIncarnation(3) })
 	step(func() {
 		for _, id := range []string{"untried", "open", "turned-away", "may-have-run", "ended", "heard", "gone", "doubted"} {
-			s.Accept(newTestEntry(id))
+			j.Accept(newTestEntry(id))
 		}
 	})
 	step(func() {
 		for _, id := range []string{"open", "turned-away", "may-have-run", "ended", "heard", "gone"} {
-			s.StartAttempt(id, "zone-a", now)
+			j.StartAttempt(id, "zone-a", now)
 		}
 	})
 	step(func() {
-		s.EndAttempt("turned-away", false)
+		j.EndAttempt("turned-away", false)
 		for _, id := range []string{"may-have-run", "ended", "heard", "gone"} {
-			s.EndAttempt(id, true)
+			j.EndAttempt(id, true)
 		}
 	})
 	step(func() {
-		s.StartAttempt("may-have-run", "zone-b", now)
-		s.End("ended", "failed", 250)
-		s.End("heard", "delivered", 0)
-		s.End("gone", "delivered", 0)
+		j.StartAttempt("may-have-run", "zone-b", now)
+		j.End("ended", "failed", 250)
+		j.End("heard", "delivered", 0)
+		j.End("gone", "delivered", 0)
 	})
 	step(func() {
-		s.Acknowledge("heard")
-		s.Forget("gone")
+		j.Acknowledge("heard")
+		j.Forget("gone")
 	})
-	step(func() { exclude(t, s, "target-back", true) })
+	step(func() { exclude(t, j, "target-back", true) })
 	step(func() {
-		exclude(t, s, "target-out", true)
-		exclude(t, s, "target-back", false)
+		exclude(t, j, "target-out", true)
+		exclude(t, j, "target-back", false)
 	})
-	step(func() { s.SetIncarnation(4) })
+	step(func() { j.SetIncarnation(4) })
 }
 
-func exclude(t *testing.T, s *Journal, target string, out bool) {
+func exclude(t *testing.T, j *Journal, endpoint string, excluded bool) {
 	t.Helper()
-	if err := s.SetExcluded(target, out); err != nil {
+	if err := j.SetExcluded(endpoint, excluded); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// with returns the entry that newTestEntry makes, as later records have changed it.
-func with(id string, order uint64, change func(*Entry)) Entry {
-	e := newTestEntry(id)
-	e.order = order
-	change(e)
-	return *e
+// entryWith returns the entry of newTestEntry with the given order and change.
+func entryWith(id string, order uint64, change func(*Entry)) Entry {
+	entry := newTestEntry(id)
+	entry.order = order
+	change(entry)
+	return *entry
 }
 
-// wantEntries are the entries after writeSteps. notified is set where a later incarnation reads
-// them.
+// wantEntries returns the entries that writeSteps leaves. notified is the value of Notified in entries
+// with a final answer: true once a later incarnation has read them.
 func wantEntries(notified bool) []Entry {
 	return []Entry{
-		with("untried", 1, func(*Entry) {}),
-		with("open", 2, func(e *Entry) { e.Attempts, e.InFlightSince, e.InFlightZone = 1, 2_000_000, "zone-a" }),
-		with("turned-away", 3, func(e *Entry) { e.Attempts = 1 }),
-		with("may-have-run", 4, func(e *Entry) {
+		entryWith("untried", 1, func(*Entry) {}),
+		entryWith("open", 2, func(e *Entry) { e.Attempts, e.InFlightSince, e.InFlightZone = 1, 2_000_000, "zone-a" }),
+		entryWith("turned-away", 3, func(e *Entry) { e.Attempts = 1 }),
+		entryWith("may-have-run", 4, func(e *Entry) {
 			e.Attempts, e.FirstRun, e.Zone, e.InFlightSince, e.InFlightZone = 2, 2_000_000, "zone-a", 3_000_000, "zone-b"
 		}),
-		with("ended", 5, func(e *Entry) {
+		entryWith("ended", 5, func(e *Entry) {
 			e.Attempts, e.FirstRun, e.Zone, e.FinalAnswer, e.RetryAfterMs, e.Body = 1, 2_000_000, "zone-a", "failed", 250, nil
 			e.Notified = notified
 		}),
-		with("heard", 6, func(e *Entry) {
+		entryWith("heard", 6, func(e *Entry) {
 			e.Attempts, e.FirstRun, e.Zone, e.FinalAnswer, e.Body = 1, 2_000_000, "zone-a", "delivered", nil
 			e.Acknowledged, e.Notified = true, notified
 		}),
-		with("doubted", 8, func(*Entry) {}),
+		entryWith("doubted", 8, func(*Entry) {}),
 	}
 }
 
-// wantCompacted are the entries after MarkAmbiguous and a compaction. A compaction numbers them
-// anew.
+// wantCompacted returns the entries after MarkAmbiguous and a compaction, which renumbers them.
 func wantCompacted() []Entry {
 	list := wantEntries(true)
 	for i := range list {
@@ -203,47 +202,47 @@
 	}
 }
 
-// kinds counts the kinds of record in a file, those within groups too.
-func kinds(raw []byte) map[int]int {
-	count := map[int]int{}
-	var book func(p []byte) bool
-	book = func(p []byte) bool {
-		count[int(p[0])]++
-		if p[0] == 7 {
-			walkRecords(p[1:], book)
+// countKinds counts the records of each kind in a file, including those within batches.
+func countKinds(raw []byte) map[int]int {
+	counts := map[int]int{}
+	var visit func(payload []byte) bool
+	visit = func(payload []byte) bool {
+		counts[int(payload[0])]++
+		if payload[0] == 7 {
+			walkRecords(payload[1:], visit)
 		}
 		return true
 	}
-	walkRecords(raw[len("brackendale spool 2\n"):], book)
-	return count
+	walkRecords(raw[len("brackendale spool 2\n"):], visit)
+	return counts
 }
 
-// The same operations at the same times write the same bytes, and every kind of record is among
-// them.
+// The same operations at the same times must write the same bytes. The golden file has every kind of
+// record.
 func TestGoldenWrite(t *testing.T) {
 	fixBoot(t, goldenBoot)
 	dir := t.TempDir()
-	s := openTest(t, dir, goldenBudget)
-	writeSteps(t, s)
-	checkEntries(t, s.Entries(), wantEntries(false))
+	j := openTest(t, dir, goldenBudget)
+	writeSteps(t, j)
+	checkEntries(t, j.Entries(), wantEntries(false))
 	raw := readJournal(t, dir)
 	checkGolden(t, "rounds.journal", raw)
-	if got := slices.Sorted(maps.Keys(kinds(raw))); !slices.Equal(got, []int{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}) {
-		t.Errorf("the golden file has records of the kinds %v", got)
+	if got := slices.Sorted(maps.Keys(countKinds(raw))); !slices.Equal(got, []int{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}) {
+		t.Errorf("the golden file has records of kinds %v", got)
 	}
-	s.MarkAmbiguous("doubted", 2, 1_500_000)
-	flush(t, s)
+	j.MarkAmbiguous("doubted", 2, 1_500_000)
+	flush(t, j)
 	checkGolden(t, "compacted.journal", readJournal(t, dir))
 	if n, err := Verify(dir, goldenBudget); err != nil || n != 10 {
 		t.Errorf("the compacted file has %d records: %v", n, err)
 	}
 }
 
-// The kinds of record have the numbers that are on disk.
+// The numbers of the record kinds and the file names are stored data and must not change.
 func TestGoldenKinds(t *testing.T) {
 	got := []recordKind{
-		recordAccepted, recordAttemptStarted, recordAttemptEnded, recordFinalAnswer, recordForgotten,
-		recordAcknowledged, recordGroup, recordExclusion, recordIncarnation, recordClock,
+		recordAccepted, recordAttemptStarted, recordAttemptEnded, recordFinalAnswer, recordRemoved,
+		recordAcknowledged, recordBatch, recordExclusion, recordIncarnation, recordClock,
 	}
 	if !slices.Equal(got, []recordKind{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}) {
 		t.Errorf("kinds %v", got)
@@ -254,16 +253,16 @@
 	}
 }
 
-// A file of this boot is read as it was written, by Open and by ReadOnly.
+// Open and ReadOnly must read a file of the current boot as it was written, without changing it.
 func TestGoldenRead(t *testing.T) {
 	fixBoot(t, goldenBoot)
 	for _, c := range []struct {
-		name string
-		want []Entry
-		seen clock.Instant
-		past int
+		name       string
+		want       []Entry
+		latestTime clock.Instant
+		removed    int
 	}{
-		{"rounds.journal", wantEntries(true), goldenSeen, 1},
+		{"rounds.journal", wantEntries(true), goldenLatestTime, 1},
 		{"compacted.journal", wantCompacted(), 5_500_000, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -274,10 +273,10 @@
 				t.Fatal(incarnation, err)
 			}
 			checkEntries(t, entries, withoutNotified(c.want))
-			s := openTest(t, dir, goldenBudget)
-			checkEntries(t, s.Entries(), c.want)
-			checkHead(t, s, c.seen)
-			checkForgotten(t, s.Forgotten(), c.past)
+			j := openTest(t, dir, goldenBudget)
+			checkEntries(t, j.Entries(), c.want)
+			checkHead(t, j, c.latestTime)
+			checkRemoved(t, j.Forgotten(), c.removed)
 			if !bytes.Equal(readJournal(t, dir), raw) {
 				t.Error("opening the file has changed it")
 			}
@@ -294,37 +293,37 @@
 	return list
 }
 
-// checkForgotten checks the message that was forgotten when the file was opened, if the file still
-// names it.
-func checkForgotten(t *testing.T, past []*Entry, n int) {
+// checkRemoved checks the removed entries that the file still contains: count is 1 if it contains the
+// entry "gone", else 0.
+func checkRemoved(t *testing.T, got []*Entry, count int) {
 	t.Helper()
-	gone := with("gone", 7, func(e *Entry) {
+	gone := entryWith("gone", 7, func(e *Entry) {
 		e.Attempts, e.FirstRun, e.Zone, e.FinalAnswer, e.Body = 1, 2_000_000, "zone-a", "delivered", nil
 	})
-	checkEntries(t, past, []Entry{gone}[:n])
+	checkEntries(t, got, []Entry{gone}[:count])
 }
 
-// checkHead checks what the golden file holds besides its entries.
-func checkHead(t *testing.T, s *Journal, at clock.Instant) {
+// checkHead checks the content of the golden file other than its entries.
+func checkHead(t *testing.T, j *Journal, latestTime clock.Instant) {
 	t.Helper()
-	seen, ok := s.LastWriteAt()
-	if s.Incarnation() != 4 || !s.Excluded("target-out") || s.Excluded("target-back") || len(s.excluded) != 1 {
-		t.Errorf("incarnation %d, excluded %v", s.Incarnation(), s.excluded)
+	lastWriteAt, ok := j.LastWriteAt()
+	if j.Incarnation() != 4 || !j.Excluded("target-out") || j.Excluded("target-back") || len(j.excluded) != 1 {
+		t.Errorf("incarnation %d, excluded %v", j.Incarnation(), j.excluded)
 	}
-	if s.IsNew() || s.LostBytes() != 0 || s.bootID != goldenBoot || !ok || seen != at {
-		t.Errorf("new %v, lost %d, boot %q, seen %d, %v", s.IsNew(), s.LostBytes(), s.bootID, seen, ok)
+	if j.IsNew() || j.LostBytes() != 0 || j.bootID != goldenBoot || !ok || lastWriteAt != latestTime {
+		t.Errorf("new %v, lost bytes %d, boot %q, last write at %d, %v", j.IsNew(), j.LostBytes(), j.bootID, lastWriteAt, ok)
 	}
-	if s.Unacknowledged() != 1 {
-		t.Errorf("%d final answers unacknowledged", s.Unacknowledged())
+	if j.Unacknowledged() != 1 {
+		t.Errorf("%d final answers unacknowledged", j.Unacknowledged())
 	}
 }
 
-// Each earlier form of a journal is read: single records instead of groups; no boot ID; and the
-// wall clock's times.
+// Each earlier form of the journal must be readable: with single records instead of batches, without
+// a boot ID, and with times of the wall clock.
 func TestGoldenEarlierForms(t *testing.T) {
 	for _, c := range []struct {
 		name, head, boot string
-		moved            clock.Instant // the latest time in the file, where its times are moved
+		latestTime       clock.Instant // the latest time in the file if its times have to be converted, else 0
 	}{
 		{"single.journal", "brackendale spool 2\n", goldenBoot, 0},
 		{"noboot.journal", "brackendale spool 2\n", "", 0},
@@ -334,75 +333,78 @@
 			fixBoot(t, c.boot)
 			checkGolden(t, c.name, earlierForm(t, c.head, c.boot))
 			before := clock.Steady()
-			s := openTest(t, goldenDir(t, readGolden(t, c.name)), goldenBudget)
+			j := openTest(t, goldenDir(t, readGolden(t, c.name)), goldenBudget)
 			want := wantEntries(true)
-			if c.moved != 0 {
-				shiftTimes(t, want, s.Entries(), before, c.moved)
+			if c.latestTime != 0 {
+				shiftTimes(t, want, j.Entries(), before, c.latestTime)
 			}
-			checkEntries(t, s.Entries(), want)
-			if s.Incarnation() != 4 || !s.Excluded("target-out") || s.Excluded("target-back") || s.rebased != (c.moved != 0) {
-				t.Errorf("incarnation %d, excluded %v, rebased %v", s.Incarnation(), s.excluded, s.rebased)
+			checkEntries(t, j.Entries(), want)
+			if j.Incarnation() != 4 || !j.Excluded("target-out") || j.Excluded("target-back") ||
+				j.timesRebased != (c.latestTime != 0) {
+				t.Errorf("incarnation %d, excluded %v, rebased %v", j.Incarnation(), j.excluded, j.timesRebased)
 			}
-			flush(t, s)
-			if !bytes.HasPrefix(readJournal(t, s.dir), []byte("brackendale spool 2\n")) {
-				t.Error("the file keeps its earlier form")
+			flush(t, j)
+			if !bytes.HasPrefix(readJournal(t, j.dir), []byte("brackendale spool 2\n")) {
+				t.Error("Flush has not converted the file to the current form")
 			}
 		})
 	}
 }
 
-// earlierForm takes the groups of the golden journal apart, under another head. The form with the
-// wall clock's times has no record of a clock: the latest attempt gives its time.
-func earlierForm(t *testing.T, first, boot string) []byte {
+// earlierForm returns the golden journal with another first line and with single records instead of
+// batches. The form with times of the wall clock has no clock records: its latest time is that of the
+// last attempt.
+func earlierForm(t *testing.T, firstLine, bootID string) []byte {
 	t.Helper()
 	raw := readGolden(t, "rounds.journal")
-	out := []byte(first)
-	var add func(p []byte) bool
-	add = func(p []byte) bool {
+	out := []byte(firstLine)
+	var add func(payload []byte) bool
+	add = func(payload []byte) bool {
 		switch {
-		case p[0] == 7:
-			return walkRecords(p[1:], add) == len(p)-1
-		case p[0] == 10 && first == "brackendale spool 1\n":
+		case payload[0] == 7:
+			return walkRecords(payload[1:], add) == len(payload)-1
+		case payload[0] == 10 && firstLine == "brackendale spool 1\n":
 			return true
-		case p[0] == 10 && boot == "":
-			p = bytes.ReplaceAll(p, append([]byte{byte(len(goldenBoot))}, goldenBoot...), []byte{0})
+		case payload[0] == 10 && bootID == "":
+			payload = bytes.ReplaceAll(payload, append([]byte{byte(len(goldenBoot))}, goldenBoot...), []byte{0})
 		}
-		var at int
-		out, at = beginRecord(out)
-		out = finishRecord(append(out, p...), at)
+		var start int
+		out, start = beginRecord(out)
+		out = finishRecord(append(out, payload...), start)
 		return true
 	}
-	walkRecords(raw[len(first):], add)
+	walkRecords(raw[len(firstLine):], add)
 	return out
 }
 
-// A file of another boot is read: deadlines move to the clock that runs now, and attempts lie too
-// far back for any retry.
+// In a file of another boot, deadlines must be converted to the clock that runs now, and attempts must
+// move too far back for any retry.
 func TestGoldenOtherBoot(t *testing.T) {
 	fixBoot(t, "00000000-0000-4000-8000-000000000002")
 	before := clock.Steady()
-	s := openTest(t, goldenDir(t, readGolden(t, "rounds.journal")), goldenBudget)
+	j := openTest(t, goldenDir(t, readGolden(t, "rounds.journal")), goldenBudget)
 	want := wantEntries(true)
-	shiftTimes(t, want, s.Entries(), before, goldenSeen)
-	checkEntries(t, s.Entries(), want)
-	if _, ok := s.LastWriteAt(); ok || s.Incarnation() != 4 {
-		t.Errorf("last write %v, incarnation %d", ok, s.Incarnation())
+	shiftTimes(t, want, j.Entries(), before, goldenLatestTime)
+	checkEntries(t, j.Entries(), want)
+	if _, ok := j.LastWriteAt(); ok || j.Incarnation() != 4 {
+		t.Errorf("last write %v, incarnation %d", ok, j.Incarnation())
 	}
 }
 
-// shiftTimes changes the wanted entries as the move to another clock does. All deadlines move by
-// the time from the latest one that the file names to when it was opened, which was after before.
-func shiftTimes(t *testing.T, want []Entry, got []*Entry, before, seen clock.Instant) {
+// shiftTimes changes the wanted entries as the conversion to another clock does. All deadlines must
+// have moved by the time between latestTime, the latest time in the file, and the opening of the file,
+// which was after before.
+func shiftTimes(t *testing.T, want []Entry, got []*Entry, before, latestTime clock.Instant) {
 	t.Helper()
 	if len(got) == 0 {
 		t.Fatal("no entries")
 	}
-	by := got[0].Deadline - goldenLimit
-	if opened := by + seen; opened < before || opened > clock.Steady() {
-		t.Errorf("deadlines moved by %d: opened at %d, want from %d on", by, opened, before)
+	shift := got[0].Deadline - goldenDeadline
+	if opened := shift + latestTime; opened < before || opened > clock.Steady() {
+		t.Errorf("deadlines moved by %d: opened at %d, want from %d on", shift, opened, before)
 	}
 	for i := range want {
-		want[i].Deadline += by
+		want[i].Deadline += shift
 		if want[i].FirstRun != 0 {
 			want[i].FirstRun = -1 << 50
 		}
@@ -412,57 +414,58 @@
 	}
 }
 
-// recordEnds returns the offsets in a file at which a record ends, the head first.
+// recordEnds returns the offsets at which the first line and each record of a file end.
 func recordEnds(raw []byte) (ends []int) {
-	at := len("brackendale spool 2\n")
-	for ends = append(ends, at); at < len(raw); ends = append(ends, at) {
-		at += 8 + int(binary.LittleEndian.Uint32(raw[at:]))
+	offset := len("brackendale spool 2\n")
+	for ends = append(ends, offset); offset < len(raw); ends = append(ends, offset) {
+		offset += 8 + int(binary.LittleEndian.Uint32(raw[offset:]))
 	}
 	return ends
 }
 
-// A file that is cut anywhere is read up to its last whole record, and what follows is cut off. One
-// without a whole head, or without the record of its boot, is replaced by the next write and stays
-// as it is until then.
+// A file that ends anywhere must be read up to its last complete record, and the rest must be cut off.
+// A file without a complete first line or without the record of its boot is left as it is and
+// replaced by the next write.
 func TestGoldenTornEnd(t *testing.T) {
 	fixBoot(t, goldenBoot)
 	raw := readGolden(t, "rounds.journal")
 	ends := recordEnds(raw)
-	entries := []int{0, 0, 0, 8, 8, 8, 8, 7, 7, 7, 7} // after so many whole records
+	entries := []int{0, 0, 0, 8, 8, 8, 8, 7, 7, 7, 7} // by the number of complete records
 	if ends[len(ends)-1] != len(raw) || len(ends) != len(entries) {
-		t.Fatalf("records end at %v of %d", ends, len(raw))
+		t.Fatalf("records end at %v, the file at %d", ends, len(raw))
 	}
-	for n := range raw {
-		whole, stay, held := 0, n, 0
+	for length := range raw {
+		validBytes, keptBytes, entryCount := 0, length, 0
 		for i, end := range ends {
-			if end <= n {
-				whole, held = end, entries[i]
+			if end <= length {
+				validBytes, entryCount = end, entries[i]
 				if i > 0 {
-					stay = end
+					keptBytes = end
 				}
 			}
 		}
-		dir := goldenDir(t, raw[:n])
-		s := openTest(t, dir, goldenBudget)
-		if s.size != int64(whole) || s.LostBytes() != int64(n-whole) || len(s.Entries()) != held || s.IsNew() != (n == 0) {
-			t.Fatalf("cut at %d: %d bytes read, %d lost, %d entries", n, s.size, s.LostBytes(), len(s.Entries()))
+		dir := goldenDir(t, raw[:length])
+		j := openTest(t, dir, goldenBudget)
+		if j.size != int64(validBytes) || j.LostBytes() != int64(length-validBytes) || len(j.Entries()) != entryCount ||
+			j.IsNew() != (length == 0) {
+			t.Fatalf("cut at %d: %d bytes read, %d lost, %d entries", length, j.size, j.LostBytes(), len(j.Entries()))
 		}
-		if !bytes.Equal(readJournal(t, dir), raw[:stay]) {
-			t.Fatalf("cut at %d: the file does not end at %d", n, stay)
+		if !bytes.Equal(readJournal(t, dir), raw[:keptBytes]) {
+			t.Fatalf("cut at %d: the file does not have its first %d bytes", length, keptBytes)
 		}
-		if err := s.Close(); err != nil {
+		if err := j.Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// The size of a record is part of the format: it bounds what is accepted into a folder of a given
-// size.
+// The size of a record is part of the format: it limits how many messages a folder of a given size
+// accepts.
 func TestGoldenRecordSize(t *testing.T) {
 	e := newTestEntry("untried")
 	got := fmt.Sprint(RecordSize(e), exclusionSize("target"))
 	e.Acknowledged = true
 	if got += fmt.Sprint(" ", RecordSize(e)); got != "518 76 208" {
-		t.Errorf("needs %s", got)
+		t.Errorf("record sizes %s", got)
 	}
 }
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,7 +1,8 @@
-// Package journal is the sender's append-only journal in the state folder. What was accepted, what
-// was attempted and what has its final answer is appended as checksummed records, in one write a
-// step, and read back after a restart. Nothing is synced to the disk: a write survives the process,
-// and is lost only with the machine.
+// Package journal is the sender's append-only journal in the state folder. Accepted messages, their
+// attempts and their final answers are appended as checksummed records and read back after a
+// restart. What one step (one pass of the sender's event loop) records is written by one Flush, in
+// one write. Nothing is synced to the disk: a completed write survives the end of the process, but
+// not a crash of the machine.
 package journal
 
 import (
@@ -15,75 +16,75 @@
 	"brackendale/internal/statefs"
 )
 
-// The names of the files. They are stored data.
+// The names of the files in the state folder. They are stored data.
 const (
 	fileName = "spool"
 	lockName = "lock"
 )
 
-// The limits of what is stored, in bytes.
+// Sizes in bytes.
 const (
 	attemptOverhead = 160                     // of the records of one attempt
 	messageOverhead = 2*attemptOverhead + 128 // what an entry may grow by; a compaction merges its records into one
-	blockSize       = 512                     // reserved for the records of the file's head
-	minReadLimit    = 64 << 20                // that are read: the budget may have been larger when the file was written
+	headReserve     = 512                     // reserved for the records at the head of the file
+	minReadLimit    = 64 << 20                // at least so much is read: the file may be of a larger budget
 )
 
-// MaxTransactionBytes bounds what the messages of a transaction may take together.
+// MaxTransactionBytes limits the total RecordSize of the messages of one transaction.
 const MaxTransactionBytes = 1 << 19
 
-// MaxExcluded bounds the number of endpoints that are excluded at once.
+// MaxExcluded limits the number of endpoints that are excluded at the same time.
 const MaxExcluded = 1024
 
-// ErrLocked says that another process writes the journal.
+// ErrLocked reports that another process has the journal open.
 var ErrLocked = errors.New("journal: another process holds the journal")
 
-// ErrFull says that the disk budget has no room.
+// ErrFull reports that the disk budget is used up.
 var ErrFull = errors.New("journal: no room in the disk budget")
 
-// Journal is the open journal. It belongs to one goroutine.
+// Journal is an open journal. It is not safe for concurrent use.
 type Journal struct {
 	dir     string
-	maxSize int64 // of the file: half the budget, so that a compaction fits beside it
+	maxSize int64 // of the file: half the budget, so that a compaction can write a second file beside it
 	now     func() clock.Instant
-	opened  bool // records are written, not replayed
+	opened  bool // Open has replayed the file; records are now written
 
 	// The files.
-	lock            *statefs.File // held for as long as the journal is open; the kernel releases it with the process
+	lock            *statefs.File // locked while the journal is open; the kernel releases the lock when the process ends
 	file            *statefs.File
-	spareDescriptor *os.File // closed where a compaction finds no other descriptor; nil: there is none
+	spareDescriptor *os.File // closed when a compaction finds no free descriptor; nil: none could be opened
 
 	// The state of the file.
-	size            int64         // of its sound records
-	torn            bool          // a write that failed may have left something behind size
-	buffer          []byte        // the record that is being written
-	needsRewrite    bool          // the next write replaces the file: entries were changed without a record
-	clockRecordedAt clock.Instant // of the last record of the clock
-
-	// What the records say.
-	entries     map[string]*Entry
+	size            int64         // of its valid records; the next write goes here
+	torn            bool          // a failed write may have left bytes beyond size
+	buffer          []byte        // the batch of the current step, which the next Flush writes; empty: none
+	needsRewrite    bool          // the next Flush replaces the file: entries were changed without a record
+	clockRecordedAt clock.Instant // the time in the last clock record
+
+	// The result of applying all records.
+	entries     map[string]*Entry // by message ID
 	nextOrder   uint64
-	liveBytes   int64           // what a file with nothing but the entries and exclusions would take
-	excluded    map[string]bool // endpoints
-	incarnation uint64          // the one that was recorded last; 0: none
+	liveBytes   int64           // size of a file that holds only the current entries and exclusions
+	excluded    map[string]bool // the excluded endpoints
+	incarnation uint64          // the last one recorded; 0: none
 
 	// What was found when the journal was opened.
-	isNew      bool          // there was no journal
-	lostBytes  int64         // behind the sound records, which were cut off
-	forgotten  []*Entry      // those that were forgotten, without their bodies
-	latestTime clock.Instant // the latest time that the file named, by the clock of that time
-	bootID     string        // the boot of the machine in which the file was written
-	wallTimes  bool          // the file's times are of the wall clock
-	rebased    bool          // they were moved to the steady clock of this boot
+	isNew         bool          // there was no journal
+	lostBytes     int64         // beyond the valid records; they were cut off
+	removed       []*Entry      // entries with a removal record in the file, without their bodies
+	latestTime    clock.Instant // the latest time in the file, by the clock that it was written with
+	bootID        string        // the boot of the machine in which the file was written
+	usesWallClock bool          // the file's times are of the wall clock
+	timesRebased  bool          // the file's times were converted to the steady clock of this boot
 }
 
-// Open reads the journal in dir, or starts one. budget is what dir may take, in bytes. What an
-// incomplete record at the end holds was never acted upon: it is cut off. The error is ErrLocked
-// where another process has the journal open.
+// Open reads the journal in dir, or creates one. budget is the size limit of dir in bytes. An
+// incomplete record at the end of the file is cut off: the sender acts on a record only after its
+// write has succeeded. The error is ErrLocked if another process has the journal open.
 func Open(dir string, budget int64) (_ *Journal, err error) {
 	j := &Journal{
 		dir:      dir,
-		maxSize:  budget/2 - 2*blockSize,
+		maxSize:  budget/2 - 2*headReserve,
 		now:      clock.Steady,
 		entries:  map[string]*Entry{},
 		excluded: map[string]bool{},
@@ -99,10 +100,10 @@
 			_ = j.lock.Close()
 		}
 	}()
-	if err = statefs.Remove(statefs.TempName(j.path())); err != nil {
-		return nil, fmt.Errorf("journal: removing the file of a compaction: %w", err)
+	if err = statefs.Remove(statefs.TempName(j.filePath())); err != nil {
+		return nil, fmt.Errorf("journal: removing the temporary file of a compaction: %w", err)
 	}
-	if j.file, err = statefs.Open(j.path(), os.O_RDWR|os.O_CREATE); err != nil {
+	if j.file, err = statefs.Open(j.filePath(), os.O_RDWR|os.O_CREATE); err != nil {
 		return nil, fmt.Errorf("journal: opening: %w", err)
 	}
 	defer func() {
@@ -118,8 +119,8 @@
 	return j, nil
 }
 
-// load reads the file. A new one, and one whose times are of another clock, is replaced by the
-// first write.
+// load reads the file. A file that is new or whose times are of another clock is replaced by the
+// first Flush.
 func (j *Journal) load(budget int64) error {
 	raw, err := j.file.ReadAll(max(budget, minReadLimit))
 	if err != nil {
@@ -144,41 +145,41 @@
 	return nil
 }
 
-// Close releases the file, and then the lock.
+// Close closes the file and then releases the lock.
 func (j *Journal) Close() error {
 	j.closeSpare()
 	return errors.Join(j.file.Close(), j.lock.Close())
 }
 
-func (j *Journal) path() string { return filepath.Join(j.dir, fileName) }
+func (j *Journal) filePath() string { return filepath.Join(j.dir, fileName) }
 
-// SetClock lets the journal read the time from the sender's own clock, which must be the machine's
-// steady one.
+// SetClock makes the journal read the time from now, which must return times of the machine's
+// steady clock.
 func (j *Journal) SetClock(now func() clock.Instant) { j.now = now }
 
-// LostBytes is how many bytes behind the sound records were cut off when the journal was opened: an
-// incomplete record of a process that was killed while it wrote, or, where there are more, a
-// damaged file.
+// LostBytes returns the number of bytes beyond the valid records that were cut off when the journal
+// was opened. They are the incomplete record of a process that was killed during a write or, if
+// there are more bytes than that, a sign of a damaged file.
 func (j *Journal) LostBytes() int64 { return j.lostBytes }
 
-// LastWriteAt is the latest time that the last process is known to have written the journal; ok is
-// false where that is not known, or the machine has been started since.
+// LastWriteAt returns the latest time at which the previous process is known to have written the
+// journal. ok is false if that time is unknown or the machine has rebooted since.
 func (j *Journal) LastWriteAt() (at clock.Instant, ok bool) {
-	return j.latestTime, j.latestTime > 0 && !j.rebased
+	return j.latestTime, j.latestTime > 0 && !j.timesRebased
 }
 
-// IsNew reports whether there was no journal when it was opened.
+// IsNew reports whether Open found no journal.
 func (j *Journal) IsNew() bool { return j.isNew }
 
-// Forgotten lists, once, the messages that the file still names and that were forgotten when it
-// was opened.
+// Forgotten returns the messages that had both their entry and its removal in the file when it was
+// opened. A second call returns none.
 func (j *Journal) Forgotten() []*Entry {
-	forgotten := j.forgotten
-	j.forgotten = nil
-	return forgotten
+	removed := j.removed
+	j.removed = nil
+	return removed
 }
 
-// Entries lists the entries in the order in which they were accepted.
+// Entries returns the entries in the order in which they were accepted.
 func (j *Journal) Entries() []*Entry {
 	var list []*Entry
 	for _, entry := range j.entries {
@@ -188,10 +189,10 @@
 	return list
 }
 
-// Get returns an entry, or nil.
+// Get returns the entry of a message, or nil.
 func (j *Journal) Get(id string) *Entry { return j.entries[id] }
 
-// Unacknowledged counts the final answers that have not been acknowledged.
+// Unacknowledged returns the number of final answers that have not been acknowledged.
 func (j *Journal) Unacknowledged() (n int) {
 	for _, entry := range j.entries {
 		if entry.FinalAnswer != "" && !entry.Acknowledged {
@@ -201,24 +202,25 @@
 	return n
 }
 
-// Incarnation is the one that the journal names last; 0: none.
+// Incarnation returns the last incarnation that the journal records; 0: none.
 func (j *Journal) Incarnation() uint64 { return j.incarnation }
 
-// Excluded reports whether an endpoint is excluded.
+// Excluded reports whether an endpoint is excluded from new attempts.
 func (j *Journal) Excluded(endpoint string) bool { return j.excluded[endpoint] }
 
-// HasRoom reports whether one more message of that many bytes in all can be accepted, next to those
-// that were promised room already, and still get its attempts, a final answer and a compaction.
-func (j *Journal) HasRoom(bytes, promised int) bool {
-	return j.liveBytes+int64(bytes+promised)+2*messageOverhead+blockSize <= j.messageRoom()
+// HasRoom reports whether one more message whose RecordSize is bytes can be accepted, with space left
+// for its attempts, its final answer and a compaction. reserved is the RecordSize of the messages
+// that the caller has already admitted and will still pass to Accept.
+func (j *Journal) HasRoom(bytes, reserved int) bool {
+	return j.liveBytes+int64(bytes+reserved)+2*messageOverhead+headReserve <= j.messageCapacity()
 }
 
-// FillLevel is how much of the room for messages is taken: 1 where HasRoom has none for a further
-// one.
+// FillLevel returns the used share of the space for messages. At 1, HasRoom refuses any further
+// message.
 func (j *Journal) FillLevel() float64 {
-	return float64(j.liveBytes+2*messageOverhead+blockSize) / float64(j.messageRoom())
+	return float64(j.liveBytes+2*messageOverhead+headReserve) / float64(j.messageCapacity())
 }
 
-// messageRoom is the part of the file that new messages may fill, in bytes. Their later records
-// need the remainder.
-func (j *Journal) messageRoom() int64 { return j.maxSize * 3 / 4 }
+// messageCapacity returns the part of the file that new messages may fill, in bytes. Their later
+// records need the remainder.
+func (j *Journal) messageCapacity() int64 { return j.maxSize * 3 / 4 }
--- a/internal/journal/lock.go
+++ b/internal/journal/lock.go
@@ -12,12 +12,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// acquireLock takes the lock, or fails at once. The error is ErrLocked where another process holds
-// it.
+// acquireLock locks the lock file without waiting. The error is ErrLocked if another process holds
+// the lock.
 func acquireLock(path string) (*statefs.File, error) {
 	file, err := statefs.Open(path, os.O_RDWR|os.O_CREATE)
 	if err != nil {
-		return nil, fmt.Errorf("journal: opening the lock: %w", err)
+		return nil, fmt.Errorf("journal: opening the lock file: %w", err)
 	}
 	if err := syscall.Flock(file.Descriptor(), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		if errors.Is(err, syscall.EWOULDBLOCK) {
@@ -28,19 +28,19 @@
 	return file, nil
 }
 
-// Stamp tells a file from its copies: a copy has another inode, or another time of creation. The
-// device's number is not in it, since it may be another after each boot of the machine.
+// Stamp identifies a file, so that it can be told from a copy: a copy has another inode or another
+// creation time. The device number is not included, since it may change with each boot.
 type Stamp struct {
 	Inode     uint64 `json:"inode"`
-	CreatedNs int64  `json:"born,omitempty"` // in nanoseconds of Unix time; 0: the file system does not say
+	CreatedNs int64  `json:"born,omitempty"` // Unix time in nanoseconds; 0: the file system does not record it
 }
 
-// FileStamp returns the stamp of the lock file in dir, which is never replaced.
+// FileStamp returns the stamp of the lock file in dir, the one file there that is never replaced.
 func FileStamp(dir string) (Stamp, error) {
 	var stat unix.Statx_t
 	path := filepath.Join(dir, lockName)
 	if err := unix.Statx(unix.AT_FDCWD, path, 0, unix.STATX_INO|unix.STATX_BTIME, &stat); err != nil {
-		return Stamp{}, fmt.Errorf("journal: reading the stamp of %s: %w", path, err)
+		return Stamp{}, fmt.Errorf("journal: reading the inode of %s: %w", path, err)
 	}
 	stamp := Stamp{Inode: stat.Ino}
 	if stat.Mask&unix.STATX_BTIME != 0 {
--- a/internal/journal/operations.go
+++ b/internal/journal/operations.go
@@ -2,26 +2,28 @@
 
 import "brackendale/internal/clock"
 
-// The operations change the entries at once, and their records are written by the next Flush.
+// Each operation changes the entries immediately and adds its record to the batch of the current
+// step, which the next Flush writes.
 
-// Accept records a message as accepted.
+// Accept records that a message was accepted.
 func (j *Journal) Accept(entry *Entry) {
 	j.insert(entry)
-	j.buffer = entry.appendTo(j.openRecord())
+	j.buffer = entry.appendTo(j.openBatch())
 }
 
-// StartAttempt records an attempt before its first byte.
-func (j *Journal) StartAttempt(id, zone string, at clock.Instant) {
-	j.record(change{kind: recordAttemptStarted, id: id, number: int64(at), text: zone})
+// StartAttempt records an attempt. It is called before the first byte of the attempt is sent.
+func (j *Journal) StartAttempt(id, zone string, startedAt clock.Instant) {
+	j.record(changeRecord{kind: recordAttemptStarted, id: id, number: int64(startedAt), text: zone})
 }
 
 // EndAttempt records that the attempt in flight has ended, and whether it may have run.
 func (j *Journal) EndAttempt(id string, mayHaveRun bool) {
-	j.record(change{kind: recordAttemptEnded, id: id, number: boolInt(mayHaveRun)})
+	j.record(changeRecord{kind: recordAttemptEnded, id: id, number: boolInt(mayHaveRun)})
 }
 
-// MarkAmbiguous books that so many attempts of a message may have run, the first of them at that
-// time. Flush records all such messages together or none.
+// MarkAmbiguous records that a message has had that many attempts and that the first of them may
+// have run at firstRun. The next Flush rewrites the file for it, so that all messages marked since
+// the last Flush are recorded together or not at all.
 func (j *Journal) MarkAmbiguous(id string, attempts int, firstRun clock.Instant) {
 	if entry := j.entries[id]; entry != nil {
 		entry.Attempts, entry.FirstRun = attempts, firstRun
@@ -30,44 +32,46 @@
 	}
 }
 
-// End records the final answer of a message. It is kept until Forget.
+// End records the final answer of a message, which is kept until Forget.
 func (j *Journal) End(id, answer string, retryAfterMs int64) {
-	j.record(change{kind: recordFinalAnswer, id: id, number: retryAfterMs, text: answer})
+	j.record(changeRecord{kind: recordFinalAnswer, id: id, number: retryAfterMs, text: answer})
 }
 
-// Acknowledge records that the client has the final answer, for a front that must know the id
-// again.
-func (j *Journal) Acknowledge(id string) { j.record(change{kind: recordAcknowledged, id: id}) }
+// Acknowledge records that the client has confirmed the final answer. The entry is kept, for a front
+// that has to recognize the ID if it is submitted again.
+func (j *Journal) Acknowledge(id string) { j.record(changeRecord{kind: recordAcknowledged, id: id}) }
 
-// Forget records that a message is over.
-func (j *Journal) Forget(id string) { j.record(change{kind: recordForgotten, id: id}) }
+// Forget removes a message and records the removal.
+func (j *Journal) Forget(id string) { j.record(changeRecord{kind: recordRemoved, id: id}) }
 
-// SetExcluded records that an endpoint is excluded, or not any more. It is durable once Flush has
-// returned. The error is ErrFull.
-func (j *Journal) SetExcluded(endpoint string, out bool) error {
-	if j.excluded[endpoint] == out {
+// SetExcluded records that an endpoint is excluded from new attempts or, with exclude false, no
+// longer excluded. The change is durable once Flush has succeeded. The error is ErrFull if there are
+// MaxExcluded endpoints already or the disk budget is used up.
+func (j *Journal) SetExcluded(endpoint string, exclude bool) error {
+	if j.excluded[endpoint] == exclude {
 		return nil
 	}
-	if out && (len(j.excluded) >= MaxExcluded || !j.HasRoom(exclusionSize(endpoint), 0)) {
+	if exclude && (len(j.excluded) >= MaxExcluded || !j.HasRoom(exclusionSize(endpoint), 0)) {
 		return ErrFull
 	}
-	j.buffer = exclusionChange(endpoint, out).appendTo(j.openRecord())
-	j.setExcluded(endpoint, out)
+	j.buffer = exclusionChange(endpoint, exclude).appendTo(j.openBatch())
+	j.setExcluded(endpoint, exclude)
 	return nil
 }
 
-// SetIncarnation records which incarnation writes from here on.
+// SetIncarnation records the incarnation that writes the following records.
 func (j *Journal) SetIncarnation(n uint64) {
 	j.incarnation = n
-	j.buffer = incarnationChange(n).appendTo(j.openRecord())
+	j.buffer = incarnationChange(n).appendTo(j.openBatch())
 }
 
-// record records a change of an entry and applies it.
-func (j *Journal) record(c change) {
-	entry := j.entries[c.id]
+// record adds the record of a change to the batch and applies it to its entry. Without an entry it
+// does nothing.
+func (j *Journal) record(change changeRecord) {
+	entry := j.entries[change.id]
 	if entry == nil {
 		return
 	}
-	j.buffer = c.appendTo(j.openRecord())
-	j.changeEntry(entry, c)
+	j.buffer = change.appendTo(j.openBatch())
+	j.applyToEntry(entry, change)
 }
--- a/internal/journal/other_boot.go
+++ b/internal/journal/other_boot.go
@@ -6,28 +6,29 @@
 	"brackendale/internal/clock"
 )
 
-// Times in the journal are of the steady clock, which starts anew with each boot of the machine.
+// Times in the journal are of the steady clock, which restarts at zero with each boot of the machine.
 
-// unknownStart is when an attempt was sent of which nothing is known but that it was in another
-// boot: no endpoint is sure to remember its idempotency key any more.
+// unknownStart stands for the start of an attempt that was sent during another boot. It lies so far
+// back that every idempotency window has ended: endpoints may have dropped the idempotency key.
 const unknownStart clock.Instant = -1 << 50
 
-// maxPlausibleDowntime is the longest time between two processes for which the wall clock alone is
-// believed.
+// maxPlausibleDowntime is the longest time between two processes that is taken from the wall clock
+// alone. A longer one may be a step of the wall clock.
 const maxPlausibleDowntime = time.Minute
 
-// sameClock reports whether the file's times are of the clock that runs now. Where the system does
-// not tell one boot from another, a clock that has gone on is taken for the same.
+// sameClock reports whether the file's times are of the clock that runs now. If the system provides
+// no boot ID, a clock that is not behind the file's latest time is taken for the same.
 func (j *Journal) sameClock(now clock.Reading) bool {
-	return !j.wallTimes && j.bootID == now.ID && now.Boot >= j.latestTime
+	return !j.usesWallClock && j.bootID == now.ID && now.Boot >= j.latestTime
 }
 
-// rebaseTimes moves times of another clock to the one that runs now. How long nobody wrote is not
-// known: a message keeps the time that it had left then, so that one without an attempt still gets
-// one, and an attempt lies too far back for any retry that depends on its age.
+// rebaseTimes converts times of another clock to the one that runs now. How long no process ran is
+// unknown. A message keeps the time that it had left until its deadline, so that one without an
+// attempt still gets one. Attempts get unknownStart, which rules out any retry that depends on the
+// age of an attempt.
 func (j *Journal) rebaseTimes(now clock.Reading) {
 	downtime := clock.Instant(0)
-	if j.wallTimes && j.latestTime > 0 { // once, after an upgrade from such a version
+	if j.usesWallClock && j.latestTime > 0 { // once, after an upgrade from a version that recorded the wall clock
 		downtime = clock.Instant(now.Wall) - j.latestTime
 		if downtime < 0 || downtime > clock.Instant(0).Add(maxPlausibleDowntime) {
 			downtime = 0
@@ -43,10 +44,10 @@
 			entry.InFlightSince = unknownStart
 		}
 	}
-	j.needsRewrite, j.rebased = true, true
+	j.needsRewrite, j.timesRebased = true, true
 }
 
-// LimitDeadline moves the deadline of a message forward where it is later.
+// LimitDeadline replaces the deadline of a message by an earlier one.
 func (j *Journal) LimitDeadline(id string, deadline clock.Instant) {
 	if entry := j.entries[id]; entry != nil && entry.Deadline > deadline {
 		entry.Deadline = deadline
--- a/internal/journal/readonly.go
+++ b/internal/journal/readonly.go
@@ -11,9 +11,9 @@
 	"brackendale/internal/clock"
 )
 
-// ReadOnly reads the journal in dir as the next Open would, changes nothing, and returns the
-// incarnation that it names last. It reads at most budget bytes. The error is ErrLocked where a
-// process writes the journal.
+// ReadOnly reads the journal in dir as the next Open would, but changes nothing. It returns the
+// entries and the last incarnation that is recorded. It reads at most budget bytes. The error is
+// ErrLocked if a process has the journal open.
 func ReadOnly(dir string, budget int64) (entries []*Entry, incarnation uint64, err error) {
 	lock, err := os.Open(filepath.Join(dir, lockName))
 	if err == nil {
@@ -22,7 +22,7 @@
 			return nil, 0, errors.Join(ErrLocked, err)
 		}
 	} else if !errors.Is(err, os.ErrNotExist) {
-		return nil, 0, fmt.Errorf("journal: opening the lock: %w", err)
+		return nil, 0, fmt.Errorf("journal: opening the lock file: %w", err)
 	}
 	file, err := os.Open(filepath.Join(dir, fileName))
 	if errors.Is(err, os.ErrNotExist) {
--- a/internal/journal/replay.go
+++ b/internal/journal/replay.go
@@ -2,21 +2,23 @@
 
 import "brackendale/internal/clock"
 
-// replay applies the records of a file and returns how many of its bytes are sound.
+// replay applies the records of a file and returns the number of bytes that the valid ones take,
+// with the first line.
 func (j *Journal) replay(raw []byte) int64 {
 	if !hasMagic(raw) {
 		return 0
 	}
-	j.wallTimes = string(raw[:len(magic)]) == magicWallClock
+	j.usesWallClock = string(raw[:len(magic)]) == magicWallClock
 	return int64(len(magic) + walkRecords(raw[len(magic):], j.applyRecord))
 }
 
-// applyRecord applies one record; false means that it makes no sense.
+// applyRecord applies one record. It returns false if the record is malformed or contradicts the
+// records before it.
 func (j *Journal) applyRecord(payload []byte) bool {
 	fields := &fieldReader{unread: payload}
 	switch kind := recordKind(fields.byte()); kind {
-	case recordGroup:
-		return j.applyGroup(fields.unread)
+	case recordBatch:
+		return j.applyBatch(fields.unread)
 	case recordAccepted:
 		entry := readEntry(fields)
 		if fields.malformed || entry.Attempts < 0 || j.entries[entry.ID] != nil {
@@ -25,65 +27,67 @@
 		j.insert(entry)
 		return true
 	default:
-		made := change{kind: kind, id: fields.text(), number: fields.int(), text: fields.text()}
-		return !fields.malformed && j.applyChange(made)
+		change := changeRecord{kind: kind, id: fields.text(), number: fields.int(), text: fields.text()}
+		return !fields.malformed && j.applyChange(change)
 	}
 }
 
-// applyGroup applies the records of a group. Its checksum was right, and so all of it was written.
-func (j *Journal) applyGroup(records []byte) bool {
-	applyMember := func(payload []byte) bool {
-		return len(payload) > 0 && recordKind(payload[0]) != recordGroup && j.applyRecord(payload)
+// applyBatch applies the records of a batch. The checksum of the batch was right, so all of it was
+// written.
+func (j *Journal) applyBatch(records []byte) bool {
+	applyInner := func(payload []byte) bool {
+		return len(payload) > 0 && recordKind(payload[0]) != recordBatch && j.applyRecord(payload)
 	}
-	return walkRecords(records, applyMember) == len(records)
+	return walkRecords(records, applyInner) == len(records)
 }
 
-// applyChange applies a change; false means that it makes no sense.
-func (j *Journal) applyChange(made change) bool {
-	switch made.kind {
+// applyChange applies a change. It returns false if its kind is unknown or it changes a message that
+// has no entry.
+func (j *Journal) applyChange(change changeRecord) bool {
+	switch change.kind {
 	case recordIncarnation:
-		j.incarnation = uint64(made.number)
+		j.incarnation = uint64(change.number)
 	case recordExclusion:
-		j.setExcluded(made.id, made.number != 0)
+		j.setExcluded(change.id, change.number != 0)
 	case recordClock:
-		j.latestTime = max(j.latestTime, clock.Instant(made.number))
-		if made.text != "" {
-			j.bootID = made.text
+		j.latestTime = max(j.latestTime, clock.Instant(change.number))
+		if change.text != "" {
+			j.bootID = change.text
 		}
-	case recordAttemptStarted, recordAttemptEnded, recordFinalAnswer, recordForgotten, recordAcknowledged:
-		entry := j.entries[made.id]
+	case recordAttemptStarted, recordAttemptEnded, recordFinalAnswer, recordRemoved, recordAcknowledged:
+		entry := j.entries[change.id]
 		if entry == nil {
 			return false
 		}
-		j.changeEntry(entry, made)
+		j.applyToEntry(entry, change)
 	default:
 		return false
 	}
 	return true
 }
 
-// changeEntry changes an entry as a record says.
-func (j *Journal) changeEntry(entry *Entry, made change) {
-	switch made.kind {
+// applyToEntry applies a change to the entry of its message.
+func (j *Journal) applyToEntry(entry *Entry, change changeRecord) {
+	switch change.kind {
 	case recordAttemptStarted:
 		entry.Attempts++
-		entry.InFlightSince, entry.InFlightZone = clock.Instant(made.number), made.text
+		entry.InFlightSince, entry.InFlightZone = clock.Instant(change.number), change.text
 		j.latestTime = max(j.latestTime, entry.InFlightSince)
 	case recordAttemptEnded:
-		if mayHaveRun := made.number != 0; mayHaveRun && entry.FirstRun == 0 {
+		if mayHaveRun := change.number != 0; mayHaveRun && entry.FirstRun == 0 {
 			entry.FirstRun, entry.Zone = entry.InFlightSince, entry.InFlightZone
 		}
 		entry.InFlightSince, entry.InFlightZone = 0, ""
 	case recordFinalAnswer:
 		j.liveBytes -= int64(len(entry.Body))
-		entry.FinalAnswer, entry.RetryAfterMs, entry.Body = made.text, made.number, nil
+		entry.FinalAnswer, entry.RetryAfterMs, entry.Body = change.text, change.number, nil
 	case recordAcknowledged:
 		j.liveBytes -= int64(RecordSize(entry))
 		entry.Acknowledged = true
 		j.liveBytes += int64(RecordSize(entry))
-	case recordForgotten:
+	case recordRemoved:
 		if !j.opened {
-			j.forgotten = append(j.forgotten, entry)
+			j.removed = append(j.removed, entry)
 			entry.Body = nil
 		}
 		j.liveBytes -= int64(RecordSize(entry))
@@ -98,16 +102,17 @@
 	j.liveBytes += int64(RecordSize(entry))
 }
 
-func (j *Journal) setExcluded(endpoint string, out bool) {
+func (j *Journal) setExcluded(endpoint string, exclude bool) {
 	switch {
-	case out && !j.excluded[endpoint]:
+	case exclude && !j.excluded[endpoint]:
 		j.excluded[endpoint] = true
 		j.liveBytes += int64(exclusionSize(endpoint))
-	case !out && j.excluded[endpoint]:
+	case !exclude && j.excluded[endpoint]:
 		delete(j.excluded, endpoint)
 		j.liveBytes -= int64(exclusionSize(endpoint))
 	}
 }
 
-// exclusionSize is what an exclusion takes, in bytes, with the record that ends it.
+// exclusionSize returns the space that an exclusion takes, in bytes, including the record that ends
+// it.
 func exclusionSize(endpoint string) int { return 2 * (len(endpoint) + 32) }
--- a/internal/journal/verify.go
+++ b/internal/journal/verify.go
@@ -10,31 +10,32 @@
 	"time"
 )
 
-// A record that is wrong is read so many times more, with so long between.
+// A record that does not match its checksum may be half written: the file is read again.
 const (
 	verifyRetries    = 2
 	verifyRetryDelay = 20 * time.Millisecond
 )
 
-// ErrDamaged says that a record of the journal does not match its checksum.
+// ErrDamaged reports that a record of the journal does not match its checksum.
 var ErrDamaged = errors.New("journal: the journal is damaged")
 
-// Verify reads the journal in dir back and returns how many records are whole. Its sender may be
-// writing meanwhile: what it has half written at the end, or replaces by a compaction, is no
-// damage. It reads at most budget bytes. The error is ErrDamaged, or that of reading.
+// Verify reads the journal in dir, checks all checksums and returns the number of valid records. The
+// sender may be writing at the same time: an incomplete record at the end and a file that is being
+// replaced by a compaction are not damage. It reads at most budget bytes. The error is ErrDamaged or
+// a read error.
 func Verify(dir string, budget int64) (records int, err error) {
-	for try := 0; ; try++ {
+	for retries := 0; ; retries++ {
 		records, err = verifyOnce(dir, budget)
-		if !errors.Is(err, ErrDamaged) || try == verifyRetries {
+		if !errors.Is(err, ErrDamaged) || retries == verifyRetries {
 			return records, err
 		}
-		time.Sleep(verifyRetryDelay) // what was half written is whole then
+		time.Sleep(verifyRetryDelay) // lets a write in progress finish
 	}
 }
 
 func verifyOnce(dir string, budget int64) (records int, err error) {
 	file, err := os.Open(filepath.Join(dir, fileName))
-	if errors.Is(err, os.ErrNotExist) { // between two names of a compaction, or none was ever needed
+	if errors.Is(err, os.ErrNotExist) { // during the rename of a compaction, or nothing was ever written
 		return 0, nil
 	}
 	if err != nil {
@@ -49,16 +50,16 @@
 		return 0, nil
 	}
 	if !hasMagic(raw) {
-		return 0, fmt.Errorf("%w: it does not begin as one", ErrDamaged)
+		return 0, fmt.Errorf("%w: unknown first line", ErrDamaged)
 	}
-	at := len(magic) + walkRecords(raw[len(magic):], func([]byte) bool { records++; return true })
-	if isPartialRecord(raw[at:], budget) {
+	offset := len(magic) + walkRecords(raw[len(magic):], func([]byte) bool { records++; return true })
+	if isPartialRecord(raw[offset:], budget) {
 		return records, nil
 	}
-	return records, fmt.Errorf("%w: the record at %d", ErrDamaged, at)
+	return records, fmt.Errorf("%w: invalid record at offset %d", ErrDamaged, offset)
 }
 
-// isPartialRecord reports whether a file may end like this while a record is being written.
+// isPartialRecord reports whether tail may be the beginning of a record that is still being written.
 func isPartialRecord(tail []byte, budget int64) bool {
 	if len(tail) < headerSize {
 		return true
--- a/internal/journal/verify_test.go
+++ b/internal/journal/verify_test.go
@@ -9,33 +9,33 @@
 	"testing"
 )
 
-// A journal that is being written, with compactions, reads back. A bit turned over in one at rest
-// is found, wherever it is, and an incomplete record at the end is no damage.
+// Verify must find no damage in a journal that is being written and compacted, nor in one that ends
+// with an incomplete record. It must notice a flipped bit wherever it is.
 func TestVerify(t *testing.T) {
 	dir := t.TempDir()
-	s := openTest(t, dir, budget)
+	j := openTest(t, dir, budget)
 	done := make(chan error, 1)
 	go func() {
 		for i := range 3000 {
 			id := fmt.Sprint(i)
-			s.Accept(&Entry{ID: id, Body: make([]byte, 700)})
+			j.Accept(&Entry{ID: id, Body: make([]byte, 700)})
 			if i > 20 {
-				s.Forget(fmt.Sprint(i - 20))
+				j.Forget(fmt.Sprint(i - 20))
 			}
-			if err := s.Flush(); err != nil {
+			if err := j.Flush(); err != nil {
 				done <- err
 				return
 			}
 		}
-		done <- s.Close()
+		done <- j.Close()
 	}()
-	for busy := true; busy; {
+	for writing := true; writing; {
 		if _, err := Verify(dir, budget); err != nil {
 			t.Fatal(err)
 		}
 		select {
 		case err := <-done:
-			if busy = false; err != nil {
+			if writing = false; err != nil {
 				t.Fatal(err)
 			}
 		default:
@@ -46,58 +46,58 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n, err := Verify(dir, budget)
-	if err != nil || n < 20 {
-		t.Fatal(n, err)
+	records, err := Verify(dir, budget)
+	if err != nil || records < 20 {
+		t.Fatal(records, err)
 	}
-	for at := 0; at < len(raw); at += len(raw)/40 + 1 {
-		bad := append([]byte(nil), raw...)
-		bad[at] ^= 4
-		if err := os.WriteFile(path, bad, 0o600); err != nil {
+	for offset := 0; offset < len(raw); offset += len(raw)/40 + 1 {
+		damaged := append([]byte(nil), raw...)
+		damaged[offset] ^= 4
+		if err := os.WriteFile(path, damaged, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if got, err := Verify(dir, budget); !errors.Is(err, ErrDamaged) && got == n {
-			t.Fatalf("byte %d turned over: %v", at, err)
+		if got, err := Verify(dir, budget); !errors.Is(err, ErrDamaged) && got == records {
+			t.Fatalf("flipped bit in byte %d: %v", offset, err)
 		}
 	}
 	if err := os.WriteFile(path, raw[:len(raw)-3], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := Verify(dir, budget); err != nil || got != n-1 {
-		t.Errorf("a torn end: %d of %d, %v", got, n, err)
+	if got, err := Verify(dir, budget); err != nil || got != records-1 {
+		t.Errorf("incomplete last record: %d of %d records, %v", got, records, err)
 	}
 }
 
-// The incarnation that writes stands in the journal over compactions, an incomplete record and
-// restarts; ReadOnly returns it and writes nothing.
+// The recorded incarnation must survive compactions and restarts. ReadOnly must return it, and must
+// refuse to read while the journal is open.
 func TestIncarnation(t *testing.T) {
 	dir := t.TempDir()
-	s, err := Open(dir, 64<<10)
+	j, err := Open(dir, 64<<10)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.SetIncarnation(3)
-	s.Accept(&Entry{ID: "kept", Body: []byte("b")})
+	j.SetIncarnation(3)
+	j.Accept(&Entry{ID: "kept", Body: []byte("b")})
 	for i := range 2000 {
 		id := strconv.Itoa(i)
-		s.Accept(&Entry{ID: id, Body: make([]byte, 100)})
-		s.Forget(id)
-		if err := s.Flush(); err != nil {
+		j.Accept(&Entry{ID: id, Body: make([]byte, 100)})
+		j.Forget(id)
+		if err := j.Flush(); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if _, _, err := ReadOnly(dir, 64<<10); !errors.Is(err, ErrLocked) {
-		t.Errorf("read while it is written: %v", err)
+		t.Errorf("ReadOnly while the journal is open: %v", err)
 	}
-	if err := s.Close(); err != nil {
+	if err := j.Close(); err != nil {
 		t.Fatal(err)
 	}
 	list, incarnation, err := ReadOnly(dir, 64<<10)
 	if err != nil || incarnation != 3 || len(list) != 1 || list[0].ID != "kept" {
 		t.Fatal(list, incarnation, err)
 	}
-	if s, err = Open(dir, 64<<10); err != nil || s.Incarnation() != 3 {
+	if j, err = Open(dir, 64<<10); err != nil || j.Incarnation() != 3 {
 		t.Fatal(err)
 	}
-	_ = s.Close()
+	_ = j.Close()
 }
--- a/internal/journal/write.go
+++ b/internal/journal/write.go
@@ -13,18 +13,18 @@
 	"brackendale/internal/statefs"
 )
 
-// clockRecordInterval is the least time between two records of the clock.
+// clockRecordInterval is the minimum time between two clock records.
 const clockRecordInterval = time.Second
 
-// openRecord returns the record of the step, to which a further part may be appended. All that a
-// step records is one record of the file: where its write fails or is cut short, nothing of the
-// step is read back.
-func (j *Journal) openRecord() []byte {
+// openBatch returns the batch record of the current step, to which the caller appends a record; it
+// starts one if there is none. A step's records form one record of the file, so that nothing of the
+// step is read back if its write fails or is incomplete.
+func (j *Journal) openBatch() []byte {
 	if len(j.buffer) > 0 {
 		return j.buffer
 	}
 	out, _ := beginRecord(nil)
-	out = append(out, byte(recordGroup))
+	out = append(out, byte(recordBatch))
 	if now := j.now(); now.Sub(j.clockRecordedAt) >= clockRecordInterval {
 		j.clockRecordedAt = now
 		out = clockChange(now, "").appendTo(out)
@@ -32,9 +32,9 @@
 	return out
 }
 
-// Flush writes what the step has recorded, in one write. After an error nothing of it counts as
-// written, and the next call writes it together with what was recorded since. The error is ErrFull
-// where the disk budget has no room.
+// Flush writes the records of the current step in one write. After an error none of them counts as
+// written; the next call writes them together with those added since. The error is ErrFull if the
+// disk budget is used up.
 func (j *Journal) Flush() error {
 	if len(j.buffer) == 0 && !j.needsRewrite {
 		return nil
@@ -48,7 +48,7 @@
 	n, err := j.file.WriteAt(finishRecord(j.buffer, 0), j.size)
 	if err != nil {
 		j.torn = true
-		_ = j.truncateTail() // else before the next write
+		_ = j.truncateTail() // if it fails, the next Flush tries again before it writes
 		return fmt.Errorf("journal: writing: %w", err)
 	}
 	j.size += int64(n)
@@ -56,12 +56,12 @@
 	return nil
 }
 
-// Torn reports whether something of a write that failed still lies behind the sound records. It may
-// be a whole record: until it is cut off, the next process may take it for written.
+// Torn reports whether bytes of a failed write may still follow the valid records in the file. They
+// may form a complete record: until they are cut off, the next process may read it as written.
 func (j *Journal) Torn() bool { return j.torn }
 
-// truncateTail removes what a write that failed has left: a shorter record in its place could leave
-// a part of it readable.
+// truncateTail cuts off what a failed write has left behind. If a shorter record were written over
+// it, the rest might still be readable as a record.
 func (j *Journal) truncateTail() error {
 	if !j.torn {
 		return nil
@@ -73,33 +73,33 @@
 	return nil
 }
 
-// compact writes the entries to a new file and puts that in the old one's place. What the step has
-// recorded is in it, since entries are changed as they are recorded.
+// compact writes the entries to a new file and replaces the old one with it. The records of the
+// current step need no write of their own: their changes are already in the entries.
 func (j *Journal) compact() error {
 	out := j.encodeAll()
 	if int64(len(out)) > j.maxSize {
 		return ErrFull
 	}
-	name := statefs.TempName(j.path())
+	name := statefs.TempName(j.filePath())
 	file, err := j.createTemp(name)
 	defer j.openSpare()
 	if err != nil {
 		return fmt.Errorf("journal: creating the file of a compaction: %w", err)
 	}
 	if _, err = file.WriteAt(out, 0); err == nil {
-		err = file.Rename(j.path())
+		err = file.Rename(j.filePath())
 	}
 	if err != nil {
-		_ = file.Close() // the old file still stands
+		_ = file.Close() // the old file remains in use
 		return fmt.Errorf("journal: compaction: %w", errors.Join(err, statefs.Remove(name)))
 	}
-	_ = j.file.Close() // it has no name any more
+	_ = j.file.Close() // the rename has removed its name
 	j.file, j.size, j.torn = file, int64(len(out)), false
 	j.buffer, j.needsRewrite = j.buffer[:0], false
 	return nil
 }
 
-// encodeAll encodes a whole file.
+// encodeAll returns the content of a new file.
 func (j *Journal) encodeAll() []byte {
 	j.clockRecordedAt = j.now()
 	out := clockChange(j.clockRecordedAt, clock.BootID()).appendTo([]byte(magic))
@@ -115,8 +115,8 @@
 	return out
 }
 
-// createTemp creates the file of a compaction, with the spare descriptor where idle clients, say,
-// hold all others.
+// createTemp creates the temporary file of a compaction. If all descriptors are in use, by idle
+// clients for example, it closes the spare one to have one.
 func (j *Journal) createTemp(name string) (*statefs.File, error) {
 	const flags = os.O_RDWR | os.O_CREATE | os.O_TRUNC
 	file, err := statefs.Open(name, flags)
@@ -129,7 +129,7 @@
 
 func (j *Journal) openSpare() {
 	if j.spareDescriptor == nil {
-		j.spareDescriptor, _ = os.Open(os.DevNull) // without one a compaction may have to wait
+		j.spareDescriptor, _ = os.Open(os.DevNull) // without it, a compaction fails until a descriptor is free
 	}
 }
 
