--- a/internal/journal/other_boot.go
+++ b/internal/journal/other_boot.go
@@ -47,7 +47,8 @@
 	j.needsRewrite, j.timesRebased = true, true
 }
 
-// LimitDeadline replaces the deadline of a message by an earlier one.
+// LimitDeadline lowers the deadline of a message to the given one. A message with an earlier deadline
+// keeps it.
 func (j *Journal) LimitDeadline(id string, deadline clock.Instant) {
 	if entry := j.entries[id]; entry != nil && entry.Deadline > deadline {
 		entry.Deadline = deadline
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -18,14 +18,13 @@
 //
 //	go test ./internal/snapshot -run Golden -update-golden
 //
-// The files pin the format on disk. Regenerate them only for an intended change of the format, with
-// a new magic.
+// The files fix the format on disk. Regenerate them only for an intended change of the format, with
+// a new magic line.
 var updateGolden = flag.Bool("update-golden", false, "write the files in testdata/golden anew")
 
 func goldenPath(name string) string { return filepath.Join("testdata", "golden", name) }
 
-// checkGolden compares raw with a golden file, byte by byte, and its hex dump with the one beside
-// it.
+// checkGolden compares raw with a golden file byte by byte, and its hex dump with the file beside it.
 func checkGolden(t *testing.T, name string, raw []byte) {
 	t.Helper()
 	for file, got := range map[string][]byte{name: raw, name + ".hex": []byte(hex.Dump(raw))} {
@@ -49,7 +48,7 @@
 	return raw
 }
 
-// fullSnapshot returns a snapshot with every field set, those of the nested types too.
+// fullSnapshot returns a snapshot with every field set, including those of nested types.
 func fullSnapshot() Snapshot {
 	route := scheduler.RouteState{
 		Floats: []float64{2.5, -0.125}, Integers: []int64{900_000, -1}, Counts: []int{1, 2},
@@ -63,7 +62,7 @@
 		Floats: []float64{1.5}, Integers: []int64{11}, Counts: []int{3}, Flags: []bool{true},
 		Failures: [][3]int64{{1, 2, 3}, {4, 5, 6}}, OwnRoute: &route,
 	}
-	module := scheduler.State{
+	state := scheduler.State{
 		Format: 1, Floats: []float64{0.1}, Integers: []int64{5, 6}, ConnectFailureShare: map[string]float64{"b": 2, "a": 1},
 		RetrySpread: map[string]float64{"k": 0.5}, Tenants: map[string][2]float64{"t": {3, 4}},
 		Destinations: []scheduler.DestinationState{{
@@ -81,11 +80,11 @@
 	}
 	return Snapshot{
 		Name: "n1", TakenAt: clock.Reading{Wall: 1_700_000_000_000_000, Boot: 50_000_000, ID: "boot-1"},
-		Scheduler: module, Draining: []string{"target-1", "target-2"},
+		Scheduler: state, Draining: []string{"target-1", "target-2"},
 	}
 }
 
-// bareSnapshot returns a snapshot in which what may be left out is empty.
+// bareSnapshot returns a snapshot in which every optional field is empty.
 func bareSnapshot() Snapshot {
 	return Snapshot{Name: "n1", Scheduler: scheduler.State{
 		Format:       1,
@@ -93,58 +92,58 @@
 	}}
 }
 
-// A snapshot is encoded to the same bytes, is decoded from them with every field as it was, and to
-// the same bytes again.
+// A snapshot must be encoded to the bytes of the golden file, decoded from them with every field
+// unchanged, and encoded to the same bytes again.
 func TestGoldenSnapshot(t *testing.T) {
-	for name, m := range map[string]Snapshot{"full.memory": fullSnapshot(), "bare.memory": bareSnapshot()} {
-		raw, err := Encode(m)
+	for name, want := range map[string]Snapshot{"full.memory": fullSnapshot(), "bare.memory": bareSnapshot()} {
+		raw, err := Encode(want)
 		if err != nil {
 			t.Fatal(err)
 		}
 		checkGolden(t, name, raw)
 		got, err := Decode(readGolden(t, name))
-		if err != nil || !reflect.DeepEqual(got, m) {
-			t.Errorf("%s: %v\ngot  %+v\nwant %+v", name, err, got, m)
+		if err != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("%s: %v\ngot  %+v\nwant %+v", name, err, got, want)
 		}
 		again, err := Encode(got)
 		if err != nil || !bytes.Equal(again, raw) {
-			t.Errorf("%s: encoded again: %v\n%s", name, err, again)
+			t.Errorf("%s: second encoding: %v\n%s", name, err, again)
 		}
 	}
 }
 
-// Every field of the full snapshot is set, so that none is missing from the golden file.
+// Every field of the full snapshot must be set, so that none is missing from the golden file.
 func TestGoldenSnapshotIsFull(t *testing.T) {
 	checkSet(t, "Image", reflect.ValueOf(fullSnapshot()))
 }
 
-func checkSet(t *testing.T, path string, v reflect.Value) {
+func checkSet(t *testing.T, path string, value reflect.Value) {
 	t.Helper()
-	if v.IsZero() && v.Kind() != reflect.Bool {
+	if value.IsZero() && value.Kind() != reflect.Bool {
 		t.Errorf("%s is not set", path)
 		return
 	}
-	switch v.Kind() {
+	switch value.Kind() {
 	case reflect.Pointer:
-		checkSet(t, path, v.Elem())
+		checkSet(t, path, value.Elem())
 	case reflect.Struct:
-		for i := range v.NumField() {
-			f := v.Field(i)
-			if f.IsZero() {
-				t.Errorf("%s.%s is not set", path, v.Type().Field(i).Name)
+		for i := range value.NumField() {
+			field := value.Field(i)
+			if field.IsZero() {
+				t.Errorf("%s.%s is not set", path, value.Type().Field(i).Name)
 				continue
 			}
-			checkSet(t, path+"."+v.Type().Field(i).Name, f)
+			checkSet(t, path+"."+value.Type().Field(i).Name, field)
 		}
 	case reflect.Slice, reflect.Array:
-		if v.Len() > 0 && v.Index(0).Kind() == reflect.Struct {
-			checkSet(t, path+"[0]", v.Index(0))
+		if value.Len() > 0 && value.Index(0).Kind() == reflect.Struct {
+			checkSet(t, path+"[0]", value.Index(0))
 		}
 	}
 }
 
-// The stored JSON names no field that Snapshot does not have: a renamed field without its tag shows
-// here.
+// The stored JSON must have no field that Snapshot lacks. This detects a renamed field without a tag
+// that keeps its stored name.
 func TestGoldenStrict(t *testing.T) {
 	for name, want := range map[string]Snapshot{"full.memory": fullSnapshot(), "bare.memory": bareSnapshot()} {
 		dec := json.NewDecoder(bytes.NewReader(readGolden(t, name)[len("brackendale memory 2\n")+8:]))
@@ -156,15 +155,15 @@
 	}
 }
 
-// The file has its name and is read from its place in the folder.
+// The file must be written and read under the name that earlier versions use.
 func TestGoldenFile(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "memory"), readGolden(t, "full.memory"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	got, there, err := Read(dir, "n1")
-	if err != nil || !there || !reflect.DeepEqual(got, fullSnapshot()) {
-		t.Fatalf("%v %v\ngot  %+v", there, err, got)
+	got, found, err := Read(dir, "n1")
+	if err != nil || !found || !reflect.DeepEqual(got, fullSnapshot()) {
+		t.Fatalf("%v %v\ngot  %+v", found, err, got)
 	}
 	other := t.TempDir()
 	if err := Write(other, fullSnapshot()); err != nil {
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,6 +1,6 @@
-// Package snapshot stores the learned state that an incarnation leaves for the next one: the
-// encoding, and the writing and reading of the file. A file that is torn, another sender's, too
-// large or of another version is dropped, which costs knowledge and nothing else.
+// Package snapshot encodes, writes and reads the file with the learned state that an incarnation
+// leaves for the next one. A file that is damaged, too large, of another version or of another sender
+// is not used: the sender then starts without learned state, and nothing else is lost.
 package snapshot
 
 import (
@@ -18,16 +18,16 @@
 	"brackendale/scheduler"
 )
 
-// MaxBytes is the size limit of the file; while it is replaced there are two of them.
+// MaxBytes is the size limit of the file. While the file is being replaced, there are two of them.
 const MaxBytes = 32 << 10
 
-// Stored data.
+// The file name and the first line of the file. Stored data.
 const (
 	fileName = "memory"
 	magic    = "brackendale memory 2\n"
 )
 
-// A file is the magic line, the checksum and the size of the body, and the body.
+// A file consists of the magic line, the checksum of the body, the size of the body, and the body.
 const (
 	checksumOffset = len(magic)
 	sizeOffset     = checksumOffset + 4
@@ -36,19 +36,19 @@
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// ErrUnreadable says that a file is of no use to the sender.
+// ErrUnreadable reports that the sender cannot use a file.
 var ErrUnreadable = errors.New("snapshot: not readable")
 
-// Snapshot is what is stored.
+// Snapshot is the content of the file.
 type Snapshot struct {
 	Name      string          `json:"Name"` // of the sender
 	TakenAt   clock.Reading   `json:"At"`
 	Scheduler scheduler.State `json:"Module"`
-	Draining  []string        `json:"Gone"` // endpoints that were draining or gone, the latest last
+	Draining  []string        `json:"Gone"` // endpoints that were draining or no longer listed, the latest last
 }
 
-// Encode returns the bytes of a file. Where they are more than MaxBytes, the last destinations are
-// left out.
+// Encode returns the content of a file. If it would exceed MaxBytes, the last destinations are left
+// out.
 func Encode(snapshot Snapshot) ([]byte, error) {
 	var out bytes.Buffer
 	for {
@@ -73,17 +73,17 @@
 	return raw, nil
 }
 
-// Decode reads the bytes of a file. The error is ErrUnreadable where they are not whole or of
-// another version.
+// Decode decodes the content of a file. The error is ErrUnreadable if it is damaged or of another
+// version.
 func Decode(raw []byte) (Snapshot, error) {
 	if len(raw) < headerSize || string(raw[:len(magic)]) != magic {
-		return Snapshot{}, fmt.Errorf("%w: it does not begin as one of this version", ErrUnreadable)
+		return Snapshot{}, fmt.Errorf("%w: unknown format version", ErrUnreadable)
 	}
 	body := raw[headerSize:]
 	size := binary.LittleEndian.Uint32(raw[sizeOffset:])
 	checksum := binary.LittleEndian.Uint32(raw[checksumOffset:])
 	if size != uint32(len(body)) || checksum != crc32.Checksum(body, crcTable) {
-		return Snapshot{}, fmt.Errorf("%w: it is torn", ErrUnreadable)
+		return Snapshot{}, fmt.Errorf("%w: wrong size or checksum", ErrUnreadable)
 	}
 	var snapshot Snapshot
 	if err := json.Unmarshal(body, &snapshot); err != nil {
@@ -92,10 +92,10 @@
 	return snapshot, nil
 }
 
-// Elapsed returns how long ago a snapshot was taken, in microseconds, and by how much the times in
-// it have to be shifted to be of the steady clock as it runs now: by nothing within one boot of the
-// machine. Between two boots only the wall clock says how long, and one that went back counts as no
-// time.
+// Elapsed returns the time since a snapshot was taken, and the shift to add to the times in it to
+// convert them to the current steady clock, both in microseconds. Within one boot of the machine the
+// shift is 0. Between two boots only the wall clock measures the elapsed time; if it was set back,
+// that counts as no time.
 func Elapsed(takenAt, now clock.Reading) (elapsed, shift int64) {
 	if takenAt.ID != "" && takenAt.ID == now.ID && now.Boot >= takenAt.Boot {
 		return int64(now.Boot - takenAt.Boot), 0
@@ -104,7 +104,7 @@
 	return elapsed, int64(now.Boot-takenAt.Boot) - elapsed
 }
 
-// Write replaces the file in dir.
+// Write replaces the file in dir by one with this snapshot.
 func Write(dir string, snapshot Snapshot) error {
 	raw, err := Encode(snapshot)
 	if err != nil {
@@ -116,11 +116,11 @@
 	return nil
 }
 
-// Read reads the file in dir; there is false where there is none. The error says why what is there
-// is of no use to the sender of that name: ErrUnreadable, or that of reading.
-func Read(dir, name string) (snapshot Snapshot, there bool, err error) {
+// Read reads the file in dir, written by the sender of that name. found is false if there is no file.
+// The error is ErrUnreadable if the file is damaged or of another version or sender, or a read error.
+func Read(dir, name string) (snapshot Snapshot, found bool, err error) {
 	path := filepath.Join(dir, fileName)
-	_ = statefs.Remove(statefs.TempName(path)) // of a process that was killed while it wrote
+	_ = statefs.Remove(statefs.TempName(path)) // left by a process that was killed during Write
 	raw, err := statefs.Read(path, MaxBytes)
 	if errors.Is(err, os.ErrNotExist) {
 		return Snapshot{}, false, nil
@@ -132,7 +132,7 @@
 		return Snapshot{}, true, err
 	}
 	if snapshot.Name != name {
-		err = fmt.Errorf("%w: it is of %.40q, and this is %q", ErrUnreadable, snapshot.Name, name)
+		err = fmt.Errorf("%w: the file is of sender %.40q, not %q", ErrUnreadable, snapshot.Name, name)
 		return Snapshot{}, true, err
 	}
 	return snapshot, true, nil
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -18,23 +18,24 @@
 	}}
 }
 
-// What is written is read; a file with any one bit turned over, cut anywhere, another sender's or
-// of another version is dropped, and nothing is there without one.
+// Read must return what Write wrote, and must report that there is no file before. A file with a
+// flipped bit, a truncated file and one of another sender must be rejected. Write must leave out
+// destinations that do not fit.
 func TestFile(t *testing.T) {
 	dir := t.TempDir()
-	if _, there, err := Read(dir, "n1"); there || err != nil {
-		t.Fatal(there, err)
+	if _, found, err := Read(dir, "n1"); found || err != nil {
+		t.Fatal(found, err)
 	}
 	if err := Write(dir, testSnapshot()); err != nil {
 		t.Fatal(err)
 	}
-	m, there, err := Read(dir, "n1")
-	if err != nil || !there || m.TakenAt != testSnapshot().TakenAt || len(m.Scheduler.Destinations) != 1 ||
-		m.Scheduler.Destinations[0].Floats[0] != 2.5 {
-		t.Fatalf("%+v %v %v", m, there, err)
+	got, found, err := Read(dir, "n1")
+	if err != nil || !found || got.TakenAt != testSnapshot().TakenAt || len(got.Scheduler.Destinations) != 1 ||
+		got.Scheduler.Destinations[0].Floats[0] != 2.5 {
+		t.Fatalf("%+v %v %v", got, found, err)
 	}
 	if _, _, err := Read(dir, "n2"); !errors.Is(err, ErrUnreadable) {
-		t.Errorf("another sender's: %v", err)
+		t.Errorf("file of another sender: %v", err)
 	}
 	path := filepath.Join(dir, fileName)
 	raw, err := os.ReadFile(path)
@@ -42,19 +43,19 @@
 		t.Fatal(err)
 	}
 	for i := range raw {
-		bad := append([]byte(nil), raw...)
-		bad[i] ^= 1 << (i % 8)
-		if _, err := Decode(bad); !errors.Is(err, ErrUnreadable) {
-			t.Fatalf("byte %d turned over: %v", i, err)
+		damaged := append([]byte(nil), raw...)
+		damaged[i] ^= 1 << (i % 8)
+		if _, err := Decode(damaged); !errors.Is(err, ErrUnreadable) {
+			t.Fatalf("flipped bit in byte %d: %v", i, err)
 		}
 		if _, err := Decode(raw[:i]); !errors.Is(err, ErrUnreadable) {
 			t.Fatalf("cut at %d: %v", i, err)
 		}
 	}
-	big := testSnapshot()
-	big.Name = strings.Repeat("x", MaxBytes)
-	if err := Write(dir, big); err == nil {
-		t.Error("a file over the bound was written")
+	tooLarge := testSnapshot()
+	tooLarge.Name = strings.Repeat("x", MaxBytes)
+	if err := Write(dir, tooLarge); err == nil {
+		t.Error("a file above MaxBytes was written")
 	}
 	many := testSnapshot()
 	for i := range int64(5000) {
@@ -62,20 +63,22 @@
 			scheduler.DestinationState{Destination: i, Floats: []float64{2.5}, Integers: []int64{900_000}})
 	}
 	err = Write(dir, many)
-	if m, _, rerr := Read(dir, "n1"); err != nil || rerr != nil || len(m.Scheduler.Destinations) < 100 ||
-		m.Scheduler.Destinations[0].Destination != 7 {
-		t.Errorf("more destinations than there is room for: %v %v, %d kept", err, rerr, len(m.Scheduler.Destinations))
+	if got, _, readErr := Read(dir, "n1"); err != nil || readErr != nil ||
+		len(got.Scheduler.Destinations) < 100 ||
+		got.Scheduler.Destinations[0].Destination != 7 {
+		t.Errorf("more destinations than fit: %v %v, %d stored", err, readErr, len(got.Scheduler.Destinations))
 	}
 }
 
-// How long a sender was down, and how far the clock was set meanwhile, whatever the clocks did.
+// The elapsed time and the shift must be right whatever the two clocks did between the snapshot and
+// now.
 func TestElapsed(t *testing.T) {
 	const s, h = 1_000_000, 3600 * 1_000_000
-	at := clock.Reading{Wall: 100 * h, Boot: 10 * h, ID: "x"}
-	for _, c := range []struct {
-		what       string
-		now        clock.Reading
-		away, move int64
+	takenAt := clock.Reading{Wall: 100 * h, Boot: 10 * h, ID: "x"}
+	for _, test := range []struct {
+		name           string
+		now            clock.Reading
+		elapsed, shift int64
 	}{
 		{"nothing odd", clock.Reading{Wall: 100*h + 3*s, Boot: 10*h + 3*s, ID: "x"}, 3 * s, 0},
 		{"set an hour forward", clock.Reading{Wall: 101*h + 3*s, Boot: 10*h + 3*s, ID: "x"}, 3 * s, 0},
@@ -84,8 +87,8 @@
 		{"started anew and set back", clock.Reading{Wall: 99 * h, Boot: 20 * s, ID: "y"}, 0, 20*s - 10*h},
 		{"no id", clock.Reading{Wall: 100*h + s, Boot: 0, ID: ""}, s, -10*h - s},
 	} {
-		if away, move := Elapsed(at, c.now); away != c.away || move != c.move {
-			t.Errorf("%s: away %d, moved %d", c.what, away, move)
+		if elapsed, shift := Elapsed(takenAt, test.now); elapsed != test.elapsed || shift != test.shift {
+			t.Errorf("%s: elapsed %d, shift %d", test.name, elapsed, shift)
 		}
 	}
 }
