--- a/internal/provenance/golden_test.go
+++ b/internal/provenance/golden_test.go
@@ -14,10 +14,10 @@
 //
 //	go test ./internal/provenance -run Golden -update-golden
 //
-// Regenerate them only for an intended change of what is stored.
+// Regenerate the files only for an intended change of what is stored or shown.
 var updateGolden = flag.Bool("update-golden", false, "write the files in testdata/golden anew")
 
-// checkGolden compares got with a golden file, byte by byte, and returns the file.
+// checkGolden compares got with a golden file byte by byte and returns the content of the file.
 func checkGolden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -36,30 +36,32 @@
 	return want
 }
 
-// A note is stored under the same names, and read back with every field.
+// A note must be stored under the same JSON names and read back with every field.
 func TestGoldenNote(t *testing.T) {
-	for name, n := range map[string]Note{
+	for name, note := range map[string]Note{
 		"note.json":        {Name: "n1", Incarnation: 3, Stamp: Stamp{Inode: 7, CreatedNs: 1_700_000_000_000_000_001}},
 		"note-unborn.json": {Name: "n1", Incarnation: 1, Stamp: Stamp{Inode: 7}},
 	} {
-		raw, err := json.Marshal(n)
+		raw, err := json.Marshal(note)
 		if err != nil {
 			t.Fatal(err)
 		}
 		dec := json.NewDecoder(bytes.NewReader(checkGolden(t, name, raw)))
 		dec.DisallowUnknownFields()
 		var got Note
-		if err := dec.Decode(&got); err != nil || got != n {
-			t.Errorf("%s: %v: got %+v, want %+v", name, err, got, n)
+		if err := dec.Decode(&got); err != nil || got != note {
+			t.Errorf("%s: %v: got %+v, want %+v", name, err, got, note)
 		}
 	}
 }
 
-// The fates have the words that operators and their scripts read.
+// The fates must keep the values that operators and their scripts read.
 func TestGoldenFates(t *testing.T) {
 	var out bytes.Buffer
-	for _, f := range []Fate{FateAcknowledged, FateNotify, FateNotifyAgain, FateContinue, FateAmbiguous, FateExpired} {
-		fmt.Fprintln(&out, f)
+	for _, disposition := range []Fate{
+		FateAcknowledged, FateNotify, FateNotifyAgain, FateContinue, FateAmbiguous, FateExpired,
+	} {
+		fmt.Fprintln(&out, disposition)
 	}
 	checkGolden(t, "fates.txt", out.Bytes())
 }
--- a/internal/provenance/provenance.go
+++ b/internal/provenance/provenance.go
@@ -1,6 +1,7 @@
-// Package provenance judges the state folder that an incarnation finds: whether it is what the last
-// incarnation left, or an older state of it, or another sender's; and what becomes of each message
-// in it then. The package does no I/O and reads no clock.
+// Package provenance checks the state folder that an incarnation finds at its start: whether it is as
+// the last incarnation of this sender left it, or a copy, a restored backup or another sender's
+// folder. It also decides what happens to each message of the folder. The package does no I/O and
+// reads no clock.
 package provenance
 
 import (
@@ -11,32 +12,33 @@
 	"brackendale/scheduler"
 )
 
-// Stamp tells a file from its copies: a copy has another inode, or another time of creation. The
-// device's number is not in it, since it may be another after each boot of the machine.
+// Stamp identifies a file, so that it can be told from a copy: a copy has another inode or another
+// creation time. The device number is not included, since it may change with each boot.
 type Stamp struct {
 	Inode     uint64 `json:"inode"`
-	CreatedNs int64  `json:"born,omitempty"` // in nanoseconds of Unix time; 0: the file system does not say
+	CreatedNs int64  `json:"born,omitempty"` // Unix time in nanoseconds; 0: the file system does not record it
 }
 
-// Note is what each incarnation leaves in the folder, beside its journal.
+// Note is the content of a file that each incarnation writes into the folder, beside its journal.
 type Note struct {
 	Name        string `json:"name"` // of the sender
 	Incarnation uint64 `json:"life"` // counted from 1
 	Stamp       Stamp  `json:"at"`   // of the journal's lock file, which is never replaced
 }
 
-// Evidence is what a folder holds.
+// Evidence is what was found in a folder.
 type Evidence struct {
 	Note               Note
-	HasNote            bool   // there is a note that can be read
-	JournalIncarnation uint64 // the one that the journal names last; 0: none, or there is no journal
+	HasNote            bool   // the folder has a readable note
+	JournalIncarnation uint64 // the last one that the journal records; 0: none, or there is no journal
 	Messages           int    // in the journal
 	Stamp              Stamp  // of the journal's lock file
 }
 
-// Problem says why a folder is not what the last incarnation of the sender of that name left;
-// empty: nothing speaks against it. A folder with no note and no incarnation in its journal is new,
-// or of a version that left none. Operators and their scripts read the texts.
+// Problem returns the reason why a folder is not as the last incarnation of the sender of that name
+// left it, or an empty string if there is none. A folder without a note whose journal records no
+// incarnation is new, or was written by a version that recorded neither. The texts are shown to
+// operators and read by their scripts.
 func Problem(name string, evidence Evidence) string {
 	note := evidence.Note
 	switch {
@@ -55,24 +57,25 @@
 	return ""
 }
 
-// Message is what the journal and the settings tell of one message.
+// Message has what the journal and the settings record about one message.
 type Message struct {
-	// Of its class.
+	// The settings of its class.
 	Idempotency       scheduler.Idempotency
-	MaxDeadline       time.Duration // the longest time from its acceptance to its deadline
+	MaxDeadline       time.Duration // the maximum time from acceptance to the deadline
 	IdempotencyWindow time.Duration
 
 	Deadline      clock.Instant
 	Attempts      int
-	FirstRun      clock.Instant // when the first attempt was sent that may have run; 0: none
-	InFlightSince clock.Instant // when the attempt was sent that had no result at the end; 0: none
+	FirstRun      clock.Instant // when the first attempt that may have run was sent; 0: none
+	InFlightSince clock.Instant // when the attempt was sent that was in flight when the last incarnation ended; 0: none
 	FinalAnswer   string        // empty: none
 	Acknowledged  bool
 }
 
-// Attempted returns how many attempts a message has had, and since when one may have run (0: none),
-// as the next incarnation has to assume. In a distrusted folder any message may have been sent
-// since, from the moment on at which it can have been accepted at the earliest.
+// Attempted returns the number of attempts that the next incarnation has to assume, and the time at
+// which the first of them may have run (0: none has). A distrusted folder may be an older state. Any
+// message in it that is not idempotent may have been sent since then, at the earliest at the earliest
+// possible time of its acceptance.
 func (m Message) Attempted(distrusted bool) (attempts int, firstRun clock.Instant) {
 	attempts, firstRun = m.Attempts, m.FirstRun
 	if m.InFlightSince != 0 && firstRun == 0 {
@@ -88,20 +91,20 @@
 	return max(attempts, 1), firstRun
 }
 
-// Fate is what becomes of a message.
+// Fate is what the next incarnation does with a message.
 type Fate string
 
-// The fates. Operators and their scripts read the words.
+// The fates. Their values are shown to operators and read by their scripts.
 const (
-	FateAcknowledged Fate = "over"       // its final answer was acknowledged: only its id is remembered
-	FateNotify       Fate = "told"       // its client gets its final answer
-	FateNotifyAgain  Fate = "told again" // its client gets its final answer, and may have got it before
-	FateContinue     Fate = "goes on"    // it is sent, as long as it has time
-	FateAmbiguous    Fate = "doubtful"   // it fails: it may have run, and must not be repeated
+	FateAcknowledged Fate = "over"       // its final answer was acknowledged: only the ID is kept
+	FateNotify       Fate = "told"       // its client receives the final answer
+	FateNotifyAgain  Fate = "told again" // its client receives the final answer, possibly for the second time
+	FateContinue     Fate = "goes on"    // it is sent, with the time left until its deadline
+	FateAmbiguous    Fate = "doubtful"   // it fails: it may have run and must not be repeated
 	FateExpired      Fate = "late"       // its deadline has passed
 )
 
-// Fate returns the fate of a message at a time.
+// Fate returns what happens to a message if the next incarnation starts at now.
 func (m Message) Fate(now clock.Instant, distrusted bool) Fate {
 	_, firstRun := m.Attempted(distrusted)
 	switch {
@@ -119,7 +122,7 @@
 	return FateContinue
 }
 
-// repeatable reports whether a message that may have run since firstRun may be sent again.
+// repeatable reports whether a message whose first attempt may have run at firstRun may be sent again.
 func (m Message) repeatable(now, firstRun clock.Instant) bool {
 	switch m.Idempotency {
 	case scheduler.NotIdempotent:
--- a/internal/provenance/provenance_test.go
+++ b/internal/provenance/provenance_test.go
@@ -10,19 +10,21 @@
 	"pgregory.net/rapid"
 )
 
+// Each way in which a folder can differ from the one that the last incarnation left must be reported,
+// and no other folder.
 func TestProblem(t *testing.T) {
-	at := Stamp{Inode: 7, CreatedNs: 1}
-	note := Note{Name: "a", Incarnation: 3, Stamp: at}
-	for _, c := range []struct {
-		what string
-		f    Evidence
-		why  string // a part of it; empty: none
+	stamp := Stamp{Inode: 7, CreatedNs: 1}
+	note := Note{Name: "a", Incarnation: 3, Stamp: stamp}
+	for _, test := range []struct {
+		name    string
+		folder  Evidence
+		problem string // a part of the expected text; empty: no problem
 	}{
-		{"new", Evidence{Stamp: at}, ""},
-		{"of a version that left no note", Evidence{Stamp: at, Messages: 3}, ""},
-		{"as it was left", Evidence{Note: note, HasNote: true, JournalIncarnation: 3, Stamp: at}, ""},
-		{"killed before its note", Evidence{Note: note, HasNote: true, JournalIncarnation: 4, Stamp: at}, ""},
-		{"note lost", Evidence{JournalIncarnation: 3, Stamp: at}, "note is lost"},
+		{"new", Evidence{Stamp: stamp}, ""},
+		{"of a version that left no note", Evidence{Stamp: stamp, Messages: 3}, ""},
+		{"as it was left", Evidence{Note: note, HasNote: true, JournalIncarnation: 3, Stamp: stamp}, ""},
+		{"killed before its note", Evidence{Note: note, HasNote: true, JournalIncarnation: 4, Stamp: stamp}, ""},
+		{"note lost", Evidence{JournalIncarnation: 3, Stamp: stamp}, "note is lost"},
 		{"copied", Evidence{
 			Note: note, HasNote: true, JournalIncarnation: 3,
 			Stamp: Stamp{Inode: 8, CreatedNs: 1},
@@ -32,59 +34,63 @@
 			Stamp: Stamp{Inode: 7, CreatedNs: 2},
 		}, "copies"},
 		{"another sender's", Evidence{
-			Note: Note{Name: "b", Incarnation: 3, Stamp: at}, HasNote: true,
-			JournalIncarnation: 3, Stamp: at,
+			Note: Note{Name: "b", Incarnation: 3, Stamp: stamp}, HasNote: true,
+			JournalIncarnation: 3, Stamp: stamp,
 		}, "sender \"b\""},
-		{"an older journal", Evidence{Note: note, HasNote: true, JournalIncarnation: 2, Stamp: at}, "life 3 has been"},
-		{"the journal lost", Evidence{Note: note, HasNote: true, Stamp: at}, "life 3 has been"},
+		{"an older journal", Evidence{Note: note, HasNote: true, JournalIncarnation: 2, Stamp: stamp}, "life 3 has been"},
+		{"the journal lost", Evidence{Note: note, HasNote: true, Stamp: stamp}, "life 3 has been"},
 	} {
-		if why := Problem("a", c.f); (why == "") != (c.why == "") || !strings.Contains(why, c.why) {
-			t.Errorf("%s: %q", c.what, why)
+		if problem := Problem("a", test.folder); (problem == "") != (test.problem == "") ||
+			!strings.Contains(problem, test.problem) {
+			t.Errorf("%s: %q", test.name, problem)
 		}
 	}
 }
 
-// In a distrusted folder nothing goes on that may have run and must not be repeated, whenever it
-// was accepted and sent in truth. In one as it was left, only what the journal knows of is
-// ambiguous. No fate gets better by distrust.
+// In a distrusted folder, no message may be sent again that may have run and must not be repeated,
+// whenever it really was accepted and sent. In a trusted folder, only messages with a recorded attempt
+// may be ambiguous. Distrust must not clear an ambiguous message, and must not cause a message to be
+// sent that would not be sent in a trusted folder.
 func TestNothingRunsTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := Message{
+		message := Message{
 			Idempotency:       rapid.SampledFrom([]scheduler.Idempotency{"repeatable", "by_key", "once"}).Draw(t, "effect"),
 			MaxDeadline:       clock.Microseconds(rapid.Int64Range(1, 100).Draw(t, "limit")),
 			IdempotencyWindow: clock.Microseconds(rapid.Int64Range(1, 100).Draw(t, "window")),
 		}
-		taken := clock.Instant(rapid.Int64Range(1000, 1100).Draw(t, "taken"))
-		m.Deadline = taken + clock.Instant(rapid.Int64Range(0, m.MaxDeadline.Microseconds()).Draw(t, "time"))
-		// in truth; the backup may be of before or after that
-		sent := taken + clock.Instant(rapid.Int64Range(0, 100).Draw(t, "sent"))
+		acceptedAt := clock.Instant(rapid.Int64Range(1000, 1100).Draw(t, "taken"))
+		message.Deadline = acceptedAt + clock.Instant(rapid.Int64Range(0, message.MaxDeadline.Microseconds()).Draw(t, "time"))
+		// the real time of sending; the folder may have been saved before or after it
+		sentAt := acceptedAt + clock.Instant(rapid.Int64Range(0, 100).Draw(t, "sent"))
 		if rapid.Bool().Draw(t, "known") {
-			if m.Attempts = 1; rapid.Bool().Draw(t, "out") {
-				m.InFlightSince = sent
+			if message.Attempts = 1; rapid.Bool().Draw(t, "out") {
+				message.InFlightSince = sentAt
 			} else {
-				m.FirstRun = sent
+				message.FirstRun = sentAt
 			}
 		}
-		now := sent + clock.Instant(rapid.Int64Range(0, 200).Draw(t, "later"))
-		known := m.Attempts > 0
-		whole, old := m.Fate(now, false), m.Fate(now, true)
-		if old == FateContinue &&
-			(m.Idempotency == "once" || m.Idempotency == "by_key" && now >= sent.Add(m.IdempotencyWindow)) {
-			t.Fatalf("it may run twice: %+v", m)
+		now := sentAt + clock.Instant(rapid.Int64Range(0, 200).Draw(t, "later"))
+		recorded := message.Attempts > 0
+		trusted, distrusted := message.Fate(now, false), message.Fate(now, true)
+		if distrusted == FateContinue &&
+			(message.Idempotency == "once" || message.Idempotency == "by_key" && now >= sentAt.Add(message.IdempotencyWindow)) {
+			t.Fatalf("the message may run twice: %+v", message)
 		}
-		if whole == FateAmbiguous && (!known || m.Idempotency == "repeatable") ||
-			whole == FateAmbiguous && old != FateAmbiguous ||
-			old == FateContinue && whole != FateContinue {
-			t.Fatalf("%s, old %s: %+v", whole, old, m)
+		if trusted == FateAmbiguous && (!recorded || message.Idempotency == "repeatable") ||
+			trusted == FateAmbiguous && distrusted != FateAmbiguous ||
+			distrusted == FateContinue && trusted != FateContinue {
+			t.Fatalf("trusted %s, distrusted %s: %+v", trusted, distrusted, message)
 		}
-		if n, first := m.Attempted(true); m.Idempotency != "repeatable" && (n == 0 || first == 0 || first > sent) {
-			t.Fatalf("%d attempts since %d: %+v", n, first, m)
+		if attempts, firstRun := message.Attempted(true); message.Idempotency != "repeatable" &&
+			(attempts == 0 || firstRun == 0 || firstRun > sentAt) {
+			t.Fatalf("%d attempts, the first at %d: %+v", attempts, firstRun, message)
 		}
-		if m.FinalAnswer = "delivered"; m.Fate(now, false) != FateNotify || m.Fate(now, true) != FateNotifyAgain {
-			t.Fatal("the final answer is not sent")
+		if message.FinalAnswer = "delivered"; message.Fate(now, false) != FateNotify ||
+			message.Fate(now, true) != FateNotifyAgain {
+			t.Fatal("the final answer is not delivered to the client")
 		}
-		if m.Acknowledged = true; m.Fate(now, true) != FateAcknowledged {
-			t.Fatal("what was acknowledged is over")
+		if message.Acknowledged = true; message.Fate(now, true) != FateAcknowledged {
+			t.Fatal("an acknowledged message is not treated as acknowledged")
 		}
 	})
 }
