--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,6 +1,6 @@
-// Package clock reads the machine's clocks. All that outlives a process, and all that two processes
-// agree on, goes by the steady clock, which a step of the wall clock does not move. The wall clock
-// is only for what people and certificates go by.
+// Package clock reads the machine's clocks. Times that outlive a process or are shared by two
+// processes are of the steady clock, which does not change when the wall clock is set. The wall clock
+// is used only for times that people read and for the validity of certificates.
 package clock
 
 import (
@@ -13,29 +13,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// Instant is a moment of the steady clock, in microseconds since the machine's boot, with the time
-// in which the machine was suspended. It means something only on the machine, and in the boot, in
-// which it was read.
+// Instant is a time of the steady clock, in microseconds since the machine's boot, including time
+// during which the machine was suspended. It is meaningful only on the same machine and during the
+// same boot.
 type Instant int64
 
 // Add returns the instant t+d, rounded down to microseconds.
 func (t Instant) Add(d time.Duration) Instant { return t + Instant(d.Microseconds()) }
 
-// Sub returns the time from another instant to this one.
-func (t Instant) Sub(from Instant) time.Duration { return time.Duration(t-from) * time.Microsecond }
+// Sub returns the duration t-other.
+func (t Instant) Sub(other Instant) time.Duration { return time.Duration(t-other) * time.Microsecond }
 
-// Microseconds returns a duration of n microseconds, the unit of the settings.
+// Microseconds returns a duration of n microseconds, the unit of durations in the settings.
 func Microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
-// WallTime is a moment of the wall clock, in microseconds of Unix time. The clock may be stepped at
-// any time.
+// WallTime is a time of the wall clock, in microseconds of Unix time. The wall clock may be set
+// forward or back at any time.
 type WallTime int64
 
-// Reading is one moment by both clocks, and the boot in which it was read. It is stored.
+// Reading is the same instant by both clocks, and the boot in which it was read. It is stored in the
+// snapshot.
 type Reading struct {
 	Wall WallTime `json:"Wall"`
 	Boot Instant  `json:"Boot"` // by the steady clock
-	ID   string   `json:"ID"`   // of the boot; empty: the system does not tell
+	ID   string   `json:"ID"`   // of the boot, from BootID; empty: unknown
 }
 
 // Now reads both clocks.
@@ -56,11 +57,12 @@
 	return Instant(now.Nano() / int64(time.Microsecond))
 }
 
-// bootIDFile holds the id of the boot: the kernel draws another one at each.
+// bootIDFile holds the boot ID, a random one that the kernel generates at each boot.
 const bootIDFile = "/proc/sys/kernel/random/boot_id"
 
-// BootID returns the id of the machine's boot; empty: the system does not tell. The file is read
-// once, since callers may be on the goroutine that decides.
+// BootID returns the ID of the machine's current boot, or an empty string if it cannot be read. The
+// file is read only once, since callers may run on the sender's event loop, which must not wait for
+// I/O.
 func BootID() string {
 	if id := testBootID.Load(); id != nil {
 		return *id
@@ -76,7 +78,7 @@
 	return strings.TrimSpace(string(raw))
 })
 
-// What tests have set.
+// Values set by tests.
 var (
 	testWallOffset atomic.Int64 // in nanoseconds
 	testBootID     atomic.Pointer[string]
@@ -84,11 +86,10 @@
 
 func wallOffset() time.Duration { return time.Duration(testWallOffset.Load()) }
 
-// StepWall moves the wall clock as this process reads it. Only for tests.
-func StepWall(by time.Duration) { testWallOffset.Add(int64(by)) }
+// StepWall sets the wall clock, as read by this process, forward by offset. It is for tests only.
+func StepWall(offset time.Duration) { testWallOffset.Add(int64(offset)) }
 
-// SetBootID makes this process read the id of another boot; the returned function undoes it. Only
-// for tests.
+// SetBootID makes BootID return the given ID until undo is called. It is for tests only.
 func SetBootID(id string) (undo func()) {
 	testBootID.Store(&id)
 	return func() { testBootID.Store(nil) }
--- a/internal/clock/golden_test.go
+++ b/internal/clock/golden_test.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// A reading is stored, within the snapshot, under the same names, and its times are in
-// microseconds.
+// A Reading is stored in the snapshot. Its JSON names and its unit, microseconds, must not change.
 func TestGoldenReading(t *testing.T) {
 	const want = `{"Wall":1700000000000001,"Boot":50000002,"ID":"boot-1"}`
-	at := Reading{Wall: 1_700_000_000_000_001, Boot: 50_000_002, ID: "boot-1"}
-	if raw, err := json.Marshal(at); err != nil || string(raw) != want {
+	reading := Reading{Wall: 1_700_000_000_000_001, Boot: 50_000_002, ID: "boot-1"}
+	if raw, err := json.Marshal(reading); err != nil || string(raw) != want {
 		t.Errorf("%s %v", raw, err)
 	}
 	var got Reading
-	if err := json.Unmarshal([]byte(want), &got); err != nil || got != at {
+	if err := json.Unmarshal([]byte(want), &got); err != nil || got != reading {
 		t.Errorf("%+v %v", got, err)
 	}
-	if later := at.Boot.Add(3 * time.Millisecond); later != 50_003_002 || later.Sub(at.Boot) != 3*time.Millisecond {
+	if later := reading.Boot.Add(3 * time.Millisecond); later != 50_003_002 ||
+		later.Sub(reading.Boot) != 3*time.Millisecond {
 		t.Error(later)
 	}
 }
--- a/internal/statefs/golden_test.go
+++ b/internal/statefs/golden_test.go
@@ -7,13 +7,14 @@
 	"testing"
 )
 
-// A file is replaced by way of one named after it, and only its owner may use it. Earlier versions
-// leave and look for that name too.
+// Replace must write a temporary file named after the target and rename it; only the owner may access
+// the result. The temporary name must not change: other versions leave such files behind and remove
+// them.
 func TestGoldenReplace(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "file")
 	var calls []string
-	defer SetHook(func(c Call, name string) *Fault {
-		calls = append(calls, fmt.Sprintf("%s %s", c, name))
+	defer SetHook(func(call Call, name string) *Fault {
+		calls = append(calls, fmt.Sprintf("%s %s", call, name))
 		return nil
 	})()
 	if err := Replace(path, []byte("bytes")); err != nil {
@@ -22,20 +23,20 @@
 	if got := fmt.Sprint(calls); got != "[open file.new write file.new rename file]" {
 		t.Error(got)
 	}
-	at, err := os.Stat(path)
-	if err != nil || at.Mode() != 0o600 {
-		t.Errorf("%v %v", at, err)
+	info, err := os.Stat(path)
+	if err != nil || info.Mode() != 0o600 {
+		t.Errorf("%v %v", info, err)
 	}
 	raw, err := Read(path, 5)
 	if err != nil || string(raw) != "bytes" {
 		t.Errorf("%q %v", raw, err)
 	}
-	if list, err := os.ReadDir(filepath.Dir(path)); err != nil || len(list) != 1 {
-		t.Errorf("%v %v", list, err)
+	if entries, err := os.ReadDir(filepath.Dir(path)); err != nil || len(entries) != 1 {
+		t.Errorf("%v %v", entries, err)
 	}
 }
 
-// The words of the calls are those that fault plans name.
+// The values of the calls must be those that fault plans use.
 func TestGoldenCalls(t *testing.T) {
 	got := fmt.Sprint([]Call{CallOpen, CallRead, CallWrite, CallTruncate, CallRename, CallRemove})
 	if got != "[open read write truncate rename remove]" {
--- a/internal/statefs/statefs.go
+++ b/internal/statefs/statefs.go
@@ -1,5 +1,6 @@
-// Package statefs has the file operations on the sender's state folder. Each of them checks first
-// whether a test wants it to fail; while no test has set a hook, that costs one atomic load.
+// Package statefs provides the file operations on the sender's state folder, with fault injection for
+// tests. Each operation first checks whether a hook makes it fail. Without a hook that costs one
+// atomic load.
 package statefs
 
 import (
@@ -11,10 +12,10 @@
 	"sync/atomic"
 )
 
-// Call is a file operation. Fault plans name them by these words.
+// Call names a file operation that can fail. Fault plans of tests use these values.
 type Call string
 
-// The file operations.
+// The file operations that can fail.
 const (
 	CallOpen     Call = "open"
 	CallRead     Call = "read"
@@ -24,26 +25,25 @@
 	CallRemove   Call = "remove"
 )
 
-// Fault is how an operation fails.
+// Fault describes how an operation fails.
 type Fault struct {
 	Err   error
-	After int // of a write: how many bytes are written before it fails
+	After int // only for a write: the number of bytes that are written before it fails
 }
 
-// Hook returns how an operation on a file of that name is to fail; nil: it does not. It may be
-// called on any goroutine.
-type Hook func(c Call, name string) *Fault
+// Hook decides about each operation on a file with that base name: it returns the fault to inject, or
+// nil to let the operation proceed. It may be called on any goroutine.
+type Hook func(call Call, name string) *Fault
 
 var hook atomic.Pointer[Hook]
 
-// SetHook lets decide choose which operations fail, until undo is called. Only for tests, one at a
-// time.
+// SetHook installs decide as the hook until undo is called. It is for tests only, one hook at a time.
 func SetHook(decide Hook) (undo func()) {
 	hook.Store(&decide)
 	return func() { hook.Store(nil) }
 }
 
-// injectedFault returns how an operation is to fail; nil: it does not.
+// injectedFault returns the fault to inject into an operation, or nil.
 func injectedFault(call Call, path string) *Fault {
 	if decide := hook.Load(); decide != nil {
 		return (*decide)(call, filepath.Base(path))
@@ -51,7 +51,8 @@
 	return nil
 }
 
-// injectedError is injectedFault for operations that do nothing when they fail.
+// injectedError returns the injected fault as an error, for operations that have no effect when they
+// fail.
 func injectedError(call Call, path string) error {
 	if fault := injectedFault(call, path); fault != nil {
 		return &os.PathError{Op: string(call), Path: path, Err: fault.Err}
@@ -59,19 +60,20 @@
 	return nil
 }
 
-// ErrTooLong says that a file is longer than the caller reads.
+// ErrTooLong reports that a file is longer than the caller's limit.
 var ErrTooLong = errors.New("file too long")
 
-// File is an open file. It may be used by one goroutine at a time.
+// File is an open file. It is not safe for concurrent use.
 type File struct {
 	file *os.File
 	path string
 }
 
-// ownerOnly is the mode of new files.
+// ownerOnly is the permission mode of new files.
 const ownerOnly = 0o600
 
-// Open opens a file, which is created where flag has os.O_CREATE; only its owner may use it.
+// Open opens a file with the given os.O_... flags. A file that it creates is accessible only to its
+// owner.
 func Open(path string, flag int) (*File, error) {
 	if err := injectedError(CallOpen, path); err != nil {
 		return nil, err
@@ -83,7 +85,7 @@
 	return &File{file: file, path: path}, nil
 }
 
-// ReadAll reads the file from its beginning, at most limit bytes of it.
+// ReadAll reads the file from its beginning, at most limit bytes.
 func (f *File) ReadAll(limit int64) ([]byte, error) {
 	if err := injectedError(CallRead, f.path); err != nil {
 		return nil, err
@@ -91,7 +93,7 @@
 	return io.ReadAll(io.NewSectionReader(f.file, 0, limit))
 }
 
-// WriteAt writes all of b at an offset; where it fails, a part of it may have been written.
+// WriteAt writes b at an offset. After an error, a part of b may have been written.
 func (f *File) WriteAt(b []byte, offset int64) (int, error) {
 	if fault := injectedFault(CallWrite, f.path); fault != nil {
 		n, err := f.file.WriteAt(b[:min(fault.After, len(b))], offset)
@@ -108,13 +110,13 @@
 	return f.file.Truncate(size)
 }
 
-// Descriptor returns the file's descriptor, for locks.
+// Descriptor returns the file descriptor, for file locks.
 func (f *File) Descriptor() int { return int(f.file.Fd()) }
 
 // Close closes the file.
 func (f *File) Close() error { return f.file.Close() }
 
-// Rename gives the file another name and replaces a file that has it.
+// Rename renames the file to path and replaces a file that exists there.
 func (f *File) Rename(path string) error {
 	if err := injectedError(CallRename, path); err != nil {
 		return err
@@ -126,7 +128,7 @@
 	return nil
 }
 
-// Remove removes a file. One that does not exist is no error.
+// Remove removes a file. It is not an error if the file does not exist.
 func Remove(path string) error {
 	if err := injectedError(CallRemove, path); err != nil {
 		return err
@@ -137,10 +139,10 @@
 	return nil
 }
 
-// TempName returns the name of the file that Replace writes before it replaces path.
+// TempName returns the name of the temporary file that Replace writes and renames to path.
 func TempName(path string) string { return path + ".new" }
 
-// Replace replaces the file at path by one with these bytes: whole, or not at all.
+// Replace atomically replaces the file at path by one with the content raw.
 func Replace(path string, raw []byte) error {
 	file, err := Open(TempName(path), os.O_RDWR|os.O_CREATE|os.O_TRUNC)
 	if err != nil {
@@ -155,8 +157,8 @@
 	return nil
 }
 
-// Read reads a whole file. The error is ErrTooLong where it has more than limit bytes, and
-// os.ErrNotExist where there is none.
+// Read reads a whole file. The error is ErrTooLong if the file has more than limit bytes, and
+// os.ErrNotExist if it does not exist.
 func Read(path string, limit int64) ([]byte, error) {
 	file, err := Open(path, os.O_RDONLY)
 	if err != nil {
