--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -1,7 +1,7 @@
-// Package admission judges, just before the first byte of an attempt leaves, whether it still may. The scheduler
-// decides by what it knew at its last step; until the connection is ready a Retry-After may have come, the endpoint may
-// drain, the idempotency window may end, or the process may shut down. The package is pure: it does no I/O, and the
-// clock is passed in.
+// Package admission checks, just before the first byte of an attempt is sent, whether the attempt may still be sent.
+// The scheduler decides on the state at its last step. Before the connection is ready, a Retry-After may arrive, the
+// endpoint may start draining, the idempotency window may end, or the process may shut down. The package does no I/O,
+// and the time is passed in.
 package admission
 
 import (
@@ -11,21 +11,21 @@
 	"brackendale/scheduler"
 )
 
-// Verdict says whether an attempt may leave.
+// Verdict is the result of the check of an attempt.
 type Verdict uint8
 
-// The verdicts. All but Admitted mean that no byte of the attempt may leave.
+// The verdicts. With any but Admitted, no byte of the attempt may be sent.
 const (
 	Admitted              Verdict = iota
-	RetryAfterPending             // its route has asked for a wait that is not over
-	EndpointDraining              // its endpoint takes no new attempts, or is not listed
+	RetryAfterPending             // a Retry-After of its route has not ended yet
+	EndpointDraining              // its endpoint accepts no new attempts, or is not listed
 	EndpointMoved                 // its endpoint serves another destination now
-	IdempotencyWindowOver         // the endpoints may have forgotten its idempotency key
-	DeadlineOver                  // one of its messages may not be delivered any more
-	ShuttingDown                  // the process lets nothing leave any more
+	IdempotencyWindowOver         // the endpoints may have dropped its idempotency key
+	DeadlineOver                  // the deadline of one of its messages has passed
+	ShuttingDown                  // the process sends no more attempts
 )
 
-// String names a verdict.
+// String returns the name of a verdict.
 func (v Verdict) String() string {
 	return [...]string{
 		Admitted:              "admitted",
@@ -38,32 +38,33 @@
 	}[v]
 }
 
-// Attempt is what a verdict depends on.
+// Attempt has the properties of an attempt that are checked.
 type Attempt struct {
-	Endpoint scheduler.Endpoint // as it was when the attempt was decided
-	StartBy  clock.Instant      // it may leave before then; 0: at any time
-	Deadline clock.Instant      // its first message may be delivered until then
+	Endpoint scheduler.Endpoint // as it was listed when the scheduler decided on the attempt
+	StartBy  clock.Instant      // it must be sent before this time, the end of the idempotency window; 0: no limit
+	Deadline clock.Instant      // the earliest deadline of its messages
 }
 
-// Gate knows which endpoints take attempts and which routes have asked for a wait. It belongs to one goroutine.
+// Gate records which endpoints accept attempts and until when the routes have to wait for a Retry-After. It is not safe
+// for concurrent use.
 type Gate struct {
-	ownLimits    map[string]bool          // machine types whose endpoints are routes of their own
-	destinations map[string]int64         // of the endpoints that take new attempts, by address
-	retryAfter   map[string]clock.Instant // end of the last wait, by route; past ones go when the next one comes
+	ownLimits    map[string]bool          // by machine type: each endpoint of it is a route of its own
+	destinations map[string]int64         // of the endpoints that accept new attempts, by address
+	retryAfter   map[string]clock.Instant // end of the wait, by route; SetRetryAfter removes past ones
 	shuttingDown bool
 }
 
-// New makes a gate that knows no endpoint.
+// New returns a gate without endpoints.
 func New(settings scheduler.Settings) *Gate {
 	g := &Gate{ownLimits: map[string]bool{}, destinations: map[string]int64{}, retryAfter: map[string]clock.Instant{}}
-	own := settings.Calls.EndpointLimits
+	endpointLimits := settings.Calls.EndpointLimits
 	for i, machineType := range settings.MachineTypes {
-		g.ownLimits[machineType] = i < len(own) && own[i]
+		g.ownLimits[machineType] = i < len(endpointLimits) && endpointLimits[i]
 	}
 	return g
 }
 
-// UpdateEndpoint takes in what the endpoint list says of an endpoint.
+// UpdateEndpoint applies an entry of the endpoint list.
 func (g *Gate) UpdateEndpoint(endpoint scheduler.Endpoint) {
 	if endpoint.State == scheduler.StatusLive {
 		g.destinations[endpoint.Addr] = endpoint.Destination
@@ -72,13 +73,14 @@
 	}
 }
 
-// AcceptsAttempts tells whether an endpoint takes new attempts.
+// AcceptsAttempts reports whether an endpoint accepts new attempts.
 func (g *Gate) AcceptsAttempts(addr string) bool {
-	_, ok := g.destinations[addr]
-	return ok
+	_, listed := g.destinations[addr]
+	return listed
 }
 
-// RouteName names the route that a Retry-After of an endpoint holds for: its destination, or the endpoint alone.
+// RouteName returns the name of the route that a Retry-After of an endpoint applies to: the destination's, or the
+// endpoint's own if its machine type has limits by endpoint.
 func (g *Gate) RouteName(endpoint scheduler.Endpoint) string {
 	if g.ownLimits[endpoint.MachineType] {
 		return endpoint.Addr
@@ -86,7 +88,7 @@
 	return strconv.FormatInt(endpoint.Destination, 10)
 }
 
-// SetRetryAfter records that an endpoint has asked for a wait until then. The latest end counts.
+// SetRetryAfter records a Retry-After of an endpoint that ends at until. Of several, the latest end applies.
 func (g *Gate) SetRetryAfter(endpoint scheduler.Endpoint, now, until clock.Instant) {
 	for route, end := range g.retryAfter {
 		if end <= now {
@@ -97,10 +99,10 @@
 	g.retryAfter[route] = max(g.retryAfter[route], until)
 }
 
-// Stop lets nothing leave from here on.
+// Stop makes Admit reject every further attempt.
 func (g *Gate) Stop() { g.shuttingDown = true }
 
-// Admit judges an attempt at the time now.
+// Admit checks whether an attempt may be sent at the time now.
 func (g *Gate) Admit(attempt Attempt, now clock.Instant) Verdict {
 	destination, listed := g.destinations[attempt.Endpoint.Addr]
 	switch {
@@ -120,7 +122,8 @@
 	return Admitted
 }
 
-// RetryAfterUntil is when the wait that an endpoint's route has asked for ends, or ended; 0: there was none.
+// RetryAfterUntil returns the end of the last Retry-After of an endpoint's route, which may be past; 0: none is
+// recorded.
 func (g *Gate) RetryAfterUntil(endpoint scheduler.Endpoint) clock.Instant {
 	return g.retryAfter[g.RouteName(endpoint)]
 }
