--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -16,25 +16,25 @@
 
 // The verdicts. With any but Admitted, no byte of the attempt may be sent.
 const (
-	Admitted              Verdict = iota
-	RetryAfterPending             // a Retry-After of its route has not ended yet
-	EndpointDraining              // its endpoint accepts no new attempts, or is not listed
-	EndpointMoved                 // its endpoint serves another destination now
-	IdempotencyWindowOver         // the endpoints may have dropped its idempotency key
-	DeadlineOver                  // the deadline of one of its messages has passed
-	ShuttingDown                  // the process sends no more attempts
+	Admitted               Verdict = iota
+	RetryAfterPending              // a Retry-After of its route has not ended yet
+	EndpointDraining               // its endpoint accepts no new attempts, or is not listed
+	EndpointMoved                  // its endpoint serves another destination now
+	IdempotencyWindowEnded         // the endpoints may have dropped its idempotency key
+	DeadlineExceeded               // the deadline of one of its messages has passed
+	ShuttingDown                   // the process sends no more attempts
 )
 
 // String returns the name of a verdict.
 func (v Verdict) String() string {
 	return [...]string{
-		Admitted:              "admitted",
-		RetryAfterPending:     "retry-after pending",
-		EndpointDraining:      "endpoint draining",
-		EndpointMoved:         "endpoint moved",
-		IdempotencyWindowOver: "idempotency window over",
-		DeadlineOver:          "deadline over",
-		ShuttingDown:          "shutting down",
+		Admitted:               "admitted",
+		RetryAfterPending:      "retry-after pending",
+		EndpointDraining:       "endpoint draining",
+		EndpointMoved:          "endpoint moved",
+		IdempotencyWindowEnded: "idempotency window over",
+		DeadlineExceeded:       "deadline over",
+		ShuttingDown:           "shutting down",
 	}[v]
 }
 
@@ -113,9 +113,9 @@
 	case destination != attempt.Endpoint.Destination:
 		return EndpointMoved
 	case now >= attempt.Deadline:
-		return DeadlineOver
+		return DeadlineExceeded
 	case attempt.StartBy != 0 && now >= attempt.StartBy:
-		return IdempotencyWindowOver
+		return IdempotencyWindowEnded
 	case now < g.retryAfter[g.RouteName(attempt.Endpoint)]:
 		return RetryAfterPending
 	}
--- a/internal/admission/gate_test.go
+++ b/internal/admission/gate_test.go
@@ -121,8 +121,8 @@
 			Attempt{scheduler.Endpoint{Addr: "z", Destination: 7}, 0, 1000},
 			0, EndpointDraining,
 		},
-		"its time is up":           {func(*Gate) {}, Attempt{sharedA, 0, 1000}, 1000, DeadlineOver},
-		"its key may be forgotten": {func(*Gate) {}, Attempt{sharedA, 600, 1000}, 600, IdempotencyWindowOver},
+		"its time is up":           {func(*Gate) {}, Attempt{sharedA, 0, 1000}, 1000, DeadlineExceeded},
+		"its key may be forgotten": {func(*Gate) {}, Attempt{sharedA, 600, 1000}, 600, IdempotencyWindowEnded},
 		"its key is known":         {func(*Gate) {}, Attempt{sharedA, 600, 1000}, 599, Admitted},
 		"stopped":                  {(*Gate).Stop, Attempt{sharedA, 0, 1000}, 0, ShuttingDown},
 	} {
--- a/internal/app/blocking_socket_test.go
+++ b/internal/app/blocking_socket_test.go
@@ -228,7 +228,7 @@
 
 // Open clients stay without replies while the close of a blocking common socket holds the predecessor's loop.
 func TestOpenClientsDuringAnUpgradeWithABlockingSocket(t *testing.T) {
-	for _, point := range failpoint.HotRestart() {
+	for _, point := range failpoint.HotRestartPoints() {
 		t.Run(string(point), func(t *testing.T) {
 			t.Parallel()
 			o := newApplianceOffice(t)
@@ -248,7 +248,7 @@
 // Open clients stay without replies, and the process does not end, where the common socket is a blocking one at a
 // graceful shutdown.
 func TestOpenClientsDuringAShutdownWithABlockingSocket(t *testing.T) {
-	for _, point := range []failpoint.Point{failpoint.ShutdownBegun, failpoint.ShutdownReached} {
+	for _, point := range []failpoint.Point{failpoint.ShutdownStarted, failpoint.ShutdownWaitEnded} {
 		for name, signals := range map[string][]syscall.Signal{
 			"SIGTERM": {syscall.SIGTERM},
 			"twice":   {syscall.SIGTERM, syscall.SIGTERM},
--- a/internal/app/kill_test.go
+++ b/internal/app/kill_test.go
@@ -54,7 +54,7 @@
 		times []int
 	}{
 		{failpoint.StepDecided, []int{1, 3, 4, 5, 6, 7, 8, 9}},
-		{failpoint.AttemptJudged, []int{1, 2, 3, 4}},
+		{failpoint.BeforeAdmission, []int{1, 2, 3, 4}},
 		{called, []int{1, 2, 3, 4}},
 	} {
 		for _, n := range x.times {
--- a/internal/app/newcomer_test.go
+++ b/internal/app/newcomer_test.go
@@ -34,7 +34,7 @@
 		case p == failpoint.SuccessorWelcomed:
 			welcomed.Store(true)
 			<-held
-		case p == failpoint.NewcomerAccepted && welcomed.Load():
+		case p == failpoint.ConnectionAccepted && welcomed.Load():
 			once.Do(func() { close(held) })
 			<-released
 			time.Sleep(drainHold)
@@ -114,9 +114,9 @@
 func TestUpgradesInSeries(t *testing.T) {
 	upgrades, err := strconv.Atoi(os.Getenv(upgradesKey))
 	if err != nil {
-		upgrades = 2 * len(failpoint.HotRestart())
+		upgrades = 2 * len(failpoint.HotRestartPoints())
 	}
-	points := failpoint.HotRestart()
+	points := failpoint.HotRestartPoints()
 	o := newApplianceOffice(t)
 	p := o.startClearing(points[0])
 	o.ready(p)
--- a/internal/app/shutdown.go
+++ b/internal/app/shutdown.go
@@ -30,10 +30,10 @@
 // shutDown stops the core, closes client connections as late as they still can be told, and ends the incarnation.
 func (inc *incarnation) shutDown() {
 	inc.core.Stop(inc.core.Now().Add(shutdownTime))
-	failpoint.Reach(failpoint.ShutdownBegun)
+	failpoint.Reach(failpoint.ShutdownStarted)
 	began := time.Now()
 	time.Sleep(shutdownTime - min(inc.noticeTime(), shutdownTime/2))
-	failpoint.Reach(failpoint.ShutdownReached)
+	failpoint.Reach(failpoint.ShutdownWaitEnded)
 	stopped := make(chan bool)
 	inc.loop.Post(func() {
 		inc.transport.stop()
--- a/internal/app/shutdown_test.go
+++ b/internal/app/shutdown_test.go
@@ -53,7 +53,7 @@
 	}
 	reached, release := make(chan bool), make(chan bool)
 	defer failpoint.SetHook(func(p failpoint.Point) {
-		if p == failpoint.ShutdownReached {
+		if p == failpoint.ShutdownWaitEnded {
 			close(reached)
 			<-release
 		}
--- a/internal/failpoint/failpoint.go
+++ b/internal/failpoint/failpoint.go
@@ -13,11 +13,11 @@
 	// On the core.
 	StepDecided Point = "a step is decided, its attempts are not handed to the fronts"
 	// On the loop.
-	AttemptJudged Point = "an attempt is about to be judged for its write"
+	BeforeAdmission Point = "an attempt is about to be judged for its write"
 	// On the loop.
 	CloseDecided Point = "a client's connection is to be closed, its socket is not shut"
 	// On the goroutine that shuts down the process.
-	ShutdownReached Point = "the end of a planned shutdown has come, the fronts are not ended yet"
+	ShutdownWaitEnded Point = "the end of a planned shutdown has come, the fronts are not ended yet"
 
 	// The steps of a hot restart in the predecessor, on the goroutine that serves the connection of the successor.
 	SuccessorWelcomed Point = "a successor has been welcomed, the core still runs"
@@ -32,13 +32,13 @@
 	// On the goroutine of a TLS handshake.
 	HandshakeComputed Point = "a handshake has its result, the loop does not know it"
 	// On the accepting goroutine of a listener.
-	NewcomerAccepted Point = "a newcomer is accepted, it is not on its way to the loop"
+	ConnectionAccepted Point = "a newcomer is accepted, it is not on its way to the loop"
 	// On the goroutine that handles the shutdown signal.
-	ShutdownBegun Point = "the core stops, the fronts still serve"
+	ShutdownStarted Point = "the core stops, the fronts still serve"
 )
 
-// HotRestart returns the points of a hot restart, in the order in which each process reaches them.
-func HotRestart() []Point {
+// HotRestartPoints returns the points of a hot restart, in the order in which each process reaches them.
+func HotRestartPoints() []Point {
 	return []Point{
 		SuccessorWelcomed, ListenersPaused, CoreQuiesced, JournalReleased, TransportReleased, JournalOpened, SocketInherited,
 	}
--- a/internal/net/platform/call.go
+++ b/internal/net/platform/call.go
@@ -43,7 +43,7 @@
 // admit tells whether the call may be written now. A response of the same route that has arrived
 // but was not read yet may carry a Retry-After: it is read first.
 func (c *call) admit() error {
-	failpoint.Reach(failpoint.AttemptJudged)
+	failpoint.Reach(failpoint.BeforeAdmission)
 	if c.egress.Gate.Admit(c.admission, c.egress.core.Now()) != admission.Admitted {
 		return errNotAdmitted
 	}
--- a/internal/net/platform/crossing_test.go
+++ b/internal/net/platform/crossing_test.go
@@ -316,7 +316,7 @@
 			h := b.attempt("half")
 			h[0].Body = bytes.Repeat([]byte("x"), 256<<10)
 			defer failpoint.SetHook(func(p failpoint.Point) { // its connection is up, and nothing is written
-				if p == failpoint.AttemptJudged {
+				if p == failpoint.BeforeAdmission {
 					narrow(deaf.Addr())
 				}
 			})()
--- a/internal/net/reactor/listen.go
+++ b/internal/net/reactor/listen.go
@@ -169,7 +169,7 @@
 			l.acceptFailed(err)
 			continue
 		}
-		failpoint.Reach(failpoint.NewcomerAccepted)
+		failpoint.Reach(failpoint.ConnectionAccepted)
 		l.reactor.Post(func() {
 			<-unhandled
 			l.handle(socket)
--- a/internal/net/reactor/reuse_test.go
+++ b/internal/net/reactor/reuse_test.go
@@ -178,7 +178,7 @@
 	fillBelow(t, descriptor) // the client's descriptor makes room for the accept
 	accepted := make(chan bool, 9)
 	defer failpoint.SetHook(func(p failpoint.Point) {
-		if p == failpoint.NewcomerAccepted {
+		if p == failpoint.ConnectionAccepted {
 			accepted <- true
 		}
 	})()
