--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -83,7 +83,7 @@
 	size := binary.LittleEndian.Uint32(raw[sizeOffset:])
 	checksum := binary.LittleEndian.Uint32(raw[checksumOffset:])
 	if size != uint32(len(body)) || checksum != crc32.Checksum(body, crcTable) {
-		return Snapshot{}, fmt.Errorf("%w: wrong size or checksum", ErrUnreadable)
+		return Snapshot{}, fmt.Errorf("%w: torn file: wrong size or checksum", ErrUnreadable)
 	}
 	var snapshot Snapshot
 	if err := json.Unmarshal(body, &snapshot); err != nil {
