--- a/internal/app/restored_test.go
+++ b/internal/app/restored_test.go
@@ -47,7 +47,7 @@
 		t.Fatal(err)
 	}
 	kill() // nothing wrong with this folder
-	if x := plan(); x.Problem != "" || x.Counts[provenance.FateContinue] == 0 {
+	if x := plan(); x.Problem != "" || x.Counts[provenance.DispositionContinue] == 0 {
 		t.Fatalf("%+v", x)
 	}
 	p = o.start()
@@ -62,7 +62,7 @@
 		t.Fatal(err)
 	}
 	x := plan()
-	if !strings.Contains(x.Problem, "copies") || x.Counts[provenance.FateAmbiguous] == 0 {
+	if !strings.Contains(x.Problem, "copies") || x.Counts[provenance.DispositionAmbiguous] == 0 {
 		t.Fatalf("%+v", x)
 	}
 	p = o.start()
--- a/internal/cli/recover.go
+++ b/internal/cli/recover.go
@@ -65,9 +65,9 @@
 // printPlans prints a line of counts for each folder, and with all a line for each message too.
 func printPlans(out io.Writer, plans []sender.RecoveryPlan, all bool) error {
 	table := tabwriter.NewWriter(out, 2, 0, 2, ' ', 0)
-	columns := []provenance.Fate{
-		provenance.FateContinue, provenance.FateNotify, provenance.FateNotifyAgain,
-		provenance.FateAmbiguous, provenance.FateExpired, provenance.FateAcknowledged,
+	columns := []provenance.Disposition{
+		provenance.DispositionContinue, provenance.DispositionNotify, provenance.DispositionNotifyAgain,
+		provenance.DispositionAmbiguous, provenance.DispositionExpired, provenance.DispositionAcknowledged,
 	}
 	fmt.Fprint(table, "folder")
 	for _, fate := range columns {
--- a/internal/journal/lock.go
+++ b/internal/journal/lock.go
@@ -28,23 +28,23 @@
 	return file, nil
 }
 
-// Stamp identifies a file, so that it can be told from a copy: a copy has another inode or another
-// creation time. The device number is not included, since it may change with each boot.
-type Stamp struct {
+// FileID distinguishes a file from its copies: a copy has another inode or another creation time. The
+// device number is not included, since it may change with each boot.
+type FileID struct {
 	Inode     uint64 `json:"inode"`
 	CreatedNs int64  `json:"born,omitempty"` // Unix time in nanoseconds; 0: the file system does not record it
 }
 
-// FileStamp returns the stamp of the lock file in dir, the one file there that is never replaced.
-func FileStamp(dir string) (Stamp, error) {
+// LockFileID returns the ID of the lock file in dir, which is never replaced.
+func LockFileID(dir string) (FileID, error) {
 	var stat unix.Statx_t
 	path := filepath.Join(dir, lockName)
 	if err := unix.Statx(unix.AT_FDCWD, path, 0, unix.STATX_INO|unix.STATX_BTIME, &stat); err != nil {
-		return Stamp{}, fmt.Errorf("journal: reading the inode of %s: %w", path, err)
+		return FileID{}, fmt.Errorf("journal: reading the inode of %s: %w", path, err)
 	}
-	stamp := Stamp{Inode: stat.Ino}
+	id := FileID{Inode: stat.Ino}
 	if stat.Mask&unix.STATX_BTIME != 0 {
-		stamp.CreatedNs = stat.Btime.Sec*1e9 + int64(stat.Btime.Nsec)
+		id.CreatedNs = stat.Btime.Sec*1e9 + int64(stat.Btime.Nsec)
 	}
-	return stamp, nil
+	return id, nil
 }
--- a/internal/provenance/golden_test.go
+++ b/internal/provenance/golden_test.go
@@ -39,8 +39,8 @@
 // A note must be stored under the same JSON names and read back with every field.
 func TestGoldenNote(t *testing.T) {
 	for name, note := range map[string]Note{
-		"note.json":        {Name: "n1", Incarnation: 3, Stamp: Stamp{Inode: 7, CreatedNs: 1_700_000_000_000_000_001}},
-		"note-unborn.json": {Name: "n1", Incarnation: 1, Stamp: Stamp{Inode: 7}},
+		"note.json":        {Name: "n1", Incarnation: 3, FileID: FileID{Inode: 7, CreatedNs: 1_700_000_000_000_000_001}},
+		"note-unborn.json": {Name: "n1", Incarnation: 1, FileID: FileID{Inode: 7}},
 	} {
 		raw, err := json.Marshal(note)
 		if err != nil {
@@ -55,11 +55,12 @@
 	}
 }
 
-// The fates must keep the values that operators and their scripts read.
-func TestGoldenFates(t *testing.T) {
+// The dispositions must keep the values that operators and their scripts read.
+func TestGoldenDispositions(t *testing.T) {
 	var out bytes.Buffer
-	for _, disposition := range []Fate{
-		FateAcknowledged, FateNotify, FateNotifyAgain, FateContinue, FateAmbiguous, FateExpired,
+	for _, disposition := range []Disposition{
+		DispositionAcknowledged, DispositionNotify, DispositionNotifyAgain,
+		DispositionContinue, DispositionAmbiguous, DispositionExpired,
 	} {
 		fmt.Fprintln(&out, disposition)
 	}
--- a/internal/provenance/provenance.go
+++ b/internal/provenance/provenance.go
@@ -12,9 +12,9 @@
 	"brackendale/scheduler"
 )
 
-// Stamp identifies a file, so that it can be told from a copy: a copy has another inode or another
-// creation time. The device number is not included, since it may change with each boot.
-type Stamp struct {
+// FileID distinguishes a file from its copies: a copy has another inode or another creation time. The
+// device number is not included, since it may change with each boot.
+type FileID struct {
 	Inode     uint64 `json:"inode"`
 	CreatedNs int64  `json:"born,omitempty"` // Unix time in nanoseconds; 0: the file system does not record it
 }
@@ -23,35 +23,35 @@
 type Note struct {
 	Name        string `json:"name"` // of the sender
 	Incarnation uint64 `json:"life"` // counted from 1
-	Stamp       Stamp  `json:"at"`   // of the journal's lock file, which is never replaced
+	FileID      FileID `json:"at"`   // of the journal's lock file, which is never replaced
 }
 
-// Evidence is what was found in a folder.
-type Evidence struct {
+// FolderState is what was found in a folder.
+type FolderState struct {
 	Note               Note
 	HasNote            bool   // the folder has a readable note
 	JournalIncarnation uint64 // the last one that the journal records; 0: none, or there is no journal
 	Messages           int    // in the journal
-	Stamp              Stamp  // of the journal's lock file
+	FileID             FileID // of the journal's lock file
 }
 
 // Problem returns the reason why a folder is not as the last incarnation of the sender of that name
 // left it, or an empty string if there is none. A folder without a note whose journal records no
 // incarnation is new, or was written by a version that recorded neither. The texts are shown to
 // operators and read by their scripts.
-func Problem(name string, evidence Evidence) string {
-	note := evidence.Note
+func Problem(name string, folder FolderState) string {
+	note := folder.Note
 	switch {
-	case !evidence.HasNote && evidence.JournalIncarnation == 0:
+	case !folder.HasNote && folder.JournalIncarnation == 0:
 		return ""
-	case !evidence.HasNote:
-		return fmt.Sprintf("its note is lost, and its journal is of life %d", evidence.JournalIncarnation)
+	case !folder.HasNote:
+		return fmt.Sprintf("its note is lost, and its journal is of life %d", folder.JournalIncarnation)
 	case note.Name != name:
 		return fmt.Sprintf("it is of the sender %.40q, and this is %q", note.Name, name)
-	case note.Stamp != evidence.Stamp:
+	case note.FileID != folder.FileID:
 		return fmt.Sprintf("its files are copies of those of life %d", note.Incarnation)
-	case evidence.JournalIncarnation < note.Incarnation:
-		return fmt.Sprintf("its journal is of life %d, and life %d has been", evidence.JournalIncarnation,
+	case folder.JournalIncarnation < note.Incarnation:
+		return fmt.Sprintf("its journal is of life %d, and life %d has been", folder.JournalIncarnation,
 			note.Incarnation)
 	}
 	return ""
@@ -72,11 +72,11 @@
 	Acknowledged  bool
 }
 
-// Attempted returns the number of attempts that the next incarnation has to assume, and the time at
+// AssumedAttempts returns the number of attempts that the next incarnation has to assume, and the time at
 // which the first of them may have run (0: none has). A distrusted folder may be an older state. Any
 // message in it that is not idempotent may have been sent since then, at the earliest at the earliest
 // possible time of its acceptance.
-func (m Message) Attempted(distrusted bool) (attempts int, firstRun clock.Instant) {
+func (m Message) AssumedAttempts(distrusted bool) (attempts int, firstRun clock.Instant) {
 	attempts, firstRun = m.Attempts, m.FirstRun
 	if m.InFlightSince != 0 && firstRun == 0 {
 		firstRun = m.InFlightSince
@@ -91,39 +91,39 @@
 	return max(attempts, 1), firstRun
 }
 
-// Fate is what the next incarnation does with a message.
-type Fate string
+// Disposition is what the next incarnation does with a message.
+type Disposition string
 
-// The fates. Their values are shown to operators and read by their scripts.
+// The dispositions. Their values are shown to operators and read by their scripts.
 const (
-	FateAcknowledged Fate = "over"       // its final answer was acknowledged: only the ID is kept
-	FateNotify       Fate = "told"       // its client receives the final answer
-	FateNotifyAgain  Fate = "told again" // its client receives the final answer, possibly for the second time
-	FateContinue     Fate = "goes on"    // it is sent, with the time left until its deadline
-	FateAmbiguous    Fate = "doubtful"   // it fails: it may have run and must not be repeated
-	FateExpired      Fate = "late"       // its deadline has passed
+	DispositionAcknowledged Disposition = "over"       // its final answer was acknowledged: only the ID is kept
+	DispositionNotify       Disposition = "told"       // its client receives the final answer
+	DispositionNotifyAgain  Disposition = "told again" // its client receives the final answer, perhaps for the second time
+	DispositionContinue     Disposition = "goes on"    // it is sent, with the time left until its deadline
+	DispositionAmbiguous    Disposition = "doubtful"   // it fails: it may have run and must not be repeated
+	DispositionExpired      Disposition = "late"       // its deadline has passed
 )
 
-// Fate returns what happens to a message if the next incarnation starts at now.
-func (m Message) Fate(now clock.Instant, distrusted bool) Fate {
-	_, firstRun := m.Attempted(distrusted)
+// Disposition returns what the next incarnation does with a message if it starts at now.
+func (m Message) Disposition(now clock.Instant, distrusted bool) Disposition {
+	_, firstRun := m.AssumedAttempts(distrusted)
 	switch {
 	case m.Acknowledged:
-		return FateAcknowledged
+		return DispositionAcknowledged
 	case m.FinalAnswer != "" && distrusted:
-		return FateNotifyAgain
+		return DispositionNotifyAgain
 	case m.FinalAnswer != "":
-		return FateNotify
-	case firstRun != 0 && !m.repeatable(now, firstRun):
-		return FateAmbiguous
+		return DispositionNotify
+	case firstRun != 0 && !m.mayRepeat(now, firstRun):
+		return DispositionAmbiguous
 	case now >= m.Deadline:
-		return FateExpired
+		return DispositionExpired
 	}
-	return FateContinue
+	return DispositionContinue
 }
 
-// repeatable reports whether a message whose first attempt may have run at firstRun may be sent again.
-func (m Message) repeatable(now, firstRun clock.Instant) bool {
+// mayRepeat reports whether a message whose first attempt may have run at firstRun may be sent again.
+func (m Message) mayRepeat(now, firstRun clock.Instant) bool {
 	switch m.Idempotency {
 	case scheduler.NotIdempotent:
 		return false
--- a/internal/provenance/provenance_test.go
+++ b/internal/provenance/provenance_test.go
@@ -13,32 +13,32 @@
 // Each way in which a folder can differ from the one that the last incarnation left must be reported,
 // and no other folder.
 func TestProblem(t *testing.T) {
-	stamp := Stamp{Inode: 7, CreatedNs: 1}
-	note := Note{Name: "a", Incarnation: 3, Stamp: stamp}
+	id := FileID{Inode: 7, CreatedNs: 1}
+	note := Note{Name: "a", Incarnation: 3, FileID: id}
 	for _, test := range []struct {
 		name    string
-		folder  Evidence
+		folder  FolderState
 		problem string // a part of the expected text; empty: no problem
 	}{
-		{"new", Evidence{Stamp: stamp}, ""},
-		{"of a version that left no note", Evidence{Stamp: stamp, Messages: 3}, ""},
-		{"as it was left", Evidence{Note: note, HasNote: true, JournalIncarnation: 3, Stamp: stamp}, ""},
-		{"killed before its note", Evidence{Note: note, HasNote: true, JournalIncarnation: 4, Stamp: stamp}, ""},
-		{"note lost", Evidence{JournalIncarnation: 3, Stamp: stamp}, "note is lost"},
-		{"copied", Evidence{
+		{"new", FolderState{FileID: id}, ""},
+		{"of a version that left no note", FolderState{FileID: id, Messages: 3}, ""},
+		{"as it was left", FolderState{Note: note, HasNote: true, JournalIncarnation: 3, FileID: id}, ""},
+		{"killed before its note", FolderState{Note: note, HasNote: true, JournalIncarnation: 4, FileID: id}, ""},
+		{"note lost", FolderState{JournalIncarnation: 3, FileID: id}, "note is lost"},
+		{"copied", FolderState{
 			Note: note, HasNote: true, JournalIncarnation: 3,
-			Stamp: Stamp{Inode: 8, CreatedNs: 1},
+			FileID: FileID{Inode: 8, CreatedNs: 1},
 		}, "copies"},
-		{"a number used again", Evidence{
+		{"a number used again", FolderState{
 			Note: note, HasNote: true, JournalIncarnation: 3,
-			Stamp: Stamp{Inode: 7, CreatedNs: 2},
+			FileID: FileID{Inode: 7, CreatedNs: 2},
 		}, "copies"},
-		{"another sender's", Evidence{
-			Note: Note{Name: "b", Incarnation: 3, Stamp: stamp}, HasNote: true,
-			JournalIncarnation: 3, Stamp: stamp,
+		{"another sender's", FolderState{
+			Note: Note{Name: "b", Incarnation: 3, FileID: id}, HasNote: true,
+			JournalIncarnation: 3, FileID: id,
 		}, "sender \"b\""},
-		{"an older journal", Evidence{Note: note, HasNote: true, JournalIncarnation: 2, Stamp: stamp}, "life 3 has been"},
-		{"the journal lost", Evidence{Note: note, HasNote: true, Stamp: stamp}, "life 3 has been"},
+		{"an older journal", FolderState{Note: note, HasNote: true, JournalIncarnation: 2, FileID: id}, "life 3 has been"},
+		{"the journal lost", FolderState{Note: note, HasNote: true, FileID: id}, "life 3 has been"},
 	} {
 		if problem := Problem("a", test.folder); (problem == "") != (test.problem == "") ||
 			!strings.Contains(problem, test.problem) {
@@ -71,25 +71,25 @@
 		}
 		now := sentAt + clock.Instant(rapid.Int64Range(0, 200).Draw(t, "later"))
 		recorded := message.Attempts > 0
-		trusted, distrusted := message.Fate(now, false), message.Fate(now, true)
-		if distrusted == FateContinue &&
+		trusted, distrusted := message.Disposition(now, false), message.Disposition(now, true)
+		if distrusted == DispositionContinue &&
 			(message.Idempotency == "once" || message.Idempotency == "by_key" && now >= sentAt.Add(message.IdempotencyWindow)) {
 			t.Fatalf("the message may run twice: %+v", message)
 		}
-		if trusted == FateAmbiguous && (!recorded || message.Idempotency == "repeatable") ||
-			trusted == FateAmbiguous && distrusted != FateAmbiguous ||
-			distrusted == FateContinue && trusted != FateContinue {
+		if trusted == DispositionAmbiguous && (!recorded || message.Idempotency == "repeatable") ||
+			trusted == DispositionAmbiguous && distrusted != DispositionAmbiguous ||
+			distrusted == DispositionContinue && trusted != DispositionContinue {
 			t.Fatalf("trusted %s, distrusted %s: %+v", trusted, distrusted, message)
 		}
-		if attempts, firstRun := message.Attempted(true); message.Idempotency != "repeatable" &&
+		if attempts, firstRun := message.AssumedAttempts(true); message.Idempotency != "repeatable" &&
 			(attempts == 0 || firstRun == 0 || firstRun > sentAt) {
 			t.Fatalf("%d attempts, the first at %d: %+v", attempts, firstRun, message)
 		}
-		if message.FinalAnswer = "delivered"; message.Fate(now, false) != FateNotify ||
-			message.Fate(now, true) != FateNotifyAgain {
+		if message.FinalAnswer = "delivered"; message.Disposition(now, false) != DispositionNotify ||
+			message.Disposition(now, true) != DispositionNotifyAgain {
 			t.Fatal("the final answer is not delivered to the client")
 		}
-		if message.Acknowledged = true; message.Fate(now, true) != FateAcknowledged {
+		if message.Acknowledged = true; message.Disposition(now, true) != DispositionAcknowledged {
 			t.Fatal("an acknowledged message is not treated as acknowledged")
 		}
 	})
--- a/sender/golden_folder_test.go
+++ b/sender/golden_folder_test.go
@@ -148,7 +148,7 @@
 		t.Errorf("snapshot: %v %v %+v", there, err, m)
 	}
 	f := readEvidence(goldenPath(goldenState), 1, 15)
-	if !f.HasNote || f.Note.Name != "n1" || f.Note.Incarnation != 1 || f.Note.Stamp.Inode == 0 {
+	if !f.HasNote || f.Note.Name != "n1" || f.Note.Incarnation != 1 || f.Note.FileID.Inode == 0 {
 		t.Errorf("note: %+v", f.Note)
 	}
 }
--- a/sender/golden_restore_test.go
+++ b/sender/golden_restore_test.go
@@ -36,7 +36,7 @@
 	problem              string
 	continued, ambiguous []string
 	expired              []string
-	notified             provenance.Fate
+	notified             provenance.Disposition
 	start                string
 }
 
@@ -64,22 +64,34 @@
 	keyedOn := ids([]string{"key"}, "untried", "turned")
 	oldOn, oldFail := append(slices.Clone(keyedOn), allFree...), without(allCharges, keyedOn)
 	return []goldenStart{
-		{"another boot", otherBoot, FolderMoved, 0, "", goOn, inDoubt, nil, provenance.FateNotify, "kept"},
-		{"another boot, trusted", otherBoot, FolderTrusted, 0, "", goOn, inDoubt, nil, provenance.FateNotify, "kept"},
-		{"another boot, a copy", otherBoot, FolderJudged, 0, copied, oldOn, oldFail, nil, provenance.FateNotifyAgain, "old"},
+		{"another boot", otherBoot, FolderMoved, 0, "", goOn, inDoubt, nil, provenance.DispositionNotify, "kept"},
+		{
+			"another boot, trusted", otherBoot, FolderTrusted, 0, "", goOn, inDoubt, nil,
+			provenance.DispositionNotify, "kept",
+		},
+		{
+			"another boot, a copy", otherBoot, FolderJudged, 0, copied, oldOn, oldFail, nil,
+			provenance.DispositionNotifyAgain, "old",
+		},
 		{
 			"another boot, restored", otherBoot, FolderRestored, 0, "by the operator's word", oldOn, oldFail, nil,
-			provenance.FateNotifyAgain, "old",
+			provenance.DispositionNotifyAgain, "old",
+		},
+		{
+			"this boot, a second later", goldenBoot, FolderMoved, 2_000_000, "", keyed, charge, nil,
+			provenance.DispositionNotify, "",
 		},
-		{"this boot, a second later", goldenBoot, FolderMoved, 2_000_000, "", keyed, charge, nil, provenance.FateNotify, ""},
 		{
 			"this boot, behind the window", goldenBoot, FolderMoved, 31_000_000, "", goOn, inDoubt, nil,
-			provenance.FateNotify, "",
+			provenance.DispositionNotify, "",
+		},
+		{
+			"this boot, too late", goldenBoot, FolderMoved, 51_000_000, "", nil, inDoubt, goOn,
+			provenance.DispositionNotify, "",
 		},
-		{"this boot, too late", goldenBoot, FolderMoved, 51_000_000, "", nil, inDoubt, goOn, provenance.FateNotify, ""},
 		{
 			"this boot, a copy behind the window", goldenBoot, FolderJudged, 31_000_000, copied, allFree, allCharges, nil,
-			provenance.FateNotifyAgain, "",
+			provenance.DispositionNotifyAgain, "",
 		},
 	}
 }
@@ -97,19 +109,21 @@
 			if err != nil || p.Problem != c.problem {
 				t.Fatal(p.Problem, err)
 			}
-			got := map[string]provenance.Fate{}
+			got := map[string]provenance.Disposition{}
 			for _, x := range p.Messages {
 				got[x.ID] = x.Fate
 			}
-			want := map[string]provenance.Fate{"ended": c.notified, "back": c.notified}
-			for fate, list := range map[provenance.Fate][]string{
-				provenance.FateContinue: c.continued, provenance.FateAmbiguous: c.ambiguous, provenance.FateExpired: c.expired,
+			want := map[string]provenance.Disposition{"ended": c.notified, "back": c.notified}
+			for fate, list := range map[provenance.Disposition][]string{
+				provenance.DispositionContinue:  c.continued,
+				provenance.DispositionAmbiguous: c.ambiguous,
+				provenance.DispositionExpired:   c.expired,
 			} {
 				for _, id := range list {
 					want[id] = fate
 				}
 			}
-			if !maps.Equal(got, want) || p.Counts[provenance.FateAcknowledged] != 1 || len(want) != 14 {
+			if !maps.Equal(got, want) || p.Counts[provenance.DispositionAcknowledged] != 1 || len(want) != 14 {
 				t.Errorf("got  %v\nwant %v\n%v", got, want, p.Counts)
 			}
 		})
--- a/sender/golden_test.go
+++ b/sender/golden_test.go
@@ -53,8 +53,11 @@
 // The note is written with the same bytes under the same name, and read back with every field.
 func TestGoldenNote(t *testing.T) {
 	for name, n := range map[string]provenance.Note{
-		"life":        {Name: "n1", Incarnation: 3, Stamp: provenance.Stamp{Inode: 7, CreatedNs: 1_700_000_000_000_000_001}},
-		"life-unborn": {Name: "n1", Incarnation: 1, Stamp: provenance.Stamp{Inode: 7}},
+		"life": {
+			Name: "n1", Incarnation: 3,
+			FileID: provenance.FileID{Inode: 7, CreatedNs: 1_700_000_000_000_000_001},
+		},
+		"life-unborn": {Name: "n1", Incarnation: 1, FileID: provenance.FileID{Inode: 7}},
 	} {
 		dir := t.TempDir()
 		if err := writeNote(dir, n); err != nil {
@@ -70,9 +73,9 @@
 			t.Fatal(err)
 		}
 		f := readEvidence(other, 5, 2)
-		if want := (provenance.Evidence{
+		if want := (provenance.FolderState{
 			Note: n, HasNote: true, JournalIncarnation: 5, Messages: 2,
-			Stamp: f.Stamp,
+			FileID: f.FileID,
 		}); f != want {
 			t.Errorf("%s: got %+v, want %+v", name, f, want)
 		}
--- a/sender/provenance.go
+++ b/sender/provenance.go
@@ -49,7 +49,7 @@
 		err = writeNote(s.options.StateDir, provenance.Note{
 			Name:        s.options.Name,
 			Incarnation: s.journal.Incarnation(),
-			Stamp:       evidence.Stamp,
+			FileID:      evidence.FileID,
 		})
 	}
 	if err != nil { // the next incarnation finds the note of an earlier one, and a journal that is newer
@@ -104,12 +104,12 @@
 	if entry.FinalAnswer != "" || entry.Acknowledged || class.Idempotency == scheduler.Idempotent {
 		return
 	}
-	attempts, firstRun := provenanceMessage(entry, class).Attempted(true)
+	attempts, firstRun := provenanceMessage(entry, class).AssumedAttempts(true)
 	s.journal.MarkAmbiguous(entry.ID, attempts, firstRun)
 }
 
 // folderProblem returns what speaks against a folder; empty: nothing.
-func folderProblem(name string, trust FolderTrust, evidence provenance.Evidence) string {
+func folderProblem(name string, trust FolderTrust, evidence provenance.FolderState) string {
 	switch trust {
 	case FolderRestored:
 		return "by the operator's word"
@@ -120,10 +120,10 @@
 }
 
 // readEvidence reads what the folder tells beside its journal.
-func readEvidence(dir string, journalIncarnation uint64, messages int) provenance.Evidence {
-	evidence := provenance.Evidence{JournalIncarnation: journalIncarnation, Messages: messages}
-	if stamp, err := journal.FileStamp(dir); err == nil {
-		evidence.Stamp = provenance.Stamp(stamp)
+func readEvidence(dir string, journalIncarnation uint64, messages int) provenance.FolderState {
+	evidence := provenance.FolderState{JournalIncarnation: journalIncarnation, Messages: messages}
+	if stamp, err := journal.LockFileID(dir); err == nil {
+		evidence.FileID = provenance.FileID(stamp)
 	}
 	raw, err := statefs.Read(filepath.Join(dir, noteFileName), maxNoteBytes)
 	evidence.HasNote = err == nil && json.Unmarshal(raw, &evidence.Note) == nil
--- a/sender/restore.go
+++ b/sender/restore.go
@@ -80,8 +80,8 @@
 func (s *Sender) restoredEvent(entry *journal.Entry) scheduler.Event {
 	distrusted := s.recovery.folderProblem != ""
 	message := provenanceMessage(entry, s.classes[entry.Class])
-	attempts, firstRun := message.Attempted(distrusted)
-	if message.Fate(s.Now(), distrusted) == provenance.FateAmbiguous {
+	attempts, firstRun := message.AssumedAttempts(distrusted)
+	if message.Disposition(s.Now(), distrusted) == provenance.DispositionAmbiguous {
 		s.recovery.ambiguousCount++
 	}
 	return scheduler.Event{
