--- a/internal/app/start_faults_test.go
+++ b/internal/app/start_faults_test.go
@@ -183,7 +183,7 @@
 		Body: make([]byte, 2000),
 	}); ; n++ {
 		x := *e
-		if x.ID = fmt.Sprint("m", n); !s.HasRoom(journal.RecordSize(&x), 0) {
+		if x.ID = fmt.Sprint("m", n); !s.HasSpace(journal.RecordSize(&x), 0) {
 			break
 		}
 		s.Accept(&x)
--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -195,7 +195,7 @@
 				s.StartAttempt(id, "z", now)
 			}
 			if state == "ended" || state == "heard" {
-				s.End(id, "failed", 0)
+				s.SetFinalAnswer(id, "failed", 0)
 			}
 			if state == "heard" {
 				s.Acknowledge(id)
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -34,17 +34,17 @@
 // Reading is the same instant by both clocks, and the boot in which it was read. It is stored in the
 // snapshot.
 type Reading struct {
-	Wall WallTime `json:"Wall"`
-	Boot Instant  `json:"Boot"` // by the steady clock
-	ID   string   `json:"ID"`   // of the boot, from BootID; empty: unknown
+	Wall      WallTime `json:"Wall"`
+	SinceBoot Instant  `json:"Boot"` // the time of the steady clock
+	BootID    string   `json:"ID"`   // empty: unknown
 }
 
 // Now reads both clocks.
 func Now() Reading {
 	return Reading{
-		Wall: WallTime(time.Now().Add(wallOffset()).UnixMicro()),
-		Boot: Steady(),
-		ID:   BootID(),
+		Wall:      WallTime(time.Now().Add(wallOffset()).UnixMicro()),
+		SinceBoot: Steady(),
+		BootID:    BootID(),
 	}
 }
 
--- a/internal/journal/faults_test.go
+++ b/internal/journal/faults_test.go
@@ -45,7 +45,7 @@
 						t.Fatal("Flush succeeded although the write fails")
 					}
 					j.Accept(&Entry{ID: "more" + string(rune('a'+len(j.buffer)%26))}) // recorded between the failed writes
-					j.Forget("more" + string(rune('a'+len(j.buffer)%26)))
+					j.Remove("more" + string(rune('a'+len(j.buffer)%26)))
 				}
 				killedDir := t.TempDir()
 				raw, err := os.ReadFile(filepath.Join(dir, fileName))
@@ -181,7 +181,7 @@
 	if got := describe(j); got != want || j.LostBytes() != int64(len("half a record")) {
 		t.Fatalf("%d bytes lost, %d of %d messages read", j.LostBytes(), len(j.Entries()), 40)
 	}
-	if j.HasRoom(1, 0) {
-		t.Error("HasRoom accepts a message beyond the disk budget")
+	if j.HasSpace(1, 0) {
+		t.Error("HasSpace accepts a message beyond the disk budget")
 	}
 }
--- a/internal/journal/golden_test.go
+++ b/internal/journal/golden_test.go
@@ -123,13 +123,13 @@
 	})
 	step(func() {
 		j.StartAttempt("may-have-run", "zone-b", now)
-		j.End("ended", "failed", 250)
-		j.End("heard", "delivered", 0)
-		j.End("gone", "delivered", 0)
+		j.SetFinalAnswer("ended", "failed", 250)
+		j.SetFinalAnswer("heard", "delivered", 0)
+		j.SetFinalAnswer("gone", "delivered", 0)
 	})
 	step(func() {
 		j.Acknowledge("heard")
-		j.Forget("gone")
+		j.Remove("gone")
 	})
 	step(func() { exclude(t, j, "target-back", true) })
 	step(func() {
@@ -253,7 +253,7 @@
 	}
 }
 
-// Open and ReadOnly must read a file of the current boot as it was written, without changing it.
+// Open and ReadEntries must read a file of the current boot as it was written, without changing it.
 func TestGoldenRead(t *testing.T) {
 	fixBoot(t, goldenBoot)
 	for _, c := range []struct {
@@ -268,7 +268,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			raw := readGolden(t, c.name)
 			dir := goldenDir(t, raw)
-			entries, incarnation, err := ReadOnly(dir, goldenBudget)
+			entries, incarnation, err := ReadEntries(dir, goldenBudget)
 			if err != nil || incarnation != 4 {
 				t.Fatal(incarnation, err)
 			}
@@ -276,7 +276,7 @@
 			j := openTest(t, dir, goldenBudget)
 			checkEntries(t, j.Entries(), c.want)
 			checkHead(t, j, c.latestTime)
-			checkRemoved(t, j.Forgotten(), c.removed)
+			checkRemoved(t, j.RemovedEntries(), c.removed)
 			if !bytes.Equal(readJournal(t, dir), raw) {
 				t.Error("opening the file has changed it")
 			}
@@ -284,7 +284,7 @@
 	}
 }
 
-// withoutNotified returns the entries as ReadOnly reads them, which does not set Notified.
+// withoutNotified returns the entries as ReadEntries reads them, which does not set Notified.
 func withoutNotified(list []Entry) []Entry {
 	list = slices.Clone(list)
 	for i := range list {
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -33,8 +33,8 @@
 // MaxTransactionBytes limits the total RecordSize of the messages of one transaction.
 const MaxTransactionBytes = 1 << 19
 
-// MaxExcluded limits the number of endpoints that are excluded at the same time.
-const MaxExcluded = 1024
+// MaxExcludedEndpoints limits the number of endpoints that are excluded at the same time.
+const MaxExcludedEndpoints = 1024
 
 // ErrLocked reports that another process has the journal open.
 var ErrLocked = errors.New("journal: another process holds the journal")
@@ -171,9 +171,9 @@
 // IsNew reports whether Open found no journal.
 func (j *Journal) IsNew() bool { return j.isNew }
 
-// Forgotten returns the messages that had both their entry and its removal in the file when it was
-// opened. A second call returns none.
-func (j *Journal) Forgotten() []*Entry {
+// RemovedEntries returns the messages that were in the file together with the record of their removal
+// when it was opened, without their bodies. A second call returns none.
+func (j *Journal) RemovedEntries() []*Entry {
 	removed := j.removed
 	j.removed = nil
 	return removed
@@ -208,14 +208,14 @@
 // Excluded reports whether an endpoint is excluded from new attempts.
 func (j *Journal) Excluded(endpoint string) bool { return j.excluded[endpoint] }
 
-// HasRoom reports whether one more message whose RecordSize is bytes can be accepted, with space left
+// HasSpace reports whether one more message whose RecordSize is bytes can be accepted, with space left
 // for its attempts, its final answer and a compaction. reserved is the RecordSize of the messages
 // that the caller has already admitted and will still pass to Accept.
-func (j *Journal) HasRoom(bytes, reserved int) bool {
+func (j *Journal) HasSpace(bytes, reserved int) bool {
 	return j.liveBytes+int64(bytes+reserved)+2*messageOverhead+headReserve <= j.messageCapacity()
 }
 
-// FillLevel returns the used share of the space for messages. At 1, HasRoom refuses any further
+// FillLevel returns the used share of the space for messages. At 1, HasSpace refuses any further
 // message.
 func (j *Journal) FillLevel() float64 {
 	return float64(j.liveBytes+2*messageOverhead+headReserve) / float64(j.messageCapacity())
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -50,9 +50,9 @@
 	j.StartAttempt("b", "z2", 20) // in flight
 	j.StartAttempt("a", "z1", 11)
 	j.EndAttempt("a", true)
-	j.End("c", "failed", 250)
-	j.End("d", "delivered", 0)
-	j.Forget("d")
+	j.SetFinalAnswer("c", "failed", 250)
+	j.SetFinalAnswer("d", "delivered", 0)
+	j.Remove("d")
 	flush(t, j)
 	_ = j.Close()
 	want := "b/body b/2/0//20//0;a/body a/1/11/z1/0//0;c//0/0//0/failed/250;"
@@ -102,7 +102,7 @@
 	sizeBefore := j.size
 	j.Accept(&Entry{ID: "a", Body: []byte("body")})
 	j.Accept(&Entry{ID: "b"})
-	j.Forget("old")
+	j.Remove("old")
 	flush(t, j)
 	raw, err := os.ReadFile(filepath.Join(dir, fileName))
 	if err != nil {
@@ -132,7 +132,7 @@
 	var ids []string
 	for i := range 4000 {
 		entry := &Entry{ID: fmt.Sprint("m", i), Body: make([]byte, rng.Intn(9000))}
-		if j.HasRoom(RecordSize(entry), 0) {
+		if j.HasSpace(RecordSize(entry), 0) {
 			j.Accept(entry)
 			ids = append(ids, entry.ID)
 		} else if len(ids) == 0 {
@@ -144,9 +144,9 @@
 				j.StartAttempt(ids[pick], "zone", 1)
 				j.EndAttempt(ids[pick], true)
 			}
-			j.End(ids[pick], "failed", 1)
+			j.SetFinalAnswer(ids[pick], "failed", 1)
 			if i%2 == 0 {
-				j.Forget(ids[pick])
+				j.Remove(ids[pick])
 				ids = append(ids[:pick], ids[pick+1:]...)
 			}
 		}
--- a/internal/journal/operations.go
+++ b/internal/journal/operations.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// End records the final answer of a message, which is kept until Forget.
-func (j *Journal) End(id, answer string, retryAfterMs int64) {
+// SetFinalAnswer records the final answer of a message, which is kept until Remove.
+func (j *Journal) SetFinalAnswer(id, answer string, retryAfterMs int64) {
 	j.record(changeRecord{kind: recordFinalAnswer, id: id, number: retryAfterMs, text: answer})
 }
 
@@ -41,8 +41,8 @@
 // that has to recognize the ID if it is submitted again.
 func (j *Journal) Acknowledge(id string) { j.record(changeRecord{kind: recordAcknowledged, id: id}) }
 
-// Forget removes a message and records the removal.
-func (j *Journal) Forget(id string) { j.record(changeRecord{kind: recordRemoved, id: id}) }
+// Remove removes a message and records the removal.
+func (j *Journal) Remove(id string) { j.record(changeRecord{kind: recordRemoved, id: id}) }
 
 // SetExcluded records that an endpoint is excluded from new attempts or, with exclude false, no
 // longer excluded. The change is durable once Flush has succeeded. The error is ErrFull if there are
@@ -51,7 +51,7 @@
 	if j.excluded[endpoint] == exclude {
 		return nil
 	}
-	if exclude && (len(j.excluded) >= MaxExcluded || !j.HasRoom(exclusionSize(endpoint), 0)) {
+	if exclude && (len(j.excluded) >= MaxExcludedEndpoints || !j.HasSpace(exclusionSize(endpoint), 0)) {
 		return ErrFull
 	}
 	j.buffer = exclusionChange(endpoint, exclude).appendTo(j.openBatch())
--- a/internal/journal/other_boot.go
+++ b/internal/journal/other_boot.go
@@ -19,7 +19,7 @@
 // sameClock reports whether the file's times are of the clock that runs now. If the system provides
 // no boot ID, a clock that is not behind the file's latest time is taken for the same.
 func (j *Journal) sameClock(now clock.Reading) bool {
-	return !j.usesWallClock && j.bootID == now.ID && now.Boot >= j.latestTime
+	return !j.usesWallClock && j.bootID == now.BootID && now.SinceBoot >= j.latestTime
 }
 
 // rebaseTimes converts times of another clock to the one that runs now. How long no process ran is
@@ -34,7 +34,7 @@
 			downtime = 0
 		}
 	}
-	shift := now.Boot - j.latestTime - downtime
+	shift := now.SinceBoot - j.latestTime - downtime
 	for _, entry := range j.entries {
 		entry.Deadline += shift
 		if entry.FirstRun != 0 {
--- a/internal/journal/readonly.go
+++ b/internal/journal/readonly.go
@@ -11,10 +11,10 @@
 	"brackendale/internal/clock"
 )
 
-// ReadOnly reads the journal in dir as the next Open would, but changes nothing. It returns the
+// ReadEntries reads the journal in dir as the next Open would, but changes nothing. It returns the
 // entries and the last incarnation that is recorded. It reads at most budget bytes. The error is
 // ErrLocked if a process has the journal open.
-func ReadOnly(dir string, budget int64) (entries []*Entry, incarnation uint64, err error) {
+func ReadEntries(dir string, budget int64) (entries []*Entry, incarnation uint64, err error) {
 	lock, err := os.Open(filepath.Join(dir, lockName))
 	if err == nil {
 		defer lock.Close()
--- a/internal/journal/verify_test.go
+++ b/internal/journal/verify_test.go
@@ -20,7 +20,7 @@
 			id := fmt.Sprint(i)
 			j.Accept(&Entry{ID: id, Body: make([]byte, 700)})
 			if i > 20 {
-				j.Forget(fmt.Sprint(i - 20))
+				j.Remove(fmt.Sprint(i - 20))
 			}
 			if err := j.Flush(); err != nil {
 				done <- err
@@ -68,7 +68,7 @@
 	}
 }
 
-// The recorded incarnation must survive compactions and restarts. ReadOnly must return it, and must
+// The recorded incarnation must survive compactions and restarts. ReadEntries must return it, and must
 // refuse to read while the journal is open.
 func TestIncarnation(t *testing.T) {
 	dir := t.TempDir()
@@ -81,18 +81,18 @@
 	for i := range 2000 {
 		id := strconv.Itoa(i)
 		j.Accept(&Entry{ID: id, Body: make([]byte, 100)})
-		j.Forget(id)
+		j.Remove(id)
 		if err := j.Flush(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, _, err := ReadOnly(dir, 64<<10); !errors.Is(err, ErrLocked) {
-		t.Errorf("ReadOnly while the journal is open: %v", err)
+	if _, _, err := ReadEntries(dir, 64<<10); !errors.Is(err, ErrLocked) {
+		t.Errorf("ReadEntries while the journal is open: %v", err)
 	}
 	if err := j.Close(); err != nil {
 		t.Fatal(err)
 	}
-	list, incarnation, err := ReadOnly(dir, 64<<10)
+	list, incarnation, err := ReadEntries(dir, 64<<10)
 	if err != nil || incarnation != 3 || len(list) != 1 || list[0].ID != "kept" {
 		t.Fatal(list, incarnation, err)
 	}
--- a/internal/journal/write.go
+++ b/internal/journal/write.go
@@ -56,9 +56,9 @@
 	return nil
 }
 
-// Torn reports whether bytes of a failed write may still follow the valid records in the file. They
-// may form a complete record: until they are cut off, the next process may read it as written.
-func (j *Journal) Torn() bool { return j.torn }
+// HasTornTail reports whether bytes of a failed write may still follow the valid records in the file.
+// They may form a complete record: until they are cut off, the next process may read it as written.
+func (j *Journal) HasTornTail() bool { return j.torn }
 
 // truncateTail cuts off what a failed write has left behind. If a shorter record were written over
 // it, the rest might still be readable as a record.
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -79,7 +79,7 @@
 		}},
 	}
 	return Snapshot{
-		Name: "n1", TakenAt: clock.Reading{Wall: 1_700_000_000_000_000, Boot: 50_000_000, ID: "boot-1"},
+		Name: "n1", TakenAt: clock.Reading{Wall: 1_700_000_000_000_000, SinceBoot: 50_000_000, BootID: "boot-1"},
 		Scheduler: state, Draining: []string{"target-1", "target-2"},
 	}
 }
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -97,11 +97,11 @@
 // shift is 0. Between two boots only the wall clock measures the elapsed time; if it was set back,
 // that counts as no time.
 func Elapsed(takenAt, now clock.Reading) (elapsed, shift int64) {
-	if takenAt.ID != "" && takenAt.ID == now.ID && now.Boot >= takenAt.Boot {
-		return int64(now.Boot - takenAt.Boot), 0
+	if takenAt.BootID != "" && takenAt.BootID == now.BootID && now.SinceBoot >= takenAt.SinceBoot {
+		return int64(now.SinceBoot - takenAt.SinceBoot), 0
 	}
 	elapsed = max(0, int64(now.Wall-takenAt.Wall))
-	return elapsed, int64(now.Boot-takenAt.Boot) - elapsed
+	return elapsed, int64(now.SinceBoot-takenAt.SinceBoot) - elapsed
 }
 
 // Write replaces the file in dir by one with this snapshot.
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -12,10 +12,14 @@
 )
 
 func testSnapshot() Snapshot {
-	return Snapshot{Name: "n1", TakenAt: clock.Reading{Wall: 1_000_000, Boot: 50, ID: "x"}, Scheduler: scheduler.State{
-		Format:       scheduler.StateFormat,
-		Destinations: []scheduler.DestinationState{{Destination: 7, Floats: []float64{2.5}, Integers: []int64{900_000}}},
-	}}
+	return Snapshot{
+		Name:    "n1",
+		TakenAt: clock.Reading{Wall: 1_000_000, SinceBoot: 50, BootID: "x"},
+		Scheduler: scheduler.State{
+			Format:       scheduler.StateFormat,
+			Destinations: []scheduler.DestinationState{{Destination: 7, Floats: []float64{2.5}, Integers: []int64{900_000}}},
+		},
+	}
 }
 
 // Read must return what Write wrote, and must report that there is no file before. A file with a
@@ -74,18 +78,18 @@
 // now.
 func TestElapsed(t *testing.T) {
 	const s, h = 1_000_000, 3600 * 1_000_000
-	takenAt := clock.Reading{Wall: 100 * h, Boot: 10 * h, ID: "x"}
+	takenAt := clock.Reading{Wall: 100 * h, SinceBoot: 10 * h, BootID: "x"}
 	for _, test := range []struct {
 		name           string
 		now            clock.Reading
 		elapsed, shift int64
 	}{
-		{"nothing odd", clock.Reading{Wall: 100*h + 3*s, Boot: 10*h + 3*s, ID: "x"}, 3 * s, 0},
-		{"set an hour forward", clock.Reading{Wall: 101*h + 3*s, Boot: 10*h + 3*s, ID: "x"}, 3 * s, 0},
-		{"set an hour back", clock.Reading{Wall: 99*h + 3*s, Boot: 10*h + 3*s, ID: "x"}, 3 * s, 0},
-		{"started anew", clock.Reading{Wall: 100*h + 90*s, Boot: 20 * s, ID: "y"}, 90 * s, 20*s - 10*h - 90*s},
-		{"started anew and set back", clock.Reading{Wall: 99 * h, Boot: 20 * s, ID: "y"}, 0, 20*s - 10*h},
-		{"no id", clock.Reading{Wall: 100*h + s, Boot: 0, ID: ""}, s, -10*h - s},
+		{"nothing odd", clock.Reading{Wall: 100*h + 3*s, SinceBoot: 10*h + 3*s, BootID: "x"}, 3 * s, 0},
+		{"set an hour forward", clock.Reading{Wall: 101*h + 3*s, SinceBoot: 10*h + 3*s, BootID: "x"}, 3 * s, 0},
+		{"set an hour back", clock.Reading{Wall: 99*h + 3*s, SinceBoot: 10*h + 3*s, BootID: "x"}, 3 * s, 0},
+		{"started anew", clock.Reading{Wall: 100*h + 90*s, SinceBoot: 20 * s, BootID: "y"}, 90 * s, 20*s - 10*h - 90*s},
+		{"started anew and set back", clock.Reading{Wall: 99 * h, SinceBoot: 20 * s, BootID: "y"}, 0, 20*s - 10*h},
+		{"no id", clock.Reading{Wall: 100*h + s, SinceBoot: 0, BootID: ""}, s, -10*h - s},
 	} {
 		if elapsed, shift := Elapsed(takenAt, test.now); elapsed != test.elapsed || shift != test.shift {
 			t.Errorf("%s: elapsed %d, shift %d", test.name, elapsed, shift)
--- a/sender/admission.go
+++ b/sender/admission.go
@@ -66,7 +66,7 @@
 	if limit > 0 && s.pending+len(s.next.requests)+len(ahead) >= limit {
 		return false
 	}
-	return s.journal.HasRoom(aheadBytes+journal.RecordSize(newEntry(request)), s.next.promisedBytes)
+	return s.journal.HasSpace(aheadBytes+journal.RecordSize(newEntry(request)), s.next.promisedBytes)
 }
 
 // enqueue lets the next step decide on a request.
--- a/sender/disk_stall.go
+++ b/sender/disk_stall.go
@@ -57,7 +57,7 @@
 			continue
 		}
 		s.pending--
-		s.journal.Forget(request.ID)
+		s.journal.Remove(request.ID)
 		decided.replies[request.ID] = reply{Rejected, s.retryAfterMs()}
 		undone[request.ID] = false
 	}
@@ -97,7 +97,7 @@
 			continue
 		}
 		answer := decided.replies[request.ID] // the zero reply is Accepted
-		if s.diskStall.err != nil && s.journal.Torn() {
+		if s.diskStall.err != nil && s.journal.HasTornTail() {
 			s.diskStall.withheld = append(s.diskStall.withheld, withheldVerdict{request, answer})
 			continue
 		}
@@ -113,7 +113,7 @@
 		return true
 	}
 	err := s.journal.Flush()
-	if err == nil || !s.journal.Torn() {
+	if err == nil || !s.journal.HasTornTail() {
 		for _, withheld := range s.diskStall.withheld {
 			s.answer(withheld.request, withheld.reply)
 		}
--- a/sender/exclusion_test.go
+++ b/sender/exclusion_test.go
@@ -186,7 +186,7 @@
 	for i := 0; ; i++ {
 		s.knownEndpoints.add(fmt.Sprint("t", i))
 		if err := exclude(t, s, fmt.Sprint("t", i), true); err != nil {
-			if !errors.Is(err, journal.ErrFull) || i != journal.MaxExcluded {
+			if !errors.Is(err, journal.ErrFull) || i != journal.MaxExcludedEndpoints {
 				t.Fatal(i, err)
 			}
 			return
--- a/sender/final_answers.go
+++ b/sender/final_answers.go
@@ -29,7 +29,7 @@
 		s.forget(id)
 		return
 	}
-	s.journal.End(id, answer, retryAfterMs)
+	s.journal.SetFinalAnswer(id, answer, retryAfterMs)
 	s.unsentAnswers = append(s.unsentAnswers, entry)
 }
 
@@ -108,7 +108,7 @@
 // forget removes a message from the journal.
 func (s *Sender) forget(id string) {
 	if entry := s.journal.Get(id); entry != nil {
-		s.journal.Forget(id)
+		s.journal.Remove(id)
 		s.rememberEnded(entry)
 	}
 }
--- a/sender/golden_folder_test.go
+++ b/sender/golden_folder_test.go
@@ -86,9 +86,9 @@
 	for _, id := range []string{"ended", "back", "heard"} {
 		opened.Accept(goldenEntry(id, "once"))
 	}
-	opened.End("ended", "delivered", 0)
-	opened.End("back", "returned", 250)
-	opened.End("heard", "delivered", 0)
+	opened.SetFinalAnswer("ended", "delivered", 0)
+	opened.SetFinalAnswer("back", "returned", 250)
+	opened.SetFinalAnswer("heard", "delivered", 0)
 	opened.Acknowledge("heard")
 	if err := errors.Join(opened.Flush(), opened.Close()); err != nil {
 		t.Fatal(err)
@@ -144,7 +144,7 @@
 		t.Error(names)
 	}
 	m, there, err := snapshot.Read(goldenFolder(t), "n1")
-	if !there || err != nil || m.TakenAt.ID != goldenBoot || !slices.Equal(m.Draining, []string{"gone-target"}) {
+	if !there || err != nil || m.TakenAt.BootID != goldenBoot || !slices.Equal(m.Draining, []string{"gone-target"}) {
 		t.Errorf("snapshot: %v %v %+v", there, err, m)
 	}
 	f := readEvidence(goldenPath(goldenState), 1, 15)
--- a/sender/recovery_plan.go
+++ b/sender/recovery_plan.go
@@ -30,7 +30,7 @@
 func PlanRecovery(dir, name string, trust FolderTrust, settings scheduler.Settings, budget int64,
 	now clock.Instant,
 ) (RecoveryPlan, error) {
-	entries, incarnation, err := journal.ReadOnly(dir, budget)
+	entries, incarnation, err := journal.ReadEntries(dir, budget)
 	if err != nil {
 		return RecoveryPlan{}, err
 	}
--- a/sender/recovery_test.go
+++ b/sender/recovery_test.go
@@ -78,7 +78,7 @@
 		booked++
 		copied := filepath.Join(t.TempDir(), "copy")
 		err := fleet.Backup(dir, copied)
-		l, _, lerr := journal.ReadOnly(copied, 1<<20)
+		l, _, lerr := journal.ReadEntries(copied, 1<<20)
 		if err = errors.Join(err, lerr); err != nil || len(l) == 0 {
 			t.Error(len(l), err)
 		}
--- a/sender/restore.go
+++ b/sender/restore.go
@@ -38,7 +38,7 @@
 // restoreJournal hands the scheduler the messages of the last incarnation. An attempt that was in
 // flight may have run.
 func (s *Sender) restoreJournal() {
-	for _, entry := range s.journal.Forgotten() {
+	for _, entry := range s.journal.RemovedEntries() {
 		s.rememberEnded(entry)
 	}
 	if s.options.Checkpoint != nil {
--- a/sender/snapshots.go
+++ b/sender/snapshots.go
@@ -46,12 +46,12 @@
 	now := clock.Now()
 	elapsed, shift := snapshot.Elapsed(stored.TakenAt, now)
 	stored.Scheduler.ShiftTimes(shift)
-	if err := s.scheduler.RestoreLearnedState(stored.Scheduler, int64(now.Boot)); err != nil {
+	if err := s.scheduler.RestoreLearnedState(stored.Scheduler, int64(now.SinceBoot)); err != nil {
 		return err
 	}
 	s.draining.names = stored.Draining
 	// Until messages get their final answers in this incarnation: what came in went out.
-	s.finalAnswerRate.perSecond = s.scheduler.ArrivalRate(int64(now.Boot))
+	s.finalAnswerRate.perSecond = s.scheduler.ArrivalRate(int64(now.SinceBoot))
 	s.log.Info().Int64("away_ms", elapsed/1000).Int64("clock_moved_ms", shift/1000).
 		Int("destinations", len(stored.Scheduler.Destinations)).Msg("what the last life knew")
 	return nil
