--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -45,8 +45,8 @@
 	Deadline clock.Instant      // the earliest deadline of its messages
 }
 
-// Gate records which endpoints accept attempts and until when the routes have to wait for a Retry-After. It is not safe
-// for concurrent use.
+// Gate records which endpoints accept attempts and when the Retry-After of each route ends. It is not safe for
+// concurrent use.
 type Gate struct {
 	ownLimits    map[string]bool          // by machine type: each endpoint of it is a route of its own
 	destinations map[string]int64         // of the endpoints that accept new attempts, by address
--- a/internal/journal/faults_test.go
+++ b/internal/journal/faults_test.go
@@ -11,22 +11,22 @@
 	"brackendale/internal/statefs"
 )
 
-// A write fails after each possible number of bytes, once or three times in a row, and with it the
-// truncation that should remove those bytes, or not. If the process is killed then, the next one must
-// find everything written before and nothing of the failed step, or all of it if all its bytes were
-// written. If the process goes on, the next successful Flush must write all of it.
+// A write fails after each possible number of bytes, once or three times in a row. The truncation that
+// should remove those bytes works or fails too. If the process is killed then, the next one must find
+// everything written before and nothing of the failed step, or all of it if all its bytes were written
+// and not truncated. If the process continues, the next successful Flush must write all of it.
 func TestWriteFailsAtEveryByte(t *testing.T) {
 	size := 1
 	for after := 0; after <= size; after++ {
 		for _, failures := range []int{1, 3} {
-			for _, truncateFails := range []bool{true, false} {
+			for _, truncateWorks := range []bool{true, false} {
 				dir := t.TempDir()
 				j := openTest(t, dir, budget)
 				j.Accept(&Entry{ID: "old", Body: []byte("body")})
 				flush(t, j)
 				remaining := failures
 				undo := statefs.SetHook(func(call statefs.Call, name string) *statefs.Fault {
-					if name != fileName || call == statefs.CallTruncate && truncateFails {
+					if name != fileName || call == statefs.CallTruncate && truncateWorks {
 						return nil
 					}
 					if call == statefs.CallTruncate || call == statefs.CallWrite && remaining > 0 {
@@ -57,16 +57,16 @@
 				}
 				next := replayFile(t, killedDir)
 				if complete := next.Get("new") != nil; next.Get("old") == nil || complete != (next.Get("old").InFlightSince != 0) ||
-					complete && (truncateFails || after < size) {
-					t.Fatalf("write failed after %d of %d bytes, truncation fails %v: %s", after, size, truncateFails, describe(next))
+					complete && (truncateWorks || after < size) {
+					t.Fatalf("write failed after %d of %d bytes, truncation works %v: %s", after, size, truncateWorks, describe(next))
 				}
 				undo()
 				flush(t, j)
 				want := describe(j)
 				_ = j.Close()
 				if got := describe(openTest(t, dir, budget)); got != want {
-					t.Fatalf("write failed after %d of %d bytes, truncation fails %v\ngot  %s\nwant %s", after, size,
-						truncateFails, got, want)
+					t.Fatalf("write failed after %d of %d bytes, truncation works %v\ngot  %s\nwant %s", after, size,
+						truncateWorks, got, want)
 				}
 			}
 		}
--- a/internal/provenance/provenance.go
+++ b/internal/provenance/provenance.go
@@ -72,10 +72,10 @@
 	Acknowledged  bool
 }
 
-// AssumedAttempts returns the number of attempts that the next incarnation has to assume, and the time at
-// which the first of them may have run (0: none has). A distrusted folder may be an older state. Any
-// message in it that is not idempotent may have been sent since then, at the earliest at the earliest
-// possible time of its acceptance.
+// AssumedAttempts returns the number of attempts that the next incarnation has to assume, and the
+// earliest time at which one of them may have run (0: none). A distrusted folder may be an older
+// state: any message in it that is not idempotent may have been sent since then, at any time after it
+// can have been accepted.
 func (m Message) AssumedAttempts(distrusted bool) (attempts int, firstRun clock.Instant) {
 	attempts, firstRun = m.Attempts, m.FirstRun
 	if m.InFlightSince != 0 && firstRun == 0 {
--- a/internal/provenance/provenance_test.go
+++ b/internal/provenance/provenance_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// Each way in which a folder can differ from the one that the last incarnation left must be reported,
-// and no other folder.
+// Problem must report each way in which a folder can differ from the one that the last incarnation
+// left, and must report nothing about a new folder or one as it was left.
 func TestProblem(t *testing.T) {
 	id := FileID{Inode: 7, CreatedNs: 1}
 	note := Note{Name: "a", Incarnation: 3, FileID: id}
