--- a/sender/admission.go
+++ b/sender/admission.go
@@ -66,7 +66,7 @@
 	if limit > 0 && s.pending+len(s.nextInput.requests)+len(ahead) >= limit {
 		return false
 	}
-	return s.journal.HasRoom(aheadBytes+journal.RecordSize(newEntry(request)), s.nextInput.reservedBytes)
+	return s.journal.HasSpace(aheadBytes+journal.RecordSize(newEntry(request)), s.nextInput.reservedBytes)
 }
 
 // enqueue queues a request for the decision of the next step.
--- a/sender/exclusion_test.go
+++ b/sender/exclusion_test.go
@@ -193,7 +193,7 @@
 	for i := 0; ; i++ {
 		core.knownEndpoints.add(fmt.Sprint("t", i))
 		if err := exclude(t, core, fmt.Sprint("t", i), true); err != nil {
-			if !errors.Is(err, journal.ErrFull) || i != journal.MaxExcluded {
+			if !errors.Is(err, journal.ErrFull) || i != journal.MaxExcludedEndpoints {
 				t.Fatal(i, err)
 			}
 			return
--- a/sender/golden_folder_test.go
+++ b/sender/golden_folder_test.go
@@ -87,9 +87,9 @@
 	for _, id := range []string{"ended", "back", "heard"} {
 		opened.Accept(goldenEntry(id, "once"))
 	}
-	opened.End("ended", "delivered", 0)
-	opened.End("back", "returned", 250)
-	opened.End("heard", "delivered", 0)
+	opened.SetFinalAnswer("ended", "delivered", 0)
+	opened.SetFinalAnswer("back", "returned", 250)
+	opened.SetFinalAnswer("heard", "delivered", 0)
 	opened.Acknowledge("heard")
 	if err := errors.Join(opened.Flush(), opened.Close()); err != nil {
 		t.Fatal(err)
@@ -145,12 +145,13 @@
 		t.Error(names)
 	}
 	stored, found, err := snapshot.Read(goldenFolder(t), "n1")
-	if !found || err != nil || stored.TakenAt.ID != goldenBoot || !slices.Equal(stored.Draining, []string{"gone-target"}) {
+	if !found || err != nil || stored.TakenAt.BootID != goldenBoot ||
+		!slices.Equal(stored.Draining, []string{"gone-target"}) {
 		t.Errorf("snapshot: %v %v %+v", found, err, stored)
 	}
 	evidence := readEvidence(goldenPath(goldenState), 1, 15)
 	if !evidence.HasNote || evidence.Note.Name != "n1" || evidence.Note.Incarnation != 1 ||
-		evidence.Note.Stamp.Inode == 0 {
+		evidence.Note.FileID.Inode == 0 {
 		t.Errorf("note: %+v", evidence.Note)
 	}
 }
--- a/sender/golden_restore_test.go
+++ b/sender/golden_restore_test.go
@@ -36,7 +36,7 @@
 	problem              string
 	continued, ambiguous []string
 	expired              []string
-	notified             provenance.Fate
+	notified             provenance.Disposition
 	start                string
 }
 
@@ -65,31 +65,34 @@
 	olderContinued, olderAmbiguous := append(slices.Clone(keyedInWindow), allIdempotent...),
 		without(allNonIdempotent, keyedInWindow)
 	return []restoreCase{
-		{"another boot", otherBoot, FolderMoved, 0, "", continued, ambiguous, nil, provenance.FateNotify, "kept"},
-		{"another boot, trusted", otherBoot, FolderTrusted, 0, "", continued, ambiguous, nil, provenance.FateNotify, "kept"},
+		{"another boot", otherBoot, FolderMoved, 0, "", continued, ambiguous, nil, provenance.DispositionNotify, "kept"},
+		{
+			"another boot, trusted", otherBoot, FolderTrusted, 0, "", continued, ambiguous, nil,
+			provenance.DispositionNotify, "kept",
+		},
 		{
 			"another boot, a copy", otherBoot, FolderVerified, 0, copiedProblem, olderContinued, olderAmbiguous, nil,
-			provenance.FateNotifyAgain, "old",
+			provenance.DispositionNotifyAgain, "old",
 		},
 		{
 			"another boot, restored", otherBoot, FolderRestored, 0, "by the operator's word", olderContinued, olderAmbiguous,
-			nil, provenance.FateNotifyAgain, "old",
+			nil, provenance.DispositionNotifyAgain, "old",
 		},
 		{
 			"this boot, a second later", goldenBoot, FolderMoved, 2_000_000, "", continuedInWindow, ambiguousInWindow, nil,
-			provenance.FateNotify, "",
+			provenance.DispositionNotify, "",
 		},
 		{
 			"this boot, behind the window", goldenBoot, FolderMoved, 31_000_000, "", continued, ambiguous, nil,
-			provenance.FateNotify, "",
+			provenance.DispositionNotify, "",
 		},
 		{
 			"this boot, too late", goldenBoot, FolderMoved, 51_000_000, "", nil, ambiguous, continued,
-			provenance.FateNotify, "",
+			provenance.DispositionNotify, "",
 		},
 		{
 			"this boot, a copy behind the window", goldenBoot, FolderVerified, 31_000_000, copiedProblem, allIdempotent,
-			allNonIdempotent, nil, provenance.FateNotifyAgain, "",
+			allNonIdempotent, nil, provenance.DispositionNotifyAgain, "",
 		},
 	}
 }
@@ -107,20 +110,21 @@
 			if err != nil || plan.Problem != test.problem {
 				t.Fatal(plan.Problem, err)
 			}
-			got := map[string]provenance.Fate{}
+			got := map[string]provenance.Disposition{}
 			for _, message := range plan.Messages {
 				got[message.ID] = message.Disposition
 			}
-			want := map[string]provenance.Fate{"ended": test.notified, "back": test.notified}
-			for fate, list := range map[provenance.Fate][]string{
-				provenance.FateContinue: test.continued, provenance.FateAmbiguous: test.ambiguous,
-				provenance.FateExpired: test.expired,
+			want := map[string]provenance.Disposition{"ended": test.notified, "back": test.notified}
+			for fate, list := range map[provenance.Disposition][]string{
+				provenance.DispositionContinue:  test.continued,
+				provenance.DispositionAmbiguous: test.ambiguous,
+				provenance.DispositionExpired:   test.expired,
 			} {
 				for _, id := range list {
 					want[id] = fate
 				}
 			}
-			if !maps.Equal(got, want) || plan.Counts[provenance.FateAcknowledged] != 1 || len(want) != 14 {
+			if !maps.Equal(got, want) || plan.Counts[provenance.DispositionAcknowledged] != 1 || len(want) != 14 {
 				t.Errorf("got  %v\nwant %v\n%v", got, want, plan.Counts)
 			}
 		})
--- a/sender/provenance.go
+++ b/sender/provenance.go
@@ -51,7 +51,7 @@
 		err = writeNote(s.options.StateDir, provenance.Note{
 			Name:        s.options.Name,
 			Incarnation: s.journal.Incarnation(),
-			Stamp:       evidence.Stamp,
+			FileID:      evidence.FileID,
 		})
 	}
 	if err != nil { // the next incarnation finds a note of an earlier incarnation than the journal's
@@ -108,12 +108,12 @@
 	if entry.FinalAnswer != "" || entry.Acknowledged || class.Idempotency == scheduler.Idempotent {
 		return
 	}
-	attempts, firstRun := provenanceMessage(entry, class).Attempted(true)
+	attempts, firstRun := provenanceMessage(entry, class).AssumedAttempts(true)
 	s.journal.MarkAmbiguous(entry.ID, attempts, firstRun)
 }
 
 // folderProblem returns the reason not to trust a folder, or "" if there is none.
-func folderProblem(name string, trust FolderTrust, evidence provenance.Evidence) string {
+func folderProblem(name string, trust FolderTrust, evidence provenance.FolderState) string {
 	switch trust {
 	case FolderRestored:
 		return "by the operator's word"
@@ -124,10 +124,10 @@
 }
 
 // readEvidence reads the provenance note and the stamp of the journal file.
-func readEvidence(dir string, journalIncarnation uint64, messages int) provenance.Evidence {
-	evidence := provenance.Evidence{JournalIncarnation: journalIncarnation, Messages: messages}
-	if stamp, err := journal.FileStamp(dir); err == nil {
-		evidence.Stamp = provenance.Stamp(stamp)
+func readEvidence(dir string, journalIncarnation uint64, messages int) provenance.FolderState {
+	evidence := provenance.FolderState{JournalIncarnation: journalIncarnation, Messages: messages}
+	if stamp, err := journal.LockFileID(dir); err == nil {
+		evidence.FileID = provenance.FileID(stamp)
 	}
 	raw, err := statefs.Read(filepath.Join(dir, noteFileName), maxNoteBytes)
 	evidence.HasNote = err == nil && json.Unmarshal(raw, &evidence.Note) == nil
--- a/sender/recovery_plan.go
+++ b/sender/recovery_plan.go
@@ -9,20 +9,21 @@
 
 // RecoveryPlan is what the next incarnation would do with the messages of a state folder.
 type RecoveryPlan struct {
-	Folder   string                  `json:"folder"`
-	Problem  string                  `json:"old"` // why the folder is not as the last incarnation left it; empty: it is
-	Counts   map[provenance.Fate]int `json:"counts"`
-	Messages []PendingMessage        `json:"owed"`
+	Folder string `json:"folder"`
+	// Problem is why the folder is not as the previous incarnation left it; empty: it is.
+	Problem  string                         `json:"old"`
+	Counts   map[provenance.Disposition]int `json:"counts"`
+	Messages []PendingMessage               `json:"owed"`
 }
 
 // PendingMessage is a message of a folder that is not in use whose final answer is not acknowledged, and
 // what the next incarnation would do with it.
 type PendingMessage struct {
-	ID          string          `json:"id"`
-	Class       string          `json:"class"`
-	Destination int64           `json:"dest"`
-	Disposition provenance.Fate `json:"fate"`
-	FinalAnswer string          `json:"end,omitempty"` // empty: none yet
+	ID          string                 `json:"id"`
+	Class       string                 `json:"class"`
+	Destination int64                  `json:"dest"`
+	Disposition provenance.Disposition `json:"fate"`
+	FinalAnswer string                 `json:"end,omitempty"` // empty: none yet
 }
 
 // PlanRecovery reads a folder that no process uses, without changing it. maxBytes is the disk budget
@@ -31,7 +32,7 @@
 func PlanRecovery(dir, name string, trust FolderTrust, settings scheduler.Settings, maxBytes int64,
 	now clock.Instant,
 ) (RecoveryPlan, error) {
-	entries, incarnation, err := journal.ReadOnly(dir, maxBytes)
+	entries, incarnation, err := journal.ReadEntries(dir, maxBytes)
 	if err != nil {
 		return RecoveryPlan{}, err
 	}
@@ -39,13 +40,13 @@
 	plan := RecoveryPlan{
 		Folder:   dir,
 		Problem:  folderProblem(name, trust, readEvidence(dir, incarnation, len(entries))),
-		Counts:   map[provenance.Fate]int{},
+		Counts:   map[provenance.Disposition]int{},
 		Messages: []PendingMessage{},
 	}
 	for _, entry := range entries {
-		disposition := provenanceMessage(entry, classes[entry.Class]).Fate(now, plan.Problem != "")
+		disposition := provenanceMessage(entry, classes[entry.Class]).Disposition(now, plan.Problem != "")
 		plan.Counts[disposition]++
-		if disposition != provenance.FateAcknowledged {
+		if disposition != provenance.DispositionAcknowledged {
 			plan.Messages = append(plan.Messages, PendingMessage{
 				ID:          entry.ID,
 				Class:       entry.Class,
--- a/sender/recovery_test.go
+++ b/sender/recovery_test.go
@@ -80,7 +80,7 @@
 		recorded++
 		copied := filepath.Join(t.TempDir(), "copy")
 		err := fleet.Backup(dir, copied)
-		entries, _, readErr := journal.ReadOnly(copied, 1<<20)
+		entries, _, readErr := journal.ReadEntries(copied, 1<<20)
 		if err = errors.Join(err, readErr); err != nil || len(entries) == 0 {
 			t.Error(len(entries), err)
 		}
--- a/sender/restore.go
+++ b/sender/restore.go
@@ -38,7 +38,7 @@
 // restoreJournal passes the messages of earlier incarnations to the scheduler. An attempt that was in
 // flight may have run.
 func (s *Sender) restoreJournal() {
-	for _, entry := range s.journal.Forgotten() {
+	for _, entry := range s.journal.RemovedEntries() {
 		s.recordEndedID(entry)
 	}
 	if s.options.Checkpoint != nil {
@@ -83,8 +83,8 @@
 func (s *Sender) restoredEvent(entry *journal.Entry) scheduler.Event {
 	distrusted := s.recovery.folderProblem != ""
 	message := provenanceMessage(entry, s.classes[entry.Class])
-	attempts, firstRun := message.Attempted(distrusted)
-	if message.Fate(s.Now(), distrusted) == provenance.FateAmbiguous {
+	attempts, firstRun := message.AssumedAttempts(distrusted)
+	if message.Disposition(s.Now(), distrusted) == provenance.DispositionAmbiguous {
 		s.recovery.ambiguousCount++
 	}
 	return scheduler.Event{
