--- a/internal/recovery/golden_test.go
+++ b/internal/recovery/golden_test.go
@@ -41,7 +41,7 @@
 		}
 		downtimeUs, evenShare := rng.Int63n(1<<rng.Intn(36)), rng.Float64()*float64(rng.Intn(100)-5)
 		maxRate, durationUs := plan.CatchUpRate(rng.Float64()*50, downtimeUs)
-		return fmt.Sprint(plan.SenderFactor(), plan.AggregateWeight(), plan.BacklogDelay(),
+		return fmt.Sprint(plan.SenderFactor(), plan.Contention(), plan.BacklogDelay(),
 			plan.FirstCallDelay(evenShare, downtimeUs), maxRate, durationUs,
 			plan.MeanBiasCorrection(downtimeUs, 1+rng.Int63n(20_000_000)),
 			plan.RetryAfter(downtimeUs, 1+rng.Int63n(60_000_000)))
--- a/internal/recovery/plan.go
+++ b/internal/recovery/plan.go
@@ -36,31 +36,31 @@
 
 // Plan holds the parameters by which one incarnation spreads its start.
 type Plan struct {
-	senderFactor    float64
-	aggregateWeight float64
-	random          func() float64
-	backlogDelay    int64 // chosen at its first use; 0 before
-	restarted       bool
+	senderFactor float64
+	contention   float64
+	random       func() float64
+	backlogDelay int64 // chosen at its first use; 0 before
+	restarted    bool
 }
 
 // New returns the plan of one sender. senders is the number of senders that share its destinations,
 // itself included; less than one counts as one. random returns random numbers in [0, 1).
 func New(senders int, random func() float64) *Plan {
 	factor := max(1, float64(senders)/fewSenders)
-	return &Plan{senderFactor: factor, aggregateWeight: 1 - 1/factor, random: random}
+	return &Plan{senderFactor: factor, contention: 1 - 1/factor, random: random}
 }
 
 // SenderFactor returns the number of senders in multiples of fewSenders, at least 1.
 func (p *Plan) SenderFactor() float64 { return p.senderFactor }
 
-// AggregateWeight returns the weight of the expected behavior of all senders against this sender's own
-// observations: 0 for few senders, approaching 1 with their number.
-func (p *Plan) AggregateWeight() float64 { return p.aggregateWeight }
+// Contention returns how much the expected behavior of all senders counts against this sender's own
+// observations: 0 for few senders, approaching 1 as their number grows.
+func (p *Plan) Contention() float64 { return p.contention }
 
 // BacklogDelay returns for how long after its start an incarnation sends none of its restored
 // backlog: a random time, the same at each call; 0 for few senders.
 func (p *Plan) BacklogDelay() int64 {
-	if p.aggregateWeight == 0 {
+	if p.contention == 0 {
 		return 0
 	}
 	if p.backlogDelay == 0 { // in a mass restart all senders start at the same instant
@@ -76,11 +76,11 @@
 // the limit; how many of them have a message to send is estimated from evenShare and the downtime.
 // It is at most MaxSpreadUs.
 func (p *Plan) FirstCallDelay(evenShare float64, downtimeUs int64) int64 {
-	if p.aggregateWeight == 0 || !(evenShare > 0) {
+	if p.contention == 0 || !(evenShare > 0) {
 		return 0
 	}
 	withCall := 1 - math.Exp(-evenShare*float64(min(downtimeUs, MaxSpreadUs))/usPerSecond)
-	return int64(p.aggregateWeight * p.random() * withCall / evenShare * usPerSecond)
+	return int64(p.contention * p.random() * withCall / evenShare * usPerSecond)
 }
 
 // CatchUpRate returns the send rate that limits an incarnation to a destination without an
@@ -89,7 +89,7 @@
 // downtime. One of many senders stays below that: each one's rate is a high estimate from few
 // messages, and the destination gets the sum of all.
 func (p *Plan) CatchUpRate(rate float64, downtimeUs int64) (maxRate float64, durationUs int64) {
-	return rate * (1 + 1/(1+p.aggregateWeight)), min(2*downtimeUs, priorRateValidUs)
+	return rate * (1 + 1/(1+p.contention)), min(2*downtimeUs, priorRateValidUs)
 }
 
 // SetRestarted records that there was an earlier incarnation, whose clients may all reconnect at
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -112,7 +112,7 @@
 		tenants:             map[string]*tenant{},
 		senders:             float64(settings.Senders),
 		senderFactor:        plan.SenderFactor(),
-		contention:          plan.AggregateWeight(),
+		contention:          plan.Contention(),
 		messages:            map[string]*message{},
 		keyQueues:           map[int64]*keyQueue{},
 		destinationByID:     map[int64]*destination{},
