--- a/internal/cli/recover.go
+++ b/internal/cli/recover.go
@@ -70,14 +70,14 @@
 		provenance.DispositionAmbiguous, provenance.DispositionExpired, provenance.DispositionAcknowledged,
 	}
 	fmt.Fprint(table, "folder")
-	for _, fate := range columns {
-		fmt.Fprintf(table, "\t%s", fate)
+	for _, disposition := range columns {
+		fmt.Fprintf(table, "\t%s", disposition)
 	}
 	fmt.Fprintln(table, "\tas the last life left it")
 	for _, plan := range plans {
 		fmt.Fprint(table, plan.Folder)
-		for _, fate := range columns {
-			fmt.Fprintf(table, "\t%d", plan.Counts[fate])
+		for _, disposition := range columns {
+			fmt.Fprintf(table, "\t%d", plan.Counts[disposition])
 		}
 		if plan.Problem == "" {
 			fmt.Fprintln(table, "\tyes")
--- a/internal/journal/operations.go
+++ b/internal/journal/operations.go
@@ -45,8 +45,8 @@
 func (j *Journal) Remove(id string) { j.record(changeRecord{kind: recordRemoved, id: id}) }
 
 // SetExcluded records that an endpoint is excluded from new attempts or, with exclude false, no
-// longer excluded. The change is durable once Flush has succeeded. The error is ErrFull if there are
-// MaxExcluded endpoints already or the disk budget is used up.
+// longer excluded. The change is durable once Flush has succeeded. The error is ErrFull if
+// MaxExcludedEndpoints are excluded already or the disk budget is used up.
 func (j *Journal) SetExcluded(endpoint string, exclude bool) error {
 	if j.excluded[endpoint] == exclude {
 		return nil
--- a/sender/golden_folder_test.go
+++ b/sender/golden_folder_test.go
@@ -149,10 +149,10 @@
 		!slices.Equal(stored.Draining, []string{"gone-target"}) {
 		t.Errorf("snapshot: %v %v %+v", found, err, stored)
 	}
-	evidence := readEvidence(goldenPath(goldenState), 1, 15)
-	if !evidence.HasNote || evidence.Note.Name != "n1" || evidence.Note.Incarnation != 1 ||
-		evidence.Note.FileID.Inode == 0 {
-		t.Errorf("note: %+v", evidence.Note)
+	folder := readFolderState(goldenPath(goldenState), 1, 15)
+	if !folder.HasNote || folder.Note.Name != "n1" || folder.Note.Incarnation != 1 ||
+		folder.Note.FileID.Inode == 0 {
+		t.Errorf("note: %+v", folder.Note)
 	}
 }
 
--- a/sender/golden_restore_test.go
+++ b/sender/golden_restore_test.go
@@ -59,7 +59,7 @@
 	allIdempotent := ids(idempotentClasses, "untried", "open", "turned", "mayrun")
 	allNonIdempotent := ids(nonIdempotentClasses, "untried", "open", "turned", "mayrun")
 	// A message with an idempotency key that was not attempted is still sent from an older folder of
-	// another boot. It keeps the 50 of 60 seconds that it had left in the last incarnation, so it counts
+	// another boot. It keeps the 50 of 60 seconds that it had left in the previous incarnation, so it counts
 	// as ten seconds old, which is within the idempotency window.
 	keyedInWindow := ids([]string{"key"}, "untried", "turned")
 	olderContinued, olderAmbiguous := append(slices.Clone(keyedInWindow), allIdempotent...),
@@ -115,13 +115,13 @@
 				got[message.ID] = message.Disposition
 			}
 			want := map[string]provenance.Disposition{"ended": test.notified, "back": test.notified}
-			for fate, list := range map[provenance.Disposition][]string{
+			for disposition, list := range map[provenance.Disposition][]string{
 				provenance.DispositionContinue:  test.continued,
 				provenance.DispositionAmbiguous: test.ambiguous,
 				provenance.DispositionExpired:   test.expired,
 			} {
 				for _, id := range list {
-					want[id] = fate
+					want[id] = disposition
 				}
 			}
 			if !maps.Equal(got, want) || plan.Counts[provenance.DispositionAcknowledged] != 1 || len(want) != 14 {
@@ -161,7 +161,7 @@
 	}
 }
 
-// checkDeadlines checks that each message has the time left that it had when the last incarnation was
+// checkDeadlines checks that each message has the time left that it had when the previous incarnation was
 // killed.
 func checkDeadlines(t *testing.T, core *Sender) {
 	t.Helper()
@@ -216,7 +216,7 @@
 	}
 }
 
-// checkAnswers checks the final answers that are sent: those of the last incarnation, those of the
+// checkAnswers checks the final answers that are sent: those of the previous incarnation, those of the
 // ambiguous messages, and those of the attempts.
 func checkAnswers(t *testing.T, front *recordingFront, ambiguous []string) {
 	t.Helper()
--- a/sender/golden_test.go
+++ b/sender/golden_test.go
@@ -72,12 +72,12 @@
 		if err := os.WriteFile(filepath.Join(other, "life"), golden, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		evidence := readEvidence(other, 5, 2)
+		folder := readFolderState(other, 5, 2)
 		if want := (provenance.FolderState{
 			Note: note, HasNote: true, JournalIncarnation: 5, Messages: 2,
-			FileID: evidence.FileID,
-		}); evidence != want {
-			t.Errorf("%s: got %+v, want %+v", name, evidence, want)
+			FileID: folder.FileID,
+		}); folder != want {
+			t.Errorf("%s: got %+v, want %+v", name, folder, want)
 		}
 	}
 }
--- a/sender/provenance.go
+++ b/sender/provenance.go
@@ -38,20 +38,20 @@
 	if s.options.FolderTrust == FolderTrusted || s.options.Checkpoint != nil {
 		return ""
 	}
-	evidence := readEvidence(s.options.StateDir, s.journal.Incarnation(), len(s.journal.Entries()))
-	problem = folderProblem(s.options.Name, s.options.FolderTrust, evidence)
+	folder := readFolderState(s.options.StateDir, s.journal.Incarnation(), len(s.journal.Entries()))
+	problem = folderProblem(s.options.Name, s.options.FolderTrust, folder)
 	if problem != "" {
 		for _, entry := range s.journal.Entries() {
 			s.markAmbiguous(entry)
 		}
 	}
-	s.journal.SetIncarnation(max(evidence.Note.Incarnation, evidence.JournalIncarnation) + 1)
+	s.journal.SetIncarnation(max(folder.Note.Incarnation, folder.JournalIncarnation) + 1)
 	err := s.journal.Flush()
 	if err == nil {
 		err = writeNote(s.options.StateDir, provenance.Note{
 			Name:        s.options.Name,
 			Incarnation: s.journal.Incarnation(),
-			FileID:      evidence.FileID,
+			FileID:      folder.FileID,
 		})
 	}
 	if err != nil { // the next incarnation finds a note of an earlier incarnation than the journal's
@@ -113,25 +113,25 @@
 }
 
 // folderProblem returns the reason not to trust a folder, or "" if there is none.
-func folderProblem(name string, trust FolderTrust, evidence provenance.FolderState) string {
+func folderProblem(name string, trust FolderTrust, folder provenance.FolderState) string {
 	switch trust {
 	case FolderRestored:
 		return "by the operator's word"
 	case FolderMoved, FolderTrusted:
 		return ""
 	}
-	return provenance.Problem(name, evidence)
+	return provenance.Problem(name, folder)
 }
 
-// readEvidence reads the provenance note and the stamp of the journal file.
-func readEvidence(dir string, journalIncarnation uint64, messages int) provenance.FolderState {
-	evidence := provenance.FolderState{JournalIncarnation: journalIncarnation, Messages: messages}
-	if stamp, err := journal.LockFileID(dir); err == nil {
-		evidence.FileID = provenance.FileID(stamp)
+// readFolderState reads the provenance note and the ID of the journal's lock file.
+func readFolderState(dir string, journalIncarnation uint64, messages int) provenance.FolderState {
+	folder := provenance.FolderState{JournalIncarnation: journalIncarnation, Messages: messages}
+	if id, err := journal.LockFileID(dir); err == nil {
+		folder.FileID = provenance.FileID(id)
 	}
 	raw, err := statefs.Read(filepath.Join(dir, noteFileName), maxNoteBytes)
-	evidence.HasNote = err == nil && json.Unmarshal(raw, &evidence.Note) == nil
-	return evidence
+	folder.HasNote = err == nil && json.Unmarshal(raw, &folder.Note) == nil
+	return folder
 }
 
 func writeNote(dir string, note provenance.Note) error {
--- a/sender/recovery_plan.go
+++ b/sender/recovery_plan.go
@@ -39,7 +39,7 @@
 	classes := classesByName(settings)
 	plan := RecoveryPlan{
 		Folder:   dir,
-		Problem:  folderProblem(name, trust, readEvidence(dir, incarnation, len(entries))),
+		Problem:  folderProblem(name, trust, readFolderState(dir, incarnation, len(entries))),
 		Counts:   map[provenance.Disposition]int{},
 		Messages: []PendingMessage{},
 	}
