--- a/internal/recovery/golden_test.go
+++ b/internal/recovery/golden_test.go
@@ -54,8 +54,8 @@
 	schedule := NewPollSchedule(senders, seed, 500*time.Millisecond, 30*time.Second)
 	return func(i int) string {
 		if i%50 == 49 {
-			minGap, longestGap := time.Duration(rng.Intn(5000))*time.Millisecond, time.Duration(rng.Intn(60))*time.Second
-			schedule = NewPollSchedule(senders, rng.Int63(), minGap, longestGap)
+			shortest, longest := time.Duration(rng.Intn(5000))*time.Millisecond, time.Duration(rng.Intn(60))*time.Second
+			schedule = NewPollSchedule(senders, rng.Int63(), shortest, longest)
 		}
 		if rng.Intn(8) == 0 {
 			schedule.Reset()
--- a/internal/recovery/poll_schedule_test.go
+++ b/internal/recovery/poll_schedule_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Eighty senders start at the same time and the registry rejects all polls. With a fixed gap of 50 ms
+// Eighty senders start at the same time and the registry rejects all polls. With a fixed interval of 50 ms
 // they polled 1,600 times per second in total, and no sender ever got an endpoint list.
 func TestManySendersPollLessOften(t *testing.T) {
 	const senders, window = 80, 100 * time.Millisecond
@@ -33,7 +33,7 @@
 	}
 }
 
-// Few senders poll at once and retry after the minimum gap, without jitter.
+// Few senders poll at once and retry after the minimum interval, without jitter.
 func TestFewSendersPollAtOnce(t *testing.T) {
 	for _, senders := range []int{-3, 0, 1, 3} {
 		schedule := NewPollSchedule(senders, 7, 50*time.Millisecond, 5*time.Second)
@@ -46,19 +46,19 @@
 	}
 }
 
-// Gaps stay within their bounds, jitter included, for any number of senders, and a success resets
-// them to the first gap.
-func TestGapsAreBoundedAndReset(t *testing.T) {
+// Intervals stay within their bounds, jitter included, for any number of senders, and a success resets
+// them to the first interval.
+func TestIntervalsAreBoundedAndReset(t *testing.T) {
 	for _, senders := range []int{8, 80, 10_000, 1 << 40} {
 		schedule := NewPollSchedule(senders, 7, 50*time.Millisecond, 5*time.Second)
 		first := schedule.NextDelay()
 		for range 50 {
-			if gap := schedule.NextDelay(); gap > 7500*time.Millisecond || gap < 25*time.Millisecond {
-				t.Fatalf("%d senders: a gap of %v", senders, gap)
+			if interval := schedule.NextDelay(); interval > 7500*time.Millisecond || interval < 25*time.Millisecond {
+				t.Fatalf("%d senders: an interval of %v", senders, interval)
 			}
 		}
 		if schedule.Reset(); senders == 8 && (first > 420*time.Millisecond || schedule.NextDelay() > 420*time.Millisecond) {
-			t.Errorf("eight senders: first gap %v", first)
+			t.Errorf("eight senders: first interval %v", first)
 		}
 	}
 }
