--- a/internal/group/assign.go
+++ b/internal/group/assign.go
@@ -8,21 +8,22 @@
 	"brackendale/internal/assignment"
 )
 
-// assignDuties tells which member should hold which duty, by who is present. Until the members have
-// had the time to send a heartbeat, there is no assignment. The lock is held.
+// assignDuties returns the member that should hold each duty, given the members that are present.
+// It returns nil on a member that is not the leader, and on a new leader until every member has had
+// time to send it a heartbeat. The caller must hold g.mu.
 func (g *Group) assignDuties(now time.Duration) map[string]string {
-	if !g.leading || now-g.leaderSince < g.leaseFraction(hearFraction) {
+	if !g.leading || now-g.leaderSince < g.leaseFraction(grantDelayFraction) {
 		return nil
 	}
 	holders, preferred := g.holdersAndPreferred(now)
 	duties, settled, present := g.candidates(now, holders, preferred)
 	plan := assignment.Assign(duties, settled, holders, preferred)
 	for duty, member := range assignment.Assign(duties, present, holders, preferred) {
-		if plan[duty] == "" { // better a member that has just come than nobody
+		if plan[duty] == "" { // a member that has not settled yet is better than no holder
 			plan[duty] = member
 		}
 	}
-	if now-g.leaderSince < g.leaseFraction(calmFraction) {
+	if now-g.leaderSince < g.leaseFraction(rebalanceDelayFraction) {
 		for duty, holder := range holders {
 			if present, _ := g.presence.Present(holder, now); present && preferred[duty] == "" && plan[duty] != "" {
 				plan[duty] = holder
@@ -32,8 +33,8 @@
 	return plan
 }
 
-// holdersAndPreferred lists who holds each lease, and who should hold it where that member is
-// present. The lock is held.
+// holdersAndPreferred returns, by lease, the current holder, and the preferred holder if that member
+// is present. The caller must hold g.mu.
 func (g *Group) holdersAndPreferred(now time.Duration) (holders, preferred map[string]string) {
 	holders, preferred = map[string]string{}, map[string]string{}
 	for name, held := range g.table.Leases {
@@ -45,18 +46,18 @@
 	return holders, preferred
 }
 
-// candidates lists the duties that are offered, the members that duties may move to, and all
-// members that are present. The lock is held.
+// candidates returns the duties that are offered, the members that duties may move to (settled), and
+// all members that are present. The caller must hold g.mu.
 func (g *Group) candidates(
 	now time.Duration, holders, preferred map[string]string,
 ) (duties []string, settled, present []assignment.Member) {
-	newLeader := now-g.leaderSince < g.leaseFraction(settleFraction+hearFraction)
-	keep := map[string]bool{} // holders and preferred members may hold duties before they have settled
+	newLeader := now-g.leaderSince < g.leaseFraction(settleFraction+grantDelayFraction)
+	exempt := map[string]bool{} // holders and preferred members need not be settled
 	for _, member := range holders {
-		keep[member] = true
+		exempt[member] = true
 	}
 	for _, member := range preferred {
-		keep[member] = true
+		exempt[member] = true
 	}
 	offered := map[string]bool{}
 	for _, name := range g.presence.All(now) {
@@ -66,7 +67,7 @@
 		}
 		member := assignment.Member{Name: name, Weight: state.weight, Offers: state.offers}
 		present = append(present, member)
-		if _, ok := g.presence.Present(name, now); ok || newLeader || keep[name] {
+		if _, ok := g.presence.Present(name, now); ok || newLeader || exempt[name] {
 			settled = append(settled, member)
 		}
 		for duty := range state.offers {
--- a/internal/group/clock.go
+++ b/internal/group/clock.go
@@ -6,6 +6,7 @@
 	"brackendale/internal/clock"
 )
 
-// Boottime is a steady clock that goes on while the machine is suspended. CLOCK_MONOTONIC stands
-// still then, and a holder that wakes up would take its lease for one that has just been granted.
+// Boottime reads a monotonic clock that includes the time during which the machine is suspended.
+// CLOCK_MONOTONIC stops during a suspend: after a resume, a holder would treat a lease that has long
+// expired as still valid.
 func Boottime() time.Duration { return time.Duration(clock.Steady()) * time.Microsecond }
--- a/internal/group/commands.go
+++ b/internal/group/commands.go
@@ -12,7 +12,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// execute carries out a command on the leader; reason: why not. An opAdmit returns an admission.
+// execute executes a command on the leader. A non-empty reason tells why it was not executed. An
+// opAdmit returns an admission.
 func (g *Group) execute(node *raftNode, sender helloMessage, cmd command) (admitted *admission, reason string) {
 	var err error
 	switch cmd.Op {
@@ -35,7 +36,8 @@
 	return admitted, reason
 }
 
-// executeHandOver lets the assignment prefer a member for a duty.
+// executeHandOver records the recipient as the preferred holder of a duty, so that the assignment
+// moves the duty to it.
 func (g *Group) executeHandOver(node *raftNode, cmd command) (reason string, err error) {
 	g.mu.Lock()
 	present, _ := g.presence.Present(cmd.Recipient, g.clock())
@@ -57,7 +59,7 @@
 	return "", err
 }
 
-// executeRevoke lets the lease on a duty be renewed no more.
+// executeRevoke marks the lease on a duty as revoked: it is not renewed any more.
 func (g *Group) executeRevoke(node *raftNode, duty string) (reason string, err error) {
 	g.mu.Lock()
 	held := g.table.Leases[duty]
@@ -73,11 +75,13 @@
 	return "", err
 }
 
+// removeVoter removes a member from the voters of the log.
 func (g *Group) removeVoter(node *raftNode, name string) error {
 	return node.raft.RemoveServer(raft.ServerID(name), 0, g.entryTimeout()).Error()
 }
 
-// admit takes a member out of the voters and records that it begins with an empty log.
+// admit lets a member whose log is lost or outdated rejoin: it removes the member from the voters,
+// records that it starts again with an empty log, and drops how far it had read the log before.
 func (g *Group) admit(node *raftNode, sender helloMessage) (*admission, error) {
 	if err := g.removeVoter(node, sender.From); err != nil {
 		return nil, err
@@ -92,15 +96,17 @@
 	}
 	g.mu.Unlock()
 	g.log.Warn().Str("member", sender.From).Uint64("incarnation", sender.Incarnation).
-		Msg("group: member admitted again with an empty log: its own was lost or old")
+		Msg("group: member readmitted with an empty log: its own log was lost or outdated")
 	return &admission{Term: node.raft.CurrentTerm(), Leader: g.opt.Name}, nil
 }
 
-// anyNextMember stands for the next member, by name, of those that offer a duty.
+// anyNextMember, as the name of a successor, stands for the member that follows the holder by name,
+// cyclically, among the members that offer the duty.
 const anyNextMember = "+"
 
-// successorOf is the member that is meant by the name of a successor.
-func (g *Group) successorOf(successor, duty, holder string) string {
+// resolveSuccessor returns the member that a successor's name stands for: the name itself, or for
+// anyNextMember the next member that offers the duty.
+func (g *Group) resolveSuccessor(successor, duty, holder string) string {
 	if successor != anyNextMember {
 		return successor
 	}
@@ -118,50 +124,51 @@
 	return cmp.Or(next, first)
 }
 
-// restartSlotSeparator stands between the name of a rollout and the number of a restart slot.
+// restartSlotSeparator separates the name of a rollout from the number of a restart slot.
 const restartSlotSeparator = "#"
 
-// restartSlotName is the lease on one of the restart slots of a rollout.
+// restartSlotName returns the name of the lease on one of the restart slots of a rollout.
 func restartSlotName(rollout string, number int) string {
 	return fmt.Sprintf("%s%s%d", rollout, restartSlotSeparator, number)
 }
 
-// grantRestart grants the sender one of the restart slots of a rollout; reason: why not.
+// grantRestart grants the sender one of the restart slots of a rollout. A non-empty reason tells why
+// none was granted.
 func (g *Group) grantRestart(node *raftNode, sender helloMessage, cmd command) (reason string) {
 	g.mu.Lock()
-	holdsSlot, away := g.restarting(sender, cmd.Name)
+	holdsSlot, otherHolders := g.restartSlotHolders(sender, cmd.Name)
 	recovering := g.recoveringDestinations()
 	g.mu.Unlock()
 	switch {
-	case holdsSlot: // a repeat
+	case holdsSlot: // the request is a repeat
 		return ""
-	case cmd.AtOnce < 1 || cmd.HoldUs < 1:
+	case cmd.MaxConcurrent < 1 || cmd.MaxDowntimeUs < 1:
 		return "the file of the asker has no duty of the kind roll"
 	case len(recovering) > 0:
 		return strings.Join(recovering, "; ")
-	case len(away) >= cmd.AtOnce:
-		return strings.Join(away, "; ")
+	case len(otherHolders) >= cmd.MaxConcurrent:
+		return strings.Join(otherHolders, "; ")
 	}
-	for number := 1; number <= cmd.AtOnce; number++ {
+	for number := 1; number <= cmd.MaxConcurrent; number++ {
 		result, err := node.propose(lease.Entry{
 			Op: lease.Grant, Name: restartSlotName(cmd.Name, number), Member: sender.From,
-			Incarnation: sender.Incarnation, Hold: cmd.HoldUs,
+			Incarnation: sender.Incarnation, Hold: cmd.MaxDowntimeUs,
 		}, g.entryTimeout())
 		if err != nil {
 			return err.Error()
 		}
 		if len(result.Refs) > 0 {
 			g.log.Info().Str("slot", result.Refs[0].Name).Uint64("epoch", result.Refs[0].Epoch).
-				Str("holder", sender.From).Msg("group: restart slot granted: the member may restart")
+				Str("holder", sender.From).Msg("group: restart slot granted: the member may restart now")
 			return ""
 		}
 	}
 	return "others were faster: ask again"
 }
 
-// restarting reports whether the sender holds a restart slot of a rollout, and lists the other
-// members that do. The lock is held.
-func (g *Group) restarting(sender helloMessage, rollout string) (holdsSlot bool, away []string) {
+// restartSlotHolders reports whether the sender holds a restart slot of a rollout, and describes the
+// other members that hold one. The caller must hold g.mu.
+func (g *Group) restartSlotHolders(sender helloMessage, rollout string) (holdsSlot bool, others []string) {
 	for name, held := range g.table.Leases {
 		if !strings.HasPrefix(name, rollout+restartSlotSeparator) || held.Holder == "" {
 			continue
@@ -171,17 +178,18 @@
 			continue
 		}
 		remaining := g.watch.Remaining(name, g.clock()).Round(time.Second)
-		away = append(away, fmt.Sprintf("%s is out, for %v at most", held.Holder, remaining))
+		others = append(others, fmt.Sprintf("%s is out, for %v at most", held.Holder, remaining))
 	}
-	slices.Sort(away)
-	return holdsSlot, away
+	slices.Sort(others)
+	return holdsSlot, others
 }
 
-// recoveringDestinations lists the destinations that members see recovering. The lock is held.
+// recoveringDestinations describes the destinations that members have reported as recovering. The
+// caller must hold g.mu.
 func (g *Group) recoveringDestinations() (list []string) {
 	for name, member := range g.members {
 		for _, hint := range member.hints {
-			if hint.Recovering && g.clock()-member.lastHeard < g.leaseFraction(hintFraction) {
+			if hint.Recovering && g.clock()-member.lastHeartbeatAt < g.leaseFraction(recoveringHintFraction) {
 				list = append(list, fmt.Sprintf("destination %d is coming back, says %s", hint.Destination, name))
 			}
 		}
@@ -190,9 +198,9 @@
 	return list
 }
 
-// restartedLeases lists the restart slots that an earlier incarnation of a member held, which
-// serves again. The lock is held.
-func (g *Group) restartedLeases(sender helloMessage, ready bool) (refs []lease.Ref) {
+// finishedRestartSlots lists the restart slots that an earlier incarnation of the sender holds, once
+// the sender is ready again. The caller must hold g.mu.
+func (g *Group) finishedRestartSlots(sender helloMessage, ready bool) (refs []lease.Ref) {
 	for name, held := range g.table.Leases {
 		if ready && held.Hold > 0 && held.Holder == sender.From && held.Incarnation < sender.Incarnation {
 			refs = append(refs, lease.Ref{Name: name, Epoch: held.Epoch})
--- a/internal/group/duty_runner.go
+++ b/internal/group/duty_runner.go
@@ -9,29 +9,30 @@
 	"brackendale/internal/lease"
 )
 
-// runner carries out one duty while it is held. Group.mu guards its fields but wake; runDuty runs
-// on a goroutine of its own.
+// runner executes one duty while this member holds its lease. Group.mu guards all fields but wake;
+// runDuty runs on a goroutine of its own.
 type runner struct {
 	Duty
-	schedule  assignment.Schedule
-	wake      chan struct{}
-	acting    bool
-	claimed   bool   // without acts: see Group.Claim
-	acts      uint64 // begun under this epoch
-	lastError string // of the last act; empty: it worked
+	schedule   assignment.Schedule
+	wake       chan struct{}
+	executing  bool
+	claimed    bool   // a lease that is held without executions: see Group.Claim
+	executions uint64 // begun under this epoch
+	lastError  string // of the last execution; empty if it succeeded
 }
 
-// taken begins a new holding. A duty that goes round starts a period later: it would go round
-// without a pause.
-func (r *runner) taken(now time.Duration) {
-	r.acts, r.lastError = 0, ""
+// acquired resets the runner for a lease that was just granted. The first execution of a round-robin
+// duty waits a full interval: without that, the duty would move from member to member without a
+// pause.
+func (r *runner) acquired(now time.Duration) {
+	r.executions, r.lastError = 0, ""
 	if r.RoundRobin {
 		now += r.Every
 	}
 	r.schedule.Start(now)
 }
 
-// wakeUp lets the runner look whether an act is due. It does not block.
+// wakeUp makes the runner check whether an execution is due. It does not block.
 func (r *runner) wakeUp() {
 	select {
 	case r.wake <- struct{}{}:
@@ -39,22 +40,22 @@
 	}
 }
 
-// counters count since the process began.
+// counters are totals since the process started.
 type counters struct {
-	taken   uint64
-	lost    uint64
-	acts    uint64
-	failed  uint64
-	refused uint64
+	acquired   uint64 // duties
+	lost       uint64 // duties that were released or lost
+	executions uint64 // begun
+	failed     uint64 // executions
+	stale      uint64 // executions that failed with ErrStaleEpoch
 }
 
-// runDuty carries out a duty's acts until ctx ends. An act begins only if its lease outlasts the
-// longest time that it may take.
+// runDuty executes a duty until ctx ends. An execution begins only if the lease outlasts the longest
+// time that the execution may take.
 func (g *Group) runDuty(ctx context.Context, runner *runner) {
 	for {
-		act, started, wait := g.startAct(runner)
+		execution, started, wait := g.startExecution(runner)
 		if started {
-			g.runAct(ctx, runner, act)
+			g.runExecution(ctx, runner, execution)
 			continue
 		}
 		select {
@@ -66,58 +67,58 @@
 	}
 }
 
-// startAct starts an act if one is due and allowed; else wait fires when the next one is due, and
-// is nil where the duty may not act.
-func (g *Group) startAct(runner *runner) (act Act, started bool, wait <-chan time.Time) {
+// startExecution begins an execution if one is due and allowed. If not, wait fires when the next one
+// is due; wait is nil if the duty may not be executed at all for now.
+func (g *Group) startExecution(runner *runner) (execution Act, started bool, wait <-chan time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.clock()
-	epoch, may := g.holder.MayAct(runner.Name, now, runner.Longest)
-	if !may || g.leaving || g.successors[runner.Name] != "" {
+	epoch, allowed := g.holder.MayAct(runner.Name, now, runner.Longest)
+	if !allowed || g.leaving || g.successors[runner.Name] != "" {
 		return Act{}, false, nil
 	}
 	due, next := runner.schedule.Due(now)
 	if !due {
 		return Act{}, false, time.After(max(next-now, time.Millisecond))
 	}
-	runner.acting = true
-	runner.acts++
+	runner.executing = true
+	runner.executions++
 	runner.schedule.Started(now)
-	g.counters.acts++
-	return Act{Duty: runner.Name, Member: g.opt.Name, Epoch: epoch, Number: runner.acts}, true, nil
+	g.counters.executions++
+	return Act{Duty: runner.Name, Member: g.opt.Name, Epoch: epoch, Number: runner.executions}, true, nil
 }
 
-// runAct carries out one act and records how it ended.
-func (g *Group) runAct(ctx context.Context, runner *runner, act Act) {
-	actCtx, cancel := context.WithTimeout(ctx, runner.Longest)
-	err := runner.Do(actCtx, act)
+// runExecution runs one execution and records its result.
+func (g *Group) runExecution(ctx context.Context, runner *runner, execution Act) {
+	executionCtx, cancel := context.WithTimeout(ctx, runner.Longest)
+	err := runner.Do(executionCtx, execution)
 	cancel()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.clock()
-	runner.acting = false
+	runner.executing = false
 	runner.schedule.Finished(now, err == nil)
 	held, ok := g.holder.Get(runner.Name, now)
-	ok = ok && held.Epoch == act.Epoch
+	ok = ok && held.Epoch == execution.Epoch
 	if runner.lastError = ""; err != nil {
 		runner.lastError = err.Error()
 		g.counters.failed++
-		g.log.Warn().Err(err).Str("duty", runner.Name).Uint64("epoch", act.Epoch).Uint64("act", act.Number).
-			Msg("group: act failed: it is tried again later")
+		g.log.Warn().Err(err).Str("duty", runner.Name).Uint64("epoch", execution.Epoch).Uint64("act", execution.Number).
+			Msg("group: execution of a duty failed: it will be retried")
 	}
-	if g.releaseAfterAct(runner, act, ok, errors.Is(err, ErrStaleEpoch)) {
+	if g.releaseAfterExecution(runner, execution, ok, errors.Is(err, ErrStaleEpoch)) {
 		g.requestHeartbeat()
 	}
 }
 
-// releaseAfterAct releases the duty if it has to go now that its act has ended. held reports
-// whether it is still held under the act's epoch. The result reports whether the leader has to hear
-// of it. The lock is held.
-func (g *Group) releaseAfterAct(runner *runner, act Act, held, staleEpoch bool) bool {
-	ref := lease.Ref{Name: runner.Name, Epoch: act.Epoch}
+// releaseAfterExecution releases the duty if a release was only waiting for the execution to end.
+// held reports whether the duty is still held under the epoch of the execution. The result reports
+// whether the leader must be notified by a heartbeat. The caller must hold g.mu.
+func (g *Group) releaseAfterExecution(runner *runner, execution Act, held, staleEpoch bool) bool {
+	ref := lease.Ref{Name: runner.Name, Epoch: execution.Epoch}
 	switch {
 	case staleEpoch:
-		g.counters.refused++
+		g.counters.stale++
 		if held {
 			g.release(ref, "its receiver knows a newer epoch")
 		}
--- a/internal/group/first_start.go
+++ b/internal/group/first_start.go
@@ -15,78 +15,80 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 )
 
-// peekVoters asks the other voters of the file for their state. Those that do not answer in time
-// are not in the result.
+// peekVoters requests the state of the other voters of the settings. The result lacks those that do
+// not reply in time.
 func (g *Group) peekVoters(ctx context.Context, timeout time.Duration) map[string]welcomeMessage {
 	var mu sync.Mutex
-	var calls sync.WaitGroup
-	answers := map[string]welcomeMessage{}
+	var pending sync.WaitGroup
+	replies := map[string]welcomeMessage{}
 	for _, name := range g.otherVoters() {
-		calls.Add(1)
+		pending.Add(1)
 		go func() {
-			defer calls.Done()
-			conn, welcome, err := g.call(name, purposePeek, timeout)
+			defer pending.Done()
+			conn, welcome, err := g.connect(name, purposePeek, timeout)
 			if err != nil {
 				return
 			}
 			_ = conn.Close()
 			mu.Lock()
-			answers[name] = welcome
+			replies[name] = welcome
 			mu.Unlock()
 		}()
 	}
 	done := make(chan struct{})
-	go func() { calls.Wait(); close(done) }()
+	go func() { pending.Wait(); close(done) }()
 	select {
 	case <-done:
 	case <-ctx.Done():
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	return maps.Clone(answers)
+	return maps.Clone(replies)
 }
 
-// obtainLog gives this member a log to vote with: the first one, together with all voters of the
-// file, or an empty one after the group has admitted it again. superseded tells that the folder's
-// log is not the last one that this member had.
+// obtainLog gives this member a log with which it may vote: the first log of the group, started
+// together with all voters of the settings, or an empty log after the group has readmitted this
+// member. superseded reports whether the folder's log is not the latest one of this member.
 func (g *Group) obtainLog(ctx context.Context, stored *folder, superseded bool) (*raftboltdb.BoltStore, error) {
 	for {
-		answers := g.peekVoters(ctx, g.helloTimeout())
-		bolt, err := g.tryObtainLog(ctx, stored, answers, superseded)
+		replies := g.peekVoters(ctx, g.helloTimeout())
+		bolt, err := g.tryObtainLog(ctx, stored, replies, superseded)
 		if bolt != nil || errors.As(err, new(*bootstrapError)) {
 			return bolt, err
 		}
 		if err != nil {
 			g.setInactive(err.Error())
 		}
-		if !sleep(ctx, g.leaseFraction(retryFraction)) {
+		if !sleep(ctx, g.leaseFraction(retryDelayFraction)) {
 			return nil, ctx.Err()
 		}
 	}
 }
 
-// tryObtainLog goes on as far as the others' answers allow; a nil store: not far enough yet.
+// tryObtainLog makes as much progress as the replies of the other voters allow. A nil store without
+// an error means that there is no log yet.
 func (g *Group) tryObtainLog(
-	ctx context.Context, stored *folder, answers map[string]welcomeMessage, superseded bool,
+	ctx context.Context, stored *folder, replies map[string]welcomeMessage, superseded bool,
 ) (*raftboltdb.BoltStore, error) {
 	groupStarted := false
-	for _, welcome := range answers {
+	for _, welcome := range replies {
 		groupStarted = groupStarted || welcome.State == stateStarted
 	}
 	if superseded || stored.Started || groupStarted && len(stored.FirstStartVoters) == 0 {
-		return g.rejoin(ctx, stored, answers)
+		return g.rejoin(ctx, stored, replies)
 	}
-	start, err := g.coordinateFirstStart(stored, answers)
+	start, err := g.coordinateFirstStart(stored, replies)
 	if err != nil || !start {
 		return nil, err
 	}
 	return g.bootstrap(stored)
 }
 
-// coordinateFirstStart goes on with the first start as far as the others' answers allow. It is done
-// in two steps, so that nobody starts while another cannot know any more that all folders were
-// empty.
-func (g *Group) coordinateFirstStart(stored *folder, answers map[string]welcomeMessage) (start bool, err error) {
+// coordinateFirstStart advances the first start as far as the replies of the other voters allow, and
+// reports whether the log may be started. There are two steps: first each voter finds that all
+// folders are empty and stores that, then it waits until all others have stored it too. Otherwise a
+// voter could start its log while another one can no longer establish that all folders were empty.
+func (g *Group) coordinateFirstStart(stored *folder, replies map[string]welcomeMessage) (start bool, err error) {
 	voters := voterNames(g.opt.Voters)
 	if stored.Forced {
 		stored.FirstStartVoters = voters
@@ -95,19 +97,19 @@
 	agreed := len(stored.FirstStartVoters) > 0
 	var missing, notReady []string
 	for _, name := range g.otherVoters() {
-		welcome, ok := answers[name]
+		welcome, ok := replies[name]
 		switch {
 		case !ok:
 			missing = append(missing, name)
 		case welcome.State != stateStarted && !slices.Equal(welcome.Voters, voters):
-			return false, fmt.Errorf("first start: the file of %s names other voters: %s", name,
+			return false, fmt.Errorf("first start: the settings of %s list other voters: %s", name,
 				strings.Join(welcome.Voters, ", "))
 		case !readyToStart(welcome.State, agreed):
 			notReady = append(notReady, name)
 		}
 	}
 	if len(missing) > 0 {
-		return false, fmt.Errorf("first start: waits for an answer of %s", strings.Join(missing, ", "))
+		return false, fmt.Errorf("first start: waits for a reply from %s", strings.Join(missing, ", "))
 	}
 	if len(notReady) > 0 {
 		return false, fmt.Errorf("first start: waits for %s to be ready", strings.Join(notReady, ", "))
@@ -124,9 +126,9 @@
 	return false, nil
 }
 
-// readyToStart reports whether another voter is as far as the next step of the first start needs
-// it: the first step (not agreed) that its folder was empty, the second that it knows the same of
-// all others.
+// readyToStart reports whether another voter has reached the state that the next step of the first
+// start requires: for the first step (not agreed) that its folder was empty, for the second that it
+// has found all other folders empty as well.
 func readyToStart(state logState, agreed bool) bool {
 	if agreed {
 		return state == stateReady || state == stateStarted
@@ -134,13 +136,13 @@
 	return state == stateEmpty || state == stateReady
 }
 
-// bootstrapError is a failure to write the first log, which ends the run of the log.
+// bootstrapError is a failure to write the first log. It ends runLog, which is then retried.
 type bootstrapError struct{ err error }
 
 func (e *bootstrapError) Error() string { return e.err.Error() }
 func (e *bootstrapError) Unwrap() error { return e.err }
 
-// bootstrap writes the first entry of a new log: who votes.
+// bootstrap writes the first entry of a new log: the list of voters.
 func (g *Group) bootstrap(stored *folder) (*raftboltdb.BoltStore, error) {
 	bolt, err := openBolt(stored.dir)
 	if err != nil {
@@ -159,11 +161,12 @@
 	if err != nil {
 		return nil, &bootstrapError{err: errors.Join(fmt.Errorf("first start: %w", err), bolt.Close())}
 	}
-	g.log.Info().Strs("voters", voterNames(g.opt.Voters)).Msg("group: first start: a new log is written")
+	g.log.Info().Strs("voters", voterNames(g.opt.Voters)).Msg("group: first start: a new log has been written")
 	return bolt, nil
 }
 
-// raftConfiguration is the library's list of voters: their addresses are their names.
+// raftConfiguration returns the raft library's list of voters. It uses their names as addresses;
+// streamLayer.Dial resolves them.
 func raftConfiguration(names []string) (configuration raft.Configuration) {
 	for _, name := range names {
 		configuration.Servers = append(configuration.Servers, raft.Server{
@@ -173,14 +176,14 @@
 	return configuration
 }
 
-// rejoin lets a member whose log is lost, or is not the last one that it had, begin with an empty
-// one: the group takes it out of its voters first, so that the votes which it has forgotten count
-// no more.
+// rejoin lets a member whose log is lost, or is not its latest one, start again with an empty log. The
+// leader removes it from the voters first, so that votes of which this member has lost the record
+// do not count any more.
 func (g *Group) rejoin(
-	ctx context.Context, stored *folder, answers map[string]welcomeMessage,
+	ctx context.Context, stored *folder, replies map[string]welcomeMessage,
 ) (*raftboltdb.BoltStore, error) {
-	leader := leaderByAnswers(answers, g.opt.Name)
-	if leader == g.opt.Name { // as others knew it a moment ago
+	leader := leaderFromReplies(replies, g.opt.Name)
+	if leader == g.opt.Name { // the other voters may not have noticed yet that this member does not lead
 		return nil, fmt.Errorf("the name %s is in use by another process, which leads the group", leader)
 	}
 	if leader == "" {
@@ -189,7 +192,7 @@
 	g.mu.Lock()
 	known := g.supersededBy
 	g.mu.Unlock()
-	for _, welcome := range answers {
+	for _, welcome := range replies {
 		known = max(known, welcome.KnownIncarnation)
 	}
 	if err := g.raiseIncarnation(stored, known+1); err != nil {
@@ -197,10 +200,10 @@
 	}
 	reply, err := g.sendOnce(ctx, leader, heartbeat{Command: &command{Op: opAdmit}})
 	if err != nil {
-		return nil, fmt.Errorf("to be let in again: %w", err)
+		return nil, fmt.Errorf("request to rejoin the group: %w", err)
 	}
 	if reply.CommandError != "" || reply.Admission == nil {
-		return nil, fmt.Errorf("to be let in again: %s says: %s", leader, reply.CommandError)
+		return nil, fmt.Errorf("request to rejoin the group: refused by %s: %s", leader, reply.CommandError)
 	}
 	bolt, err := g.emptyLog(stored, *reply.Admission)
 	if err != nil {
@@ -210,14 +213,14 @@
 	g.superseded, g.position = false, logPosition{}
 	g.mu.Unlock()
 	g.log.Info().Uint64("incarnation", stored.Incarnation).Uint64("term", reply.Admission.Term).Str("leader", leader).
-		Msg("group: the leader has admitted this member again: it begins with an empty log")
+		Msg("group: the leader has readmitted this member: it starts with an empty log")
 	return bolt, nil
 }
 
-// leaderByAnswers is who leads by the answers of the voters, one other than this member if there is
-// one.
-func leaderByAnswers(answers map[string]welcomeMessage, self string) (leader string) {
-	for _, welcome := range answers {
+// leaderFromReplies returns the leader that the replies of the voters name. If they disagree, it
+// returns one that is not this member.
+func leaderFromReplies(replies map[string]welcomeMessage, self string) (leader string) {
+	for _, welcome := range replies {
 		if leader = welcome.Leader; leader != "" && leader != self {
 			return leader
 		}
@@ -225,7 +228,7 @@
 	return leader
 }
 
-// emptyLog makes an empty log for a member that was admitted again.
+// emptyLog replaces the log of a member that was readmitted with an empty one.
 func (g *Group) emptyLog(stored *folder, admitted admission) (*raftboltdb.BoltStore, error) {
 	if err := stored.removeLog(); err != nil {
 		return nil, err
@@ -234,8 +237,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// In the leader's term, and any before it, this member has voted already: it does not know for
-	// whom.
+	// This member may have voted in the leader's term or an earlier one, and its record of that vote
+	// is lost. A recorded vote for the leader in the leader's term keeps it from voting there again.
 	err = errors.Join(
 		bolt.SetUint64(keyTerm, admitted.Term),
 		bolt.Set(keyVoteFor, []byte(admitted.Leader)),
--- a/internal/group/frames.go
+++ b/internal/group/frames.go
@@ -8,14 +8,15 @@
 	"net"
 )
 
-// The bounds of a connection.
+// The limits of the group's port.
 const (
 	maxFrame      = 256 << 10 // bytes of a line between members
-	maxHelloFrame = 4 << 10   // bytes of the first line and its answer
+	maxHelloFrame = 4 << 10   // bytes of a hello or of its reply
 	maxConns      = 1200      // a group has up to 1,024 members
 )
 
-// readLine reads up to a line's end and not a byte further: what follows belongs to another reader.
+// readLine reads one line, byte by byte and without buffering: the bytes after the line end belong
+// to another reader of the connection.
 func readLine(conn net.Conn, limit int) ([]byte, error) {
 	line := make([]byte, 0, 256)
 	var next [1]byte
@@ -41,7 +42,7 @@
 	return err
 }
 
-// lineReader reads lines of a bounded length.
+// lineReader reads lines of a limited length through a buffer.
 type lineReader struct {
 	in    *bufio.Reader
 	limit int // bytes
@@ -51,7 +52,7 @@
 	return lineReader{in: bufio.NewReader(conn), limit: limit}
 }
 
-// next returns the next line with its end.
+// next returns the next line, including its line end.
 func (r lineReader) next() ([]byte, error) {
 	var line []byte
 	for {
--- a/internal/group/golden_lead_test.go
+++ b/internal/group/golden_lead_test.go
@@ -26,7 +26,7 @@
 			Process: uint64(len(step.from)) + step.incarnation,
 		}
 		step.request.Sequence = uint64(i + 1)
-		reply := g.answerHeartbeat(sender, step.request, func(member *memberState) { member.wakeUp = func() {} })
+		reply := g.handleHeartbeat(sender, step.request, func(member *memberState) { member.wakeUp = func() {} })
 		reply.Sequence = step.request.Sequence
 		out = append(out, sent(t, reply)...)
 	}
@@ -77,7 +77,7 @@
 	b.Hints = []Hint{{Destination: 2, RetryAfterUs: 9_000_000, Unavailable: true, AgeUs: 1}}
 	b.Claims = []string{"report"}
 	later := usual("10.0.0.2:7000", 800, 700)
-	later.Acts = map[string]actReport{"sweep": {Number: 7, Error: "it answers 500"}}
+	later.Executions = map[string]executionReport{"sweep": {Number: 7, Error: "it answers 500"}}
 	back := usual("10.0.0.2:7000", 800, 500)
 	back.Released = []lease.Ref{{Name: "report", Epoch: 7}, {Name: "sweep", Epoch: 3}}
 	back.Successors = map[string]string{"report": anyNextMember, "sweep": "c"}
@@ -92,8 +92,8 @@
 		{step, "c", 1, c},
 		{step, "a", 3, with(a, &command{Op: opHandOver, Name: "report", Recipient: "bb"})},
 		{step, "a", 3, handed},
-		{step, "bb", 1, with(later, &command{Op: opRestart, Name: "roll", AtOnce: 1, HoldUs: 60_000_000})},
-		{step, "c", 1, with(c, &command{Op: opRestart, Name: "roll", AtOnce: 1, HoldUs: 60_000_000})},
+		{step, "bb", 1, with(later, &command{Op: opRestart, Name: "roll", MaxConcurrent: 1, MaxDowntimeUs: 60_000_000})},
+		{step, "c", 1, with(c, &command{Op: opRestart, Name: "roll", MaxConcurrent: 1, MaxDowntimeUs: 60_000_000})},
 		{step, "bb", 1, back},
 		{step, "a", 3, with(a, &command{Op: opRevoke, Name: "report"})},
 		{step, "a", 3, with(a, &command{Op: opRevoke, Name: "sweep"})},
--- a/internal/group/golden_test.go
+++ b/internal/group/golden_test.go
@@ -30,7 +30,7 @@
 	})
 	testMessage(t, "beat.json", goldenHeartbeat())
 	testMessage(t, "answer.json", goldenReply())
-	testMessage(t, "called.json", actBody{Duty: "report", Member: "a", Epoch: 41, Act: 7})
+	testMessage(t, "called.json", executionBody{Duty: "report", Member: "a", Epoch: 41, Act: 7})
 }
 
 // TestGoldenSmallestMessages holds which fields are left out when they are zero.
@@ -41,9 +41,11 @@
 		welcomeMessage{},
 		heartbeat{Command: &command{}},
 		heartbeatReply{Admission: &admission{}, View: &view{}},
-		actBody{},
+		executionBody{},
 		heartbeatReply{WakeUp: true},
-		heartbeat{Acts: map[string]actReport{"d": {}}, Quotas: map[string]quotaDemand{"l": {}}, Hints: []Hint{{}}},
+		heartbeat{
+			Executions: map[string]executionReport{"d": {}}, Quotas: map[string]quotaDemand{"l": {}}, Hints: []Hint{{}},
+		},
 	} {
 		out = append(out, sent(t, v)...)
 	}
@@ -55,7 +57,7 @@
 	raw, err := json.MarshalIndent(map[string]any{
 		"version": protocolVersion,
 		"states":  []logState{stateOpening, stateEmpty, stateReady, stateStarted, stateNonVoter},
-		"for":     []purpose{purposePeek, purposeHeartbeat, purposeRaft},
+		"for":     []connPurpose{purposePeek, purposeHeartbeat, purposeRaft},
 		"orders":  []operation{opHandOver, opRevoke, opLeave, opAdmit, opRestart},
 		"next":    anyNextMember,
 		"roll":    restartSlotName("roll", 2),
@@ -104,9 +106,9 @@
 		return heard
 	}
 	welcomed := `{"life":5,"known":3,"log":{"index":9,"term":2,"here":true},"state":"begun","leader":"b"}` + "\n"
-	for _, what := range []purpose{purposePeek, purposeRaft} {
+	for _, what := range []connPurpose{purposePeek, purposeRaft} {
 		heard := peer(welcomed)
-		c, w, err := g.call("b", what, 10*time.Second)
+		c, w, err := g.connect("b", what, 10*time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/group/golden_values_test.go
+++ b/internal/group/golden_values_test.go
@@ -9,7 +9,7 @@
 	"github.com/rs/zerolog"
 )
 
-func goldenHello(what purpose) helloMessage {
+func goldenHello(what connPurpose) helloMessage {
 	return helloMessage{
 		Version: protocolVersion, Purpose: what, From: "a", To: "b", Incarnation: 3, Process: 1<<63 + 7, KnownIncarnation: 5,
 		LeaseUs: 400_000, Drift: 0.01, Log: logPosition{Index: 900, Term: 4, Exists: true},
@@ -21,11 +21,14 @@
 		Sequence: 12, Address: "10.0.0.1:7000", Weight: 1.5, Offers: []string{"report", "sweep"},
 		Released:   []lease.Ref{{Name: "sweep", Epoch: 41, Renewal: 2, Amount: 6}},
 		Successors: map[string]string{"sweep": anyNextMember},
-		Acts:       map[string]actReport{"report": {Number: 7, Error: "it answers 500"}},
+		Executions: map[string]executionReport{"report": {Number: 7, Error: "it answers 500"}},
 		Voter:      true, ReadIndex: 901, Term: 4, WantView: true,
 		Quotas: map[string]quotaDemand{"calls": {Demand: 700, Using: 300, Limit: 1000}},
 		Ready:  true, Claims: []string{"sweep"},
-		Hints: goldenHints(), Command: &command{Op: opRestart, Name: "roll", Recipient: "b", AtOnce: 2, HoldUs: 90_000_000},
+		Hints: goldenHints(),
+		Command: &command{
+			Op: opRestart, Name: "roll", Recipient: "b", MaxConcurrent: 2, MaxDowntimeUs: 90_000_000,
+		},
 	}
 }
 
--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -1,14 +1,15 @@
-// Package group lets senders that stand side by side share duties that one of them alone may hold.
-// The rules are in internal/lease and internal/assignment, which are pure; this package gives them
-// a replicated log (hashicorp/raft), one TCP port, a folder, a clock, and the duties' acts. It runs
-// on goroutines of its own: delivery never waits for any of it.
+// Package group coordinates several senders, the members of a group: it divides duties, each of which
+// only one member may execute at a time, by means of leases, and divides common limits into quotas.
+// The rules are in internal/lease and internal/assignment, which do no I/O and read no clock; this
+// package adds a replicated log (hashicorp/raft), one TCP port, a folder, a clock, and the execution
+// of the duties. It runs on goroutines of its own: delivery never waits for it.
 //
-// Each member sends heartbeats to the leader (member.go, reply.go); the leader answers them and
-// decides who holds what (leader.go, heartbeat_handler.go, assign.go, quotas.go, commands.go). A
-// voter has a log besides (log_keeper.go, raft_node.go). All of them talk over one port
+// Each member sends heartbeats to the leader (member.go, reply.go). The leader replies to them and
+// grants the leases (leader.go, heartbeat_handler.go, assign.go, quotas.go, commands.go). A voter also
+// has a replica of the log (log_keeper.go, raft_node.go). All traffic between members uses one port
 // (transport.go, hello.go).
 //
-// The state has one lock, Group.mu. No entry is written and nothing is sent while it is held.
+// One lock, Group.mu, guards the state. No log entry is written and nothing is sent while it is held.
 package group
 
 import (
@@ -24,50 +25,50 @@
 	"github.com/rs/zerolog"
 )
 
-// Group is this process's part in a group.
+// Group is a member of a group: the part of the group that runs in this process.
 type Group struct {
 	opt          Options
 	log          zerolog.Logger
-	process      uint64 // a number that this process has drawn
+	process      uint64 // a random number that identifies this process
 	clock        func() time.Duration
-	heartbeatNow chan struct{} // asks for a heartbeat; its buffer is 1
+	heartbeatNow chan struct{} // requests an immediate heartbeat; its buffer is 1
 
-	mu sync.Mutex // guards all that follows
+	mu sync.Mutex // guards all fields below
 	folderState
 	logReplica
 	leaderState
 	holderState
 
-	callers map[string]caller // by member
+	peers map[string]peerProcess // by member
 }
 
-// folderState is what a member knows of its folder.
+// folderState is the state of a member's folder and of its own participation.
 type folderState struct {
 	folder         *folder
 	incarnation    uint64
-	inactiveReason string // why this member takes no part; empty: it does
-	givingUpVote   bool
+	inactiveReason string // why this member does not participate; empty if it does
+	resigning      bool   // a call of Leave is in progress: heartbeats do not offer a vote
 
-	superseded       bool   // others have seen a later state of this folder
-	supersededBy     uint64 // the incarnation that they have seen
-	supersedePending bool   // Options.OnSuperseded has not booked it yet
+	superseded       bool   // another member has recorded a later state of this folder
+	supersededBy     uint64 // the incarnation of that later state
+	supersedePending bool   // Options.OnSuperseded has not recorded it yet
 }
 
-// logReplica is what a member knows by its log.
+// logReplica is the state of a member's replica of the log.
 type logReplica struct {
-	node     *raftNode // nil: the log does not run
+	node     *raftNode // nil while the log does not run
 	state    logState
-	position logPosition  // when this process began
-	table    *lease.Table // as applied by this member's log; empty where it has none
+	position logPosition  // at the start of this process
+	table    *lease.Table // as applied by this member's log; empty without a log
 	watch    *lease.ExpiryWatch
 }
 
-// holderState is what a member holds, and what it has heard from the leader.
+// holderState is what a member holds, and what it has received from the leader.
 type holderState struct {
 	holder     *lease.Holder
 	runners    map[string]*runner
-	released   map[string]lease.Ref // what the leader has not heard of yet
-	successors map[string]string    // who takes a duty then, where the leader said so
+	released   map[string]lease.Ref // releases that the leader has not confirmed yet, by duty
+	successors map[string]string    // the next holder of a duty that is being released, if it is determined
 	leaving    bool
 	counters   counters
 
@@ -75,11 +76,11 @@
 	hints          publishedHints
 	pendingCommand *command
 
-	quotaMembers       int // members that use the limits, as the leader said last
-	storedQuotaMembers int // as the folder has it
+	quotaMembers       int // members that use the limits, by the leader's last reply
+	storedQuotaMembers int // the value of quotaMembers in the folder
 }
 
-// New makes a member; Run lets it take part.
+// New creates a member. It participates in the group once Run is called.
 func New(opt Options) *Group {
 	if opt.Clock == nil {
 		opt.Clock = Boottime
@@ -93,7 +94,7 @@
 		process:      rand.Uint64(),
 		clock:        opt.Clock,
 		heartbeatNow: make(chan struct{}, 1),
-		callers:      map[string]caller{},
+		peers:        map[string]peerProcess{},
 		folderState:  folderState{inactiveReason: "starting"},
 		logReplica: logReplica{
 			state: stateOpening,
@@ -117,31 +118,31 @@
 	return g
 }
 
-// Lease is the length of the group's leases.
+// Lease returns the length of the group's leases.
 func (g *Group) Lease() time.Duration { return g.opt.Terms.Length }
 
-// Run takes part until ctx ends; then it releases what it holds, and leaves. It returns once that
-// is done.
+// Run participates in the group until ctx ends. It then releases what this member holds, stops and
+// returns.
 func (g *Group) Run(ctx context.Context) {
-	f, err := g.open(ctx)
+	stored, err := g.openOwnFolder(ctx)
 	if err != nil {
-		return // the process ended first
+		return // ctx ended before the folder could be opened
 	}
-	defer f.close()
+	defer stored.close()
 	listener, err := g.listen(ctx)
 	if err != nil {
 		return
 	}
 	g.log.Info().Str("listen", listener.Addr().String()).Uint64("incarnation", g.currentIncarnation()).
-		Bool("voter", g.isVoter()).Msg("group: this member takes part; its connections are not encrypted")
-	inner, stop := context.WithCancel(context.Background()) // of what goes on until duties are released
+		Bool("voter", g.isVoter()).Msg("group: this member has started; its connections are not encrypted")
+	taskCtx, stop := context.WithCancel(context.Background()) // of the tasks that run until the duties are released
 	var running sync.WaitGroup
 	run := func(task func(context.Context)) {
 		running.Add(1)
-		go func() { defer running.Done(); task(inner) }()
+		go func() { defer running.Done(); task(taskCtx) }()
 	}
 	run(func(ctx context.Context) { g.accept(ctx, listener) })
-	run(func(ctx context.Context) { g.keepLog(ctx, f) })
+	run(func(ctx context.Context) { g.maintainLog(ctx, stored) })
 	run(g.runHeartbeats)
 	for _, duty := range g.runners {
 		run(func(ctx context.Context) { g.runDuty(ctx, duty) })
@@ -159,18 +160,19 @@
 	return g.incarnation
 }
 
-// setInactive records why this member takes no part just now; empty: it does. A change is logged.
+// setInactive records why this member does not participate at present; an empty reason means that it
+// does. A change to another reason is logged.
 func (g *Group) setInactive(reason string) {
 	g.mu.Lock()
 	changed := g.inactiveReason != reason
 	g.inactiveReason = reason
 	g.mu.Unlock()
 	if changed && reason != "" {
-		g.log.Warn().Str("reason", reason).Msg("group: this member takes no part for now")
+		g.log.Warn().Str("reason", reason).Msg("group: this member does not participate for now")
 	}
 }
 
-// otherVoters lists the voters of the file but this member, sorted.
+// otherVoters returns the names of the voters of the settings without this member, sorted.
 func (g *Group) otherVoters() (names []string) {
 	for name := range g.opt.Voters {
 		if name != g.opt.Name {
@@ -181,7 +183,7 @@
 	return names
 }
 
-// sleep waits; false once ctx has ended.
+// sleep waits for a duration. It returns false as soon as ctx ends.
 func sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/group/heartbeat_handler.go
+++ b/internal/group/heartbeat_handler.go
@@ -8,7 +8,7 @@
 	"brackendale/internal/lease"
 )
 
-// heartbeatHandler answers one heartbeat in the steps of answerHeartbeat.
+// heartbeatHandler handles one heartbeat on the leader, in the steps of handleHeartbeat.
 type heartbeatHandler struct {
 	group   *Group
 	node    *raftNode
@@ -16,11 +16,12 @@
 	request heartbeat
 	reply   heartbeatReply
 
-	unrecorded bool // the table lacks the sender's incarnation, address or read mark
+	unrecorded bool // the table does not have the sender's current incarnation, address or read mark
 }
 
-// answerHeartbeat answers one heartbeat. attach is given the sender's record under the lock.
-func (g *Group) answerHeartbeat(
+// handleHeartbeat handles one heartbeat and returns the reply. attach is called with the sender's
+// record while g.mu is held.
+func (g *Group) handleHeartbeat(
 	sender helloMessage, request heartbeat, attach func(*memberState),
 ) heartbeatReply {
 	handler := &heartbeatHandler{group: g, sender: sender, request: request}
@@ -46,8 +47,8 @@
 	return handler.reply
 }
 
-// recordSender checks the sender and records what it reports. Where it returns false the reply says
-// why.
+// recordSender checks the sender and records what it reports. If it returns false, the reply has the
+// reason.
 func (h *heartbeatHandler) recordSender(attach func(*memberState)) bool {
 	g := h.group
 	now := g.clock()
@@ -56,7 +57,7 @@
 	if h.node = g.node; !g.leading || h.node == nil {
 		h.reply.Leader, h.reply.LeaderAddress = g.currentLeader()
 		if h.reply.Leader == g.opt.Name {
-			h.reply.Leader = "" // not yet, or not any more
+			h.reply.Leader = "" // this member does not lead yet, or no longer leads
 		}
 		h.reply.Error = "does not lead"
 		return false
@@ -75,32 +76,33 @@
 	}
 	attach(member)
 	member.update(&h.request, now)
-	g.callers[h.sender.From] = caller{incarnation: h.sender.Incarnation, process: h.sender.Process, at: now}
+	g.peers[h.sender.From] = peerProcess{incarnation: h.sender.Incarnation, process: h.sender.Process, lastSeen: now}
 	if g.presence.HeardFrom(h.sender.From, now) {
 		g.log.Info().Str("member", h.sender.From).Uint64("incarnation", h.sender.Incarnation).
 			Msg("group: member is present: it sends heartbeats")
 	}
-	h.unrecorded = h.lacksRecord(g.table)
+	h.unrecorded = h.needsRecording(g.table)
 	return true
 }
 
-// refusal is why the sender is not answered; empty: it is. The lock is held.
+// refusal returns the reason for which the heartbeat is refused, or "" if it is accepted. The caller
+// must hold the group's lock.
 func (h *heartbeatHandler) refusal(now time.Duration) string {
 	known := h.group.knownIncarnation(h.sender.From)
 	switch {
 	case h.sender.Incarnation < known:
-		return fmt.Sprintf(refusalIncarnationOver, h.sender.Incarnation, h.sender.From, known)
+		return fmt.Sprintf(refusalIncarnationEnded, h.sender.Incarnation, h.sender.From, known)
 	case h.group.nameInUse(h.sender.From, h.sender.Process, now):
 		return fmt.Sprintf(refusalNameInUse, h.sender.From)
 	}
 	return ""
 }
 
-// update takes over what a member reports. The lock is held.
+// update records what a member reports. The caller must hold the group's lock.
 func (m *memberState) update(request *heartbeat, now time.Duration) {
-	m.lastHeard = now
+	m.lastHeartbeatAt = now
 	m.weight = request.Weight
-	m.acts = request.Acts
+	m.executions = request.Executions
 	m.quotas = request.Quotas
 	m.hints = request.Hints[:min(len(request.Hints), maxHints)]
 	m.readIndex, m.term = max(m.readIndex, request.ReadIndex), max(m.term, request.Term)
@@ -112,8 +114,9 @@
 	}
 }
 
-// lacksRecord reports whether the table should record the sender anew.
-func (h *heartbeatHandler) lacksRecord(table *lease.Table) bool {
+// needsRecording reports whether the table does not have the sender's current incarnation or address,
+// or has a read mark that is too far behind.
+func (h *heartbeatHandler) needsRecording(table *lease.Table) bool {
 	name := h.sender.From
 	return table.Incarnations[name] < h.sender.Incarnation ||
 		h.request.Address != "" && table.Addresses[name] != h.request.Address ||
@@ -126,6 +129,7 @@
 	return h.node.propose(entry, h.group.entryTimeout())
 }
 
+// recordIncarnation writes the sender's incarnation, address and read mark to the table if needed.
 func (h *heartbeatHandler) recordIncarnation() error {
 	if !h.unrecorded {
 		return nil
@@ -136,10 +140,10 @@
 	return err
 }
 
-// releaseLeases releases what the sender gives back, one entry each.
+// releaseLeases releases the leases that the sender returns, with one log entry each.
 func (h *heartbeatHandler) releaseLeases() error {
 	for _, ref := range h.request.Released {
-		successor := h.group.successorOf(h.request.Successors[ref.Name], ref.Name, h.sender.From)
+		successor := h.group.resolveSuccessor(h.request.Successors[ref.Name], ref.Name, h.sender.From)
 		result, err := h.propose(lease.Entry{Op: lease.Release, Refs: []lease.Ref{ref}, Recipient: successor})
 		if err != nil {
 			return err
@@ -152,6 +156,7 @@
 	return nil
 }
 
+// executeCommand executes the command that came with the heartbeat, if any.
 func (h *heartbeatHandler) executeCommand() error {
 	if h.request.Command != nil {
 		h.reply.Admission, h.reply.CommandError = h.group.execute(h.node, h.sender, *h.request.Command)
@@ -159,13 +164,13 @@
 	return nil
 }
 
-// renewLeases renews what the sender holds, all in one entry, releases what an earlier incarnation
-// of it held for a restart, and assigns its quotas.
+// renewLeases releases the restart slots of the sender's earlier incarnations, assigns its quotas, and
+// renews its other leases with one log entry.
 func (h *heartbeatHandler) renewLeases() error {
 	g := h.group
 	g.mu.Lock()
 	held := h.renewable()
-	restarted := g.restartedLeases(h.sender, h.request.Ready)
+	restarted := g.finishedRestartSlots(h.sender, h.request.Ready)
 	g.mu.Unlock()
 	if len(restarted) > 0 {
 		if _, err := h.propose(lease.Entry{Op: lease.Release, Refs: restarted}); err != nil {
@@ -186,8 +191,9 @@
 	return nil
 }
 
-// renewable lists the leases of the sender that this heartbeat renews: not its quotas, which their
-// demand renews, nor those of a restart, nor what it has just released. The lock is held.
+// renewable returns the leases of the sender that its heartbeat renews. These exclude its quotas,
+// which are renewed when they are assigned, restart slots, and the leases that it has just released.
+// The caller must hold the group's lock.
 func (h *heartbeatHandler) renewable() []lease.Ref {
 	held := h.group.table.HeldBy(h.sender.From, h.sender.Incarnation)
 	return slices.DeleteFunc(held, func(ref lease.Ref) bool {
@@ -199,13 +205,13 @@
 	})
 }
 
-// grantFreeDuties grants the free duties that the sender should hold, and tells it what to hand
-// over.
+// grantFreeDuties grants the free duties that the sender should hold, and lists in the reply the
+// duties that it has to hand over.
 func (h *heartbeatHandler) grantFreeDuties() error {
 	g := h.group
 	g.mu.Lock()
 	h.reply.Hints = g.hintsOfOthers(h.sender.From, g.clock())
-	free, handOver := h.moves(g.assignDuties(g.clock()))
+	free, handOver := h.plannedMoves(g.assignDuties(g.clock()))
 	g.mu.Unlock()
 	h.reply.HandOver = handOver
 	for _, duty := range free {
@@ -222,9 +228,9 @@
 	return nil
 }
 
-// moves lists the free duties that the sender should hold, sorted, and those of its duties that
-// others should hold. The lock is held.
-func (h *heartbeatHandler) moves(plan map[string]string) (free []string, handOver map[string]string) {
+// plannedMoves returns the free duties that the sender should hold, sorted, and the duties that it
+// holds and has to hand over, with their recipients. The caller must hold the group's lock.
+func (h *heartbeatHandler) plannedMoves(plan map[string]string) (free []string, handOver map[string]string) {
 	for duty, assignee := range plan {
 		held := h.group.table.Leases[duty]
 		if assignee == h.sender.From {
@@ -241,7 +247,8 @@
 	return free, handOver
 }
 
-// describeGroup tells the sender who holds what it claims, who leads, and the view that it wants.
+// describeGroup adds to the reply the holders of what the sender claims, the leader, and a view of
+// the group if the sender requested one.
 func (h *heartbeatHandler) describeGroup() {
 	g := h.group
 	g.mu.Lock()
@@ -258,7 +265,8 @@
 	}
 }
 
-// setEntry sets an entry of a map that is made at its first entry: an empty map is not sent.
+// setEntry sets an entry of a map, and creates the map for its first entry: a nil map is left out of
+// the JSON.
 func setEntry[V any](entries map[string]V, key string, value V) map[string]V {
 	if entries == nil {
 		entries = map[string]V{}
--- a/internal/group/heartbeat_link.go
+++ b/internal/group/heartbeat_link.go
@@ -7,28 +7,31 @@
 	"time"
 )
 
-// maxReplyFrame bounds a reply, in bytes: it may have a view of all members and duties.
+// maxReplyFrame is the maximum size of a reply in bytes. A reply may contain a view of all members
+// and duties.
 const maxReplyFrame = 4 * maxFrame
 
-// heartbeatLink is a connection to a member that may lead. One goroutine uses it; another, which
-// dialLeader starts, reads the replies until the connection ends.
+// heartbeatLink is the sending end of a connection for heartbeats. One goroutine uses it; a second
+// one, which dialLeader starts, reads the replies until the connection ends.
 type heartbeatLink struct {
-	to      string
+	target  string
 	conn    net.Conn
-	replies chan heartbeatReply // in order; closed when the connection has ended
+	replies chan heartbeatReply // in the order of arrival; closed when the connection has ended
 }
 
 // dialLeader connects to a member and reads its replies until the connection ends.
-func (g *Group) dialLeader(to string) (*heartbeatLink, error) {
-	conn, _, err := g.call(to, purposeHeartbeat, g.leaseFraction(dialFraction))
+func (g *Group) dialLeader(target string) (*heartbeatLink, error) {
+	conn, _, err := g.connect(target, purposeHeartbeat, g.leaseFraction(dialTimeoutFraction))
 	if err != nil {
 		return nil, err
 	}
-	link := &heartbeatLink{to: to, conn: conn, replies: make(chan heartbeatReply, 1)}
+	link := &heartbeatLink{target: target, conn: conn, replies: make(chan heartbeatReply, 1)}
 	go link.readReplies(g.requestHeartbeat)
 	return link, nil
 }
 
+// readReplies reads replies into the channel until the connection ends. It calls wakeUp for each
+// wake-up notification.
 func (l *heartbeatLink) readReplies(wakeUp func()) {
 	defer close(l.replies)
 	frames := newLineReader(l.conn, maxReplyFrame)
@@ -49,20 +52,20 @@
 	}
 }
 
-// close ends the connection. A nil link is closed.
+// close closes the connection. A nil link counts as closed.
 func (l *heartbeatLink) close() {
 	if l == nil {
 		return
 	}
 	_ = l.conn.Close()
-	go func() { // its reader may wait with a reply
+	go func() { // readReplies may be blocked on sending a reply
 		for range l.replies {
 		}
 	}()
 }
 
-// exchange sends a heartbeat and waits for its reply. canceled is called now and then: true ends
-// the wait.
+// exchange sends a heartbeat and waits for its reply. It calls canceled periodically, and stops
+// waiting once that returns true.
 func (l *heartbeatLink) exchange(
 	request heartbeat, timeout time.Duration, canceled func() bool,
 ) (heartbeatReply, error) {
@@ -70,7 +73,7 @@
 	if err := writeLine(l.conn, request); err != nil {
 		return heartbeatReply{}, err
 	}
-	until := time.Now().Add(timeout)
+	deadline := time.Now().Add(timeout)
 	ticker := time.NewTicker(max(timeout/20, time.Millisecond))
 	defer ticker.Stop()
 	for {
@@ -83,7 +86,7 @@
 				return reply, nil
 			}
 		case <-ticker.C:
-			if time.Now().After(until) || canceled != nil && canceled() {
+			if time.Now().After(deadline) || canceled != nil && canceled() {
 				return heartbeatReply{}, errReplyTimeout
 			}
 		}
@@ -91,16 +94,17 @@
 }
 
 // sendOnce sends one heartbeat to a member on a connection of its own.
-func (g *Group) sendOnce(ctx context.Context, to string, request heartbeat) (heartbeatReply, error) {
-	link, err := g.dialLeader(to)
+func (g *Group) sendOnce(ctx context.Context, target string, request heartbeat) (heartbeatReply, error) {
+	link, err := g.dialLeader(target)
 	if err != nil {
 		return heartbeatReply{}, err
 	}
 	defer link.close()
 	request.Sequence = 1
-	reply, err := link.exchange(request, g.leaseFraction(singleReplyFraction), func() bool { return ctx.Err() != nil })
+	reply, err := link.exchange(request, g.leaseFraction(singleReplyTimeoutFraction),
+		func() bool { return ctx.Err() != nil })
 	if err == nil && reply.Error != "" {
-		err = &remoteError{member: to, reason: reply.Error}
+		err = &remoteError{member: target, reason: reply.Error}
 	}
 	return reply, err
 }
--- a/internal/group/hello.go
+++ b/internal/group/hello.go
@@ -7,60 +7,61 @@
 	"brackendale/internal/lease"
 )
 
-// protocolVersion is that of the messages between members. Another one is refused with a sentence:
-// a group is upgraded member by member only where the messages have stayed the same.
+// protocolVersion is the version of the messages between members. A member of another version is
+// refused with an explanation: a group can be upgraded member by member only if the messages have
+// not changed.
 const protocolVersion = 1
 
-// logState is the state of a member's log, as others hear of it.
+// logState is the state of a member's log, as reported to the other members.
 type logState string
 
 const (
-	stateOpening  logState = "opens" // it has not looked into its folder yet, or could not
-	stateEmpty    logState = "empty" // its folder is empty, and it is not known whether the others have a log
-	stateReady    logState = "ready" // all voters of the file had empty folders; the log may be started
-	stateStarted  logState = "begun" // it has a log, or had one
-	stateNonVoter logState = "none"
+	stateOpening  logState = "opens" // the log has not been read yet, or could not be read
+	stateEmpty    logState = "empty" // the folder is empty; whether the other voters have a log is unknown
+	stateReady    logState = "ready" // all voters of the settings had empty folders; the log may be started
+	stateStarted  logState = "begun" // the member has a log, or had one
+	stateNonVoter logState = "none"  // the member does not vote and has no log
 )
 
-// purpose is what a connection is for.
-type purpose string
+// connPurpose is the purpose of a connection between two members.
+type connPurpose string
 
 const (
-	purposePeek      purpose = "peek" // to hear of the other's state
-	purposeHeartbeat purpose = "ask"  // a member's heartbeats to the leader
-	purposeRaft      purpose = "raft" // the raft library's messages
+	purposePeek      connPurpose = "peek" // reads the target's state from its welcome, and nothing else
+	purposeHeartbeat connPurpose = "ask"  // carries a member's heartbeats to the leader
+	purposeRaft      connPurpose = "raft" // carries the raft library's messages
 )
 
-// helloMessage is the first line of a connection.
+// helloMessage is the first line of a connection, sent by the member that opened it (the caller).
 type helloMessage struct {
 	Version          int         `json:"v"`
-	Purpose          purpose     `json:"for"`
+	Purpose          connPurpose `json:"for"`
 	From             string      `json:"from"`
 	To               string      `json:"to"`
 	Incarnation      uint64      `json:"life"`
-	Process          uint64      `json:"self"`  // a number that the caller's process has drawn
-	KnownIncarnation uint64      `json:"known"` // the highest of the other that the caller knows of
+	Process          uint64      `json:"self"`  // a random number that identifies the caller's process
+	KnownIncarnation uint64      `json:"known"` // the highest incarnation of the target that the caller has recorded
 	LeaseUs          int64       `json:"lease_us"`
 	Drift            float64     `json:"drift"`
 	Log              logPosition `json:"log"`
 }
 
-// logPosition is how far a log was when its process began, and its term; both only grow while a
-// folder is whole.
+// logPosition is the last index and the term of a log at the start of its process. Both only grow
+// unless the folder is emptied or replaced by an older copy.
 type logPosition struct {
 	Index  uint64 `json:"index,omitempty"`
 	Term   uint64 `json:"term,omitempty"`
 	Exists bool   `json:"here,omitempty"`
 }
 
-// welcomeMessage is the answer to a hello.
+// welcomeMessage is the reply to a hello.
 type welcomeMessage struct {
 	Error            string      `json:"error,omitempty"`
 	Incarnation      uint64      `json:"life,omitempty"`
-	KnownIncarnation uint64      `json:"known,omitempty"` // the highest of the caller that the other knows of
-	Outdated         bool        `json:"old,omitempty"`   // the caller's log lacks what it had: its folder was put back
+	KnownIncarnation uint64      `json:"known,omitempty"` // the highest recorded incarnation of the caller
+	Outdated         bool        `json:"old,omitempty"`   // the caller's log lacks entries that it had before
 	Log              logPosition `json:"log"`
-	Voters           []string    `json:"voters,omitempty"` // of its file
+	Voters           []string    `json:"voters,omitempty"` // of its settings
 	State            logState    `json:"state,omitempty"`
 	Leader           string      `json:"leader,omitempty"`
 	LeaderAddress    string      `json:"at,omitempty"` // as the leader reported it
@@ -69,38 +70,38 @@
 // maxNameLength bounds a member's name, in bytes.
 const maxNameLength = 128
 
-// The formats of refusals that both a hello and a heartbeat may get.
+// The formats of the refusals that apply to hellos and to heartbeats.
 const (
-	refusalIncarnationOver = "life %d of %s is over: life %d has been seen"
-	refusalNameInUse       = "the name %s is in use by another process"
+	refusalIncarnationEnded = "life %d of %s is over: life %d has been seen"
+	refusalNameInUse        = "the name %s is in use by another process"
 )
 
-// caller is what is known of a process that has called.
-type caller struct {
+// peerProcess is the process of another member that connected last under that member's name.
+type peerProcess struct {
 	incarnation uint64
 	process     uint64
-	at          time.Duration // when it called last
+	lastSeen    time.Duration // time of its last hello or heartbeat
 }
 
-// newHello is the first line of a connection to another member.
-func (g *Group) newHello(to string, what purpose) helloMessage {
+// newHello returns the hello for a connection to another member.
+func (g *Group) newHello(target string, purpose connPurpose) helloMessage {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return helloMessage{
 		Version:          protocolVersion,
-		Purpose:          what,
+		Purpose:          purpose,
 		From:             g.opt.Name,
-		To:               to,
+		To:               target,
 		Incarnation:      g.incarnation,
 		Process:          g.process,
-		KnownIncarnation: g.knownIncarnation(to),
+		KnownIncarnation: g.knownIncarnation(target),
 		LeaseUs:          g.opt.Terms.Length.Microseconds(),
 		Drift:            g.opt.Terms.Drift,
 		Log:              g.position,
 	}
 }
 
-// checkHello answers a hello, and records a caller that is new.
+// checkHello checks a hello, records its caller, and returns the reply.
 func (g *Group) checkHello(hello helloMessage) welcomeMessage {
 	now := g.clock()
 	g.mu.Lock()
@@ -110,7 +111,7 @@
 			Error: reason, Incarnation: g.incarnation, KnownIncarnation: g.knownIncarnation(hello.From),
 		}
 	}
-	g.recordCaller(hello, now)
+	g.recordPeer(hello, now)
 	if hello.KnownIncarnation > g.incarnation {
 		g.markSuperseded(hello.KnownIncarnation, hello.From)
 	}
@@ -129,7 +130,8 @@
 	return welcome
 }
 
-// helloRefusal is why a caller is refused; empty: it is not. The lock is held.
+// helloRefusal returns the reason for which a caller is refused, or "" if it is accepted. The caller
+// must hold g.mu.
 func (g *Group) helloRefusal(hello helloMessage, now time.Duration) string {
 	terms := g.opt.Terms
 	switch {
@@ -148,36 +150,36 @@
 		return ""
 	}
 	if known := g.knownIncarnation(hello.From); hello.Incarnation < known {
-		return fmt.Sprintf(refusalIncarnationOver, hello.Incarnation, hello.From, known)
+		return fmt.Sprintf(refusalIncarnationEnded, hello.Incarnation, hello.From, known)
 	}
-	if g.calledByOther(hello, now) || g.nameInUse(hello.From, hello.Process, now) {
+	if g.usedByOtherProcess(hello, now) || g.nameInUse(hello.From, hello.Process, now) {
 		return fmt.Sprintf(refusalNameInUse, hello.From)
 	}
 	return ""
 }
 
-// calledByOther reports whether another process of the caller's name and incarnation has called
-// lately. The lock is held.
-func (g *Group) calledByOther(hello helloMessage, now time.Duration) bool {
-	last := g.callers[hello.From]
+// usedByOtherProcess reports whether another process with the name and the incarnation of the
+// hello's sender has connected recently. The caller must hold g.mu.
+func (g *Group) usedByOtherProcess(hello helloMessage, now time.Duration) bool {
+	last := g.peers[hello.From]
 	return last.process != 0 && last.process != hello.Process && last.incarnation == hello.Incarnation &&
-		now-last.at < g.leaseFraction(nameFraction)
+		now-last.lastSeen < g.leaseFraction(nameReservationFraction)
 }
 
-// recordCaller records a voter, or a member that sends heartbeats to this leader: others may not be
-// admitted. The lock is held.
-func (g *Group) recordCaller(hello helloMessage, now time.Duration) {
+// recordPeer records the sender of a hello if it is a voter, or sends heartbeats to this member while
+// this member leads. Other senders may not belong to the group. The caller must hold g.mu.
+func (g *Group) recordPeer(hello helloMessage, now time.Duration) {
 	if hello.Purpose != purposeRaft && (hello.Purpose != purposeHeartbeat || !g.leading) {
 		return
 	}
-	if len(g.callers) < lease.MaxMembers || g.callers[hello.From].process != 0 {
-		g.callers[hello.From] = caller{incarnation: hello.Incarnation, process: hello.Process, at: now}
+	if len(g.peers) < lease.MaxMembers || g.peers[hello.From].process != 0 {
+		g.peers[hello.From] = peerProcess{incarnation: hello.Incarnation, process: hello.Process, lastSeen: now}
 	}
 }
 
-// recordWelcome takes over what an answer tells of this member's own incarnation and log: one that
-// is superseded votes no more. It reports whether the other's log is outdated, so that its vote
-// must not be asked for.
+// recordWelcome records what a welcome reports about this member's own incarnation and log: if they
+// are superseded, this member stops voting. It reports whether the other member's log is outdated,
+// in which case its vote must not be requested.
 func (g *Group) recordWelcome(hello helloMessage, welcome welcomeMessage) (outdated bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -188,9 +190,9 @@
 	return g.logOutdated(hello.To, welcome.Incarnation, welcome.Log)
 }
 
-// markSuperseded records that this folder is not the last one that this member had. The lock is
-// held.
-func (g *Group) markSuperseded(known uint64, by string) {
+// markSuperseded records that another member has recorded a later state of this folder. The caller
+// must hold g.mu.
+func (g *Group) markSuperseded(known uint64, reporter string) {
 	g.supersededBy = max(g.supersededBy, known)
 	if g.superseded {
 		return
@@ -204,17 +206,19 @@
 			g.mu.Unlock()
 		})
 	}
-	g.log.Error().Uint64("incarnation", g.incarnation).Uint64("known", known).Str("member", by).
-		Msg("group: a member has seen a later state of this folder: this member's votes and its log do not count")
+	g.log.Error().Uint64("incarnation", g.incarnation).Uint64("known", known).Str("member", reporter).
+		Msg("group: another member has recorded a later state of this folder: the log and votes in it are not used")
 }
 
-// knownIncarnation is the highest incarnation of a member that this one knows of. The lock is held.
+// knownIncarnation returns the highest incarnation of a member that this member has recorded. The
+// caller must hold g.mu.
 func (g *Group) knownIncarnation(name string) uint64 {
-	return max(g.table.Incarnations[name], g.callers[name].incarnation, g.lastView.Incarnations[name])
+	return max(g.table.Incarnations[name], g.peers[name].incarnation, g.lastView.Incarnations[name])
 }
 
-// logOutdated reports whether a member's log, as an incarnation of it began with it, lacks what an
-// earlier incarnation had: its folder was put back. The lock is held.
+// logOutdated reports whether a member's log at the start of an incarnation lacks entries that an
+// earlier incarnation had. That happens if its folder was replaced by an older copy. The caller must
+// hold g.mu.
 func (g *Group) logOutdated(name string, incarnation uint64, log logPosition) bool {
 	if !log.Exists {
 		return false
@@ -227,7 +231,8 @@
 		(log.Index < member.readIndex || log.Term < member.term)
 }
 
-// currentLeader is who leads, as far as this member knows, and its address. The lock is held.
+// currentLeader returns the name and the address of the leader as this member has recorded them. The
+// caller must hold g.mu.
 func (g *Group) currentLeader() (name, address string) {
 	if g.node != nil {
 		_, id := g.node.raft.LeaderWithID()
--- a/internal/group/hints.go
+++ b/internal/group/hints.go
@@ -5,68 +5,70 @@
 	"time"
 )
 
-// Hint is what a member reports to the others of a destination's health. It makes them more careful
-// and nothing else, and it ends by itself. All times are in microseconds.
+// Hint is a member's report to the other members about the health of a destination. Its only effect is
+// that they are more cautious with that destination, and it expires by itself. All durations are in
+// microseconds.
 type Hint struct {
 	Destination  int64  `json:"dest"`
-	RetryAfterUs int64  `json:"waits_us,omitempty"` // left of a Retry-After of the destination
+	RetryAfterUs int64  `json:"waits_us,omitempty"` // remaining time of the destination's Retry-After
 	Unavailable  bool   `json:"out,omitempty"`
 	Recovering   bool   `json:"returning,omitempty"`
-	RecoveringUs int64  `json:"since_us,omitempty"` // how long it has been recovering
-	AgeUs        int64  `json:"age_us"`             // how long ago the member saw this
-	From         string `json:"from,omitempty"`     // the member; the leader sets it
+	RecoveringUs int64  `json:"since_us,omitempty"` // how long the destination has been recovering
+	AgeUs        int64  `json:"age_us"`             // time since the member observed this
+	From         string `json:"from,omitempty"`     // the member that reported it; set by the leader
 }
 
 const (
-	// maxHints bounds the hints of one member.
+	// maxHints is the maximum number of hints that one member reports.
 	maxHints = 64
 
-	// maxHintsOfOthers bounds the hints that one member gets.
-	maxHintsOfOthers = 4 * maxHints
+	// maxHintsPerReply is the maximum number of hints in one reply to a member.
+	maxHintsPerReply = 4 * maxHints
 )
 
-// publishedHints is what this member reports to the others. Group.mu guards it.
+// publishedHints are the hints that this member reports to the others. Group.mu guards them.
 type publishedHints struct {
 	publishedAt time.Duration
 	own         []Hint
 }
 
-// current is what this member reports now: what it saw has grown older since.
+// current returns the hints as of now, with their age since they were published added.
 func (p *publishedHints) current(now time.Duration) []Hint {
 	hints := slices.Clone(p.own)
 	for i := range hints {
-		hints[i].grow((now - p.publishedAt).Microseconds())
+		hints[i].advance((now - p.publishedAt).Microseconds())
 	}
 	return hints
 }
 
-// grow lets a hint grow older.
-func (h *Hint) grow(us int64) {
+// advance adds to the age of a hint and shortens its Retry-After by the same amount.
+func (h *Hint) advance(us int64) {
 	h.AgeUs += us
 	h.RetryAfterUs -= min(h.RetryAfterUs, us)
 }
 
-// PublishHints sets what this member reports to the others from now on.
+// PublishHints replaces the hints that this member reports to the others.
 func (g *Group) PublishHints(list []Hint) {
 	g.mu.Lock()
 	g.hints.own, g.hints.publishedAt = list[:min(len(list), maxHints)], g.clock()
 	g.mu.Unlock()
 }
 
-// hintsOfOthers is what the other members reported, as old as it is by now. The lock is held.
-func (g *Group) hintsOfOthers(except string, now time.Duration) (list []Hint) {
+// hintsOfOthers returns the hints for a recipient: those of all other members that are present, with
+// their current age. The caller must hold g.mu.
+func (g *Group) hintsOfOthers(recipient string, now time.Duration) (list []Hint) {
 	for name, member := range g.members {
-		if present, _ := g.presence.Present(name, now); !present || name == except {
+		if present, _ := g.presence.Present(name, now); !present || name == recipient {
 			continue
 		}
-		age := (now - member.lastHeard).Microseconds()
+		age := (now - member.lastHeartbeatAt).Microseconds()
 		for _, hint := range member.hints {
 			hint.From = name
-			hint.grow(age)
+			hint.advance(age)
 			if hint.RecoveringUs > 0 {
 				hint.RecoveringUs += age
 			}
-			if list = append(list, hint); len(list) == maxHintsOfOthers {
+			if list = append(list, hint); len(list) == maxHintsPerReply {
 				return list
 			}
 		}
--- a/internal/group/http_act.go
+++ b/internal/group/http_act.go
@@ -8,27 +8,28 @@
 	"net/http"
 )
 
-// actBody is the body of the request of an act.
-type actBody struct {
+// executionBody is the body of the HTTP request for an execution.
+type executionBody struct {
 	Duty   string `json:"duty"`
 	Member string `json:"member"`
 	Epoch  uint64 `json:"epoch"`
 	Act    uint64 `json:"act"`
 }
 
-// maxActResponse bounds what is read of a response, in bytes.
-const maxActResponse = 64 << 10
+// maxResponseBytes limits how much of a response body is read.
+const maxResponseBytes = 64 << 10
 
-// Call returns a Duty.Do that sends each act as one POST to a URL of the operator's. A status 2xx
-// is success; 409 tells that a newer epoch is known (ErrStaleEpoch). Each request has a connection
-// of its own: what was left of an earlier one cannot be taken for it.
+// Call returns a Duty.Do that sends each execution as one POST request to a URL of the operator. A
+// status 2xx is success; 409 means that the receiver has recorded a newer epoch (ErrStaleEpoch). Each
+// request uses a new connection, so that no bytes left over from an earlier response can be read as
+// its response.
 func Call(url string) func(context.Context, Act) error {
 	client := &http.Client{
 		Transport:     &http.Transport{DisableKeepAlives: true, Proxy: nil},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 	return func(ctx context.Context, act Act) error {
-		body, err := json.Marshal(actBody{Duty: act.Duty, Member: act.Member, Epoch: act.Epoch, Act: act.Number})
+		body, err := json.Marshal(executionBody{Duty: act.Duty, Member: act.Member, Epoch: act.Epoch, Act: act.Number})
 		if err != nil {
 			return err
 		}
@@ -42,7 +43,7 @@
 			return err
 		}
 		defer response.Body.Close()
-		_, err = io.Copy(io.Discard, io.LimitReader(response.Body, maxActResponse))
+		_, err = io.Copy(io.Discard, io.LimitReader(response.Body, maxResponseBytes))
 		switch {
 		case response.StatusCode == http.StatusConflict:
 			return ErrStaleEpoch
@@ -53,7 +54,7 @@
 	}
 }
 
-// statusError is a response to an act that is neither success nor a newer epoch.
+// statusError is a response to an execution whose status is neither 2xx nor 409.
 type statusError struct{ status string }
 
 func (e *statusError) Error() string { return "it answers " + e.status }
--- a/internal/group/leader.go
+++ b/internal/group/leader.go
@@ -13,7 +13,7 @@
 	"github.com/hashicorp/raft"
 )
 
-// leaderState is what a member knows as the leader. Group.mu guards it.
+// leaderState is the state that a member has as the leader. Group.mu guards it.
 type leaderState struct {
 	leading     bool
 	leaderSince time.Duration
@@ -21,70 +21,72 @@
 	presence    *assignment.Presence
 }
 
-// memberState is what the leader knows of a member.
+// memberState is the leader's record of a member.
 type memberState struct {
-	incarnation uint64
-	process     uint64
-	readIndex   uint64
-	term        uint64
-	lastHeard   time.Duration
-
-	offers map[string]bool
-	weight float64
-	acts   map[string]actReport
-	quotas map[string]quotaDemand
-	hints  []Hint
+	incarnation     uint64
+	process         uint64
+	readIndex       uint64
+	term            uint64
+	lastHeartbeatAt time.Duration
+
+	offers     map[string]bool
+	weight     float64
+	executions map[string]executionReport
+	quotas     map[string]quotaDemand
+	hints      []Hint
 
 	connections int
-	wakeUp      func() // sends the member a wake-up notification; nil: it cannot be sent one
+	wakeUp      func() // sends the member a wake-up notification; nil if that is impossible
 	wokenAt     time.Duration
 }
 
 const (
-	// forgetAfter is how long the leader knows a member that sends no heartbeats.
-	forgetAfter = 10 * time.Minute
+	// memberRetention is how long the leader keeps the record of a member that sends no heartbeats.
+	memberRetention = 10 * time.Minute
 
-	// readMarkInterval is how many entries a member reads before the log records how far it is.
+	// readMarkInterval is the number of log entries that a member reads between two records of its
+	// read position in the log.
 	readMarkInterval = 64
 
-	// maxOffers bounds the duties that one member may offer.
+	// maxOffers is the maximum number of duties that one member may offer.
 	maxOffers = 256
 )
 
-// resetMembers forgets all members. The lock is held.
+// resetMembers drops the records of all members. The caller must hold g.mu.
 func (g *Group) resetMembers() {
 	g.members = map[string]*memberState{}
 	g.presence = assignment.NewPresence(g.leaseFraction(absentFraction), g.leaseFraction(settleFraction))
 }
 
-// nameInUse reports whether another process of a member's name is connected. The lock is held.
+// nameInUse reports whether another process is connected under a member's name. The caller must hold
+// g.mu.
 func (g *Group) nameInUse(name string, process uint64, now time.Duration) bool {
 	member := g.members[name]
 	return member != nil && member.process != process && member.connections > 0 &&
-		now-member.lastHeard < g.leaseFraction(nameFraction)
+		now-member.lastHeartbeatAt < g.leaseFraction(nameReservationFraction)
 }
 
-// superviseLeadership runs while the log does: it watches who leads, and acts as the leader where
-// that is this member. It returns when ctx ends, the log has failed or this member shall vote no
-// more.
+// superviseLeadership runs as long as the log: it follows the elections, and performs the leader's
+// periodic work while this member leads. It returns when ctx ends, when the log has failed, or when
+// this member may no longer vote.
 func (g *Group) superviseLeadership(ctx context.Context, node *raftNode) error {
-	ticker := time.NewTicker(max(g.leaseFraction(checkFraction), time.Millisecond))
+	ticker := time.NewTicker(max(g.leaseFraction(leaseCheckFraction), time.Millisecond))
 	defer ticker.Stop()
-	unheard := g.otherVoters() // those that have not answered whether this is the last folder that this member had
+	unconfirmed := g.otherVoters() // not yet asked whether this member's folder is its latest one
 	peeked := g.clock()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case err := <-node.failed:
-			g.log.Error().Err(err).Msg("group: the disk has failed the log: this member votes no more for now")
+			g.log.Error().Err(err).Msg("group: a disk failure stopped the log: this member does not vote for now")
 			return fmt.Errorf("the log cannot be written: %w", err)
 		case <-ticker.C:
 		}
-		if now := g.clock(); len(unheard) > 0 && now-peeked > g.leaseFraction(latePeekInterval) {
+		if now := g.clock(); len(unconfirmed) > 0 && now-peeked > g.leaseFraction(latePeekIntervalFraction) {
 			peeked = now
-			heard := g.peekVoters(ctx, g.leaseFraction(latePeekFraction))
-			unheard = slices.DeleteFunc(unheard, func(name string) bool { _, ok := heard[name]; return ok })
+			answered := g.peekVoters(ctx, g.leaseFraction(latePeekTimeoutFraction))
+			unconfirmed = slices.DeleteFunc(unconfirmed, func(name string) bool { _, ok := answered[name]; return ok })
 		}
 		g.mu.Lock()
 		superseded, voter := g.superseded, g.folder.Voter
@@ -101,7 +103,8 @@
 	}
 }
 
-// updateLeadership follows the log's election, and reports whether this member leads.
+// updateLeadership follows the result of the log's elections, and reports whether this member leads.
+// A member that was elected first waits until it has applied all entries of earlier leaders.
 func (g *Group) updateLeadership(node *raftNode) bool {
 	leading := g.leads()
 	if !node.leads() {
@@ -109,7 +112,7 @@
 			g.mu.Lock()
 			g.leading = false
 			g.mu.Unlock()
-			g.log.Info().Msg("group: this member leads no more")
+			g.log.Info().Msg("group: this member is no longer the leader")
 		}
 		return false
 	}
@@ -123,29 +126,29 @@
 	g.leading, g.leaderSince = true, g.clock()
 	g.resetMembers()
 	g.mu.Unlock()
-	g.log.Info().Msg("group: this member leads")
+	g.log.Info().Msg("group: this member is the leader now")
 	g.requestHeartbeat()
 	return true
 }
 
-// leads reports whether this member leads.
+// leads reports whether this member is the leader.
 func (g *Group) leads() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.leading
 }
 
-// checkLeases expires the leases whose time is over, and wakes the members that have to release or
-// may take a duty.
+// checkLeases expires the leases that were not renewed in time, wakes the members that have to release
+// or may take a duty, and removes the preference for members that are absent.
 func (g *Group) checkLeases(node *raftNode) {
 	now := g.clock()
 	if !g.expireLeases(node, now) {
 		return
 	}
 	g.mu.Lock()
-	wake, absentPreferred := g.pendingMoves(now)
+	wakeUps, absentPreferred := g.pendingMoves(now)
 	g.mu.Unlock()
-	callAll(wake)
+	callAll(wakeUps)
 	for _, duty := range absentPreferred {
 		if _, err := node.propose(lease.Entry{Op: lease.Prefer, Name: duty}, g.entryTimeout()); err != nil {
 			return
@@ -153,13 +156,14 @@
 	}
 }
 
-// expireLeases expires the leases whose time is over, and forgets the members that are long absent.
-// It reports whether the log took the entry.
+// expireLeases expires the leases that were not renewed in time, and drops the records of members that
+// have been absent for memberRetention. It returns false if the log entry could not be written.
 func (g *Group) expireLeases(node *raftNode, now time.Duration) bool {
 	g.mu.Lock()
 	expired, _ := g.watch.Expired(now)
-	g.presence.Forget(now, forgetAfter)
-	maps.DeleteFunc(g.members, func(_ string, member *memberState) bool { return now-member.lastHeard > forgetAfter })
+	g.presence.Forget(now, memberRetention)
+	maps.DeleteFunc(g.members,
+		func(_ string, member *memberState) bool { return now-member.lastHeartbeatAt > memberRetention })
 	g.mu.Unlock()
 	if len(expired) == 0 {
 		return true
@@ -170,14 +174,14 @@
 	}
 	for _, ref := range result.Refs {
 		g.log.Warn().Str("duty", ref.Name).Uint64("epoch", ref.Epoch).
-			Msg("group: lease expired: its holder has not renewed it; others may hold it now")
+			Msg("group: lease expired: its holder did not renew it in time; others may hold it now")
 	}
 	return true
 }
 
-// pendingMoves lists the wake-ups of the members that have to release or may take a duty, and the
-// duties whose preferred member is absent. The lock is held.
-func (g *Group) pendingMoves(now time.Duration) (wake []func(), absentPreferred []string) {
+// pendingMoves returns the wake-ups for the members that have to release or may take a duty, and the
+// duties whose preferred member is absent. The caller must hold g.mu.
+func (g *Group) pendingMoves(now time.Duration) (wakeUps []func(), absentPreferred []string) {
 	for duty, assignee := range g.assignDuties(now) {
 		member := g.members[assignee]
 		if member == nil {
@@ -195,34 +199,35 @@
 		if holder != "" {
 			member = g.members[holder]
 		}
-		if member != nil && member.due(now, g.leaseFraction(moveWakeFraction)) {
-			wake = append(wake, member.wakeUp)
+		if member != nil && member.allowWakeUp(now, g.leaseFraction(releaseWakeFraction)) {
+			wakeUps = append(wakeUps, member.wakeUp)
 		}
 	}
-	return wake, absentPreferred
+	return wakeUps, absentPreferred
 }
 
-// wakeAssignees wakes at once the members that should hold a duty that is free.
+// wakeAssignees wakes the members that should hold a duty that is free.
 func (g *Group) wakeAssignees() {
 	now := g.clock()
-	var wake []func()
+	var wakeUps []func()
 	g.mu.Lock()
 	for duty, assignee := range g.assignDuties(now) {
 		held, member := g.table.Leases[duty], g.members[assignee]
 		if held != nil && held.Holder != "" {
 			continue
 		}
-		if member != nil && member.due(now, g.leaseFraction(freeWakeFraction)) {
-			wake = append(wake, member.wakeUp)
+		if member != nil && member.allowWakeUp(now, g.leaseFraction(grantWakeFraction)) {
+			wakeUps = append(wakeUps, member.wakeUp)
 		}
 	}
 	g.mu.Unlock()
-	callAll(wake)
+	callAll(wakeUps)
 }
 
-// due reports whether the member may be woken again, at most once in a gap, and records that it is.
-func (m *memberState) due(now, gap time.Duration) bool {
-	if m.wakeUp == nil || now-m.wokenAt <= gap {
+// allowWakeUp reports whether the member may be woken now, which it may at most once in minInterval.
+// If so, it records the wake-up.
+func (m *memberState) allowWakeUp(now, minInterval time.Duration) bool {
+	if m.wakeUp == nil || now-m.wokenAt <= minInterval {
 		return false
 	}
 	m.wokenAt = now
@@ -235,7 +240,7 @@
 	}
 }
 
-// ensureVoter makes a member that has a log a voter.
+// ensureVoter makes a member that has a log a voter, unless it is one already.
 func (g *Group) ensureVoter(node *raftNode, name string) {
 	future := node.raft.GetConfiguration()
 	if future.Error() != nil {
@@ -248,7 +253,8 @@
 	}
 	err := node.raft.AddVoter(raft.ServerID(name), raft.ServerAddress(name), 0, g.entryTimeout()).Error()
 	if err != nil {
-		g.log.Warn().Err(err).Str("member", name).Msg("group: member is not a voter yet: the log has not taken it")
+		g.log.Warn().Err(err).Str("member", name).
+			Msg("group: member is not a voter yet: the log entry could not be written")
 		return
 	}
 	g.log.Info().Str("member", name).Msg("group: member is a voter now")
--- a/internal/group/leave.go
+++ b/internal/group/leave.go
@@ -11,14 +11,15 @@
 )
 
 const (
-	// maxActWait bounds how long a member that leaves waits for its acts.
-	maxActWait = time.Second
+	// maxExecutionWait limits how long a leaving member waits for executions that are in progress.
+	maxExecutionWait = time.Second
 
-	// pollInterval is how often a condition is looked at that nothing signals.
+	// pollInterval is the interval at which conditions without a notification are polled.
 	pollInterval = 5 * time.Millisecond
 )
 
-// leave ends what is in progress, releases all duties and hands on the leadership, within a bound.
+// leave waits for executions in progress, releases all duties and transfers the leadership, all for a
+// limited time.
 func (g *Group) leave() {
 	g.mu.Lock()
 	g.leaving = true
@@ -30,8 +31,8 @@
 	node := g.node
 	g.mu.Unlock()
 	g.requestHeartbeat()
-	until := time.Now().Add(min(longest, maxActWait) + g.leaseFraction(leaveFraction))
-	for time.Now().Before(until) && !g.nothingHeld() {
+	deadline := time.Now().Add(min(longest, maxExecutionWait) + g.leaseFraction(leaveTimeoutFraction))
+	for time.Now().Before(deadline) && !g.allReleased() {
 		time.Sleep(pollInterval)
 	}
 	if node == nil || !node.leads() {
@@ -41,36 +42,36 @@
 	go func() { defer close(transferred); _ = node.raft.LeadershipTransfer().Error() }()
 	select {
 	case <-transferred:
-	case <-time.After(g.leaseFraction(leaveFraction)):
+	case <-time.After(g.leaseFraction(leaveTimeoutFraction)):
 	}
 }
 
-// releaseAll releases all duties without an act in progress. Quotas and restart slots are held on
-// to. The lock is held.
+// releaseAll releases all duties that are not being executed. Quotas and restart slots stay held. The
+// caller must hold g.mu.
 func (g *Group) releaseAll(reason string) {
 	for _, ref := range g.holder.Refs() {
-		if runner := g.runners[ref.Name]; runner != nil && !runner.acting {
+		if runner := g.runners[ref.Name]; runner != nil && !runner.executing {
 			g.release(ref, reason)
 		}
 	}
 }
 
-// release stops counting on a lease and lets the leader know with the next heartbeat. The lock is
-// held.
+// release stops using a lease, and has the next heartbeat notify the leader. The caller must hold g.mu.
 func (g *Group) release(ref lease.Ref, reason string) {
 	g.holder.Lost(ref.Name, ref.Epoch)
 	g.released[ref.Name] = ref
 	g.counters.lost++
 	g.log.Info().Str("duty", ref.Name).Uint64("epoch", ref.Epoch).Str("reason", reason).
-		Msg("group: duty released: others may hold it once the leader hears of it")
+		Msg("group: duty released: others may hold it once the leader is notified")
 }
 
-// nothingHeld reports whether no duty is held, no act is in progress and no release is to be sent.
-func (g *Group) nothingHeld() bool {
+// allReleased reports whether this member holds no duty, executes none, and has no release left to
+// send.
+func (g *Group) allReleased() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, runner := range g.runners {
-		if runner.acting {
+		if runner.executing {
 			return false
 		}
 	}
@@ -78,7 +79,7 @@
 		func(ref lease.Ref) bool { return g.runners[ref.Name] != nil })
 }
 
-// Join makes this member, which has left, a voter again: the group admits it with an empty log.
+// Join makes this member a voter again after Leave: the group admits it with an empty log.
 func (g *Group) Join() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -99,8 +100,8 @@
 	return nil
 }
 
-// Leave ends this member's vote; it goes on sending heartbeats. Where it leads it hands that on
-// first.
+// Leave removes this member from the voters; it still sends heartbeats. A leader transfers the
+// leadership first.
 func (g *Group) Leave(ctx context.Context) (err error) {
 	g.mu.Lock()
 	node, stored := g.node, g.folder
@@ -108,11 +109,11 @@
 		g.mu.Unlock()
 		return errNotVoter
 	}
-	g.givingUpVote = true
+	g.resigning = true
 	g.mu.Unlock()
 	defer func() {
 		g.mu.Lock()
-		g.givingUpVote = false
+		g.resigning = false
 		g.mu.Unlock()
 	}()
 	if node.leads() {
--- a/internal/group/log_keeper.go
+++ b/internal/group/log_keeper.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// retryDelay is how long a member waits before it tries again what failed: its folder, its
-	// port, its log.
+	// retryDelay is how long a member waits before it retries to open its folder, its port or its
+	// log.
 	retryDelay = 300 * time.Millisecond
 
-	// maxRetryDelays bounds how far the delay grows while the log fails again and again.
+	// maxRetryDelays limits the delay while the log fails repeatedly, in multiples of retryDelay.
 	maxRetryDelays = 8
 )
 
-// keepLog has a log run while this member votes, until ctx ends. A failure is shown and tried
-// again: the sender goes on delivering.
-func (g *Group) keepLog(ctx context.Context, stored *folder) {
+// maintainLog runs the log while this member is a voter, until ctx ends. A failure is recorded as the
+// reason for which this member is inactive, and retried: delivery continues in the meantime.
+func (g *Group) maintainLog(ctx context.Context, stored *folder) {
 	delay := retryDelay
 	for ctx.Err() == nil {
 		if !g.isVoter() {
@@ -45,8 +45,8 @@
 	}
 }
 
-// waitAsNonVoter waits a while. A member that does not vote and whose folder is an older state goes
-// on with a later incarnation; it has nothing else to lose.
+// waitAsNonVoter waits for one poll interval. A non-voter whose folder is an older state only has to
+// continue with a later incarnation: it has no log and no votes that could be outdated.
 func (g *Group) waitAsNonVoter(ctx context.Context, stored *folder) bool {
 	g.mu.Lock()
 	superseded, known := g.superseded, g.supersededBy
@@ -56,10 +56,10 @@
 			g.setInactive(err.Error())
 		}
 	}
-	return sleep(ctx, g.leaseFraction(nonVoterFraction))
+	return sleep(ctx, g.leaseFraction(nonVoterPollFraction))
 }
 
-// raiseIncarnation goes on with a later incarnation, which is stored before it is used.
+// raiseIncarnation continues with a later incarnation, which it stores before using it.
 func (g *Group) raiseIncarnation(stored *folder, incarnation uint64) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// isVoter reports whether this member has, or is to have, a log.
+// isVoter reports whether this member has, or is to get, a log and a vote.
 func (g *Group) isVoter() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -87,7 +87,8 @@
 	g.mu.Unlock()
 }
 
-// runLog runs the log once: from what lies in the folder until ctx ends or it fails.
+// runLog opens the log in the folder, or obtains a new one, and runs it until ctx ends, it fails, or
+// this member may no longer vote.
 func (g *Group) runLog(ctx context.Context, stored *folder) error {
 	bolt, err := g.openLog(stored)
 	if err != nil {
@@ -119,27 +120,26 @@
 	return g.superviseLeadership(ctx, node)
 }
 
-// openLog opens the log's file. One that is torn is removed: the group has to admit this member
-// again.
+// openLog opens the log file. A corrupt file is removed: the group then has to readmit this member.
 func (g *Group) openLog(stored *folder) (*raftboltdb.BoltStore, error) {
 	bolt, err := openBolt(stored.dir)
-	if err == nil || !isTorn(err) {
+	if err == nil || !isCorrupt(err) {
 		return bolt, err
 	}
 	g.log.Error().Err(err).Str("folder", stored.dir).
-		Msg("group: the log's file is torn: it is removed, and this member asks to be admitted again")
+		Msg("group: the log file is corrupt: it is removed, and this member requests to be readmitted")
 	if err := stored.removeLog(); err != nil {
 		return nil, err
 	}
-	stored.Started = true // there was a log: this folder is past its first start
+	stored.Started = true // there was a log: the first start is complete
 	if err := stored.save(); err != nil {
 		return nil, err
 	}
 	return openBolt(stored.dir)
 }
 
-// prepareLog returns the log that this member may vote with: the one that was opened where it is
-// the last one that this member had, else a new one.
+// prepareLog returns the log with which this member may vote: the opened one if it is not empty and is
+// this member's latest one as far as the other voters report, else a new one.
 func (g *Group) prepareLog(
 	ctx context.Context, stored *folder, bolt *raftboltdb.BoltStore, position logPosition,
 ) (*raftboltdb.BoltStore, error) {
@@ -150,7 +150,7 @@
 	}
 	g.mu.Unlock()
 	if position.Exists {
-		g.peekVoters(ctx, g.leaseFraction(peekFraction)) // is this the folder that this member had last?
+		g.peekVoters(ctx, g.leaseFraction(peekTimeoutFraction)) // detects a folder that is not the latest one
 	}
 	g.mu.Lock()
 	superseded := g.superseded
--- a/internal/group/log_store.go
+++ b/internal/group/log_store.go
@@ -14,30 +14,30 @@
 	"go.etcd.io/bbolt"
 )
 
-// DiskMB is what a group's folder takes at most, about, in 1,048,576 bytes: the log's file does not
-// shrink, and there are two snapshots.
+// DiskMB is the approximate maximum size of a group's folder in MiB: the log file, which does not
+// shrink, and two snapshots.
 const DiskMB = 2.0
 
 const (
-	// keptSnapshots is how many snapshots stay in the folder.
+	// keptSnapshots is the number of snapshots that are kept in the folder.
 	keptSnapshots = 2
 
-	// openTimeout is how long a member waits for the lock of the log's file.
+	// openTimeout is how long a member waits for the lock on the log file.
 	openTimeout = time.Second
 )
 
-// The keys of the raft library's votes in its stable store.
+// The keys under which the raft library stores its term and its last vote.
 var (
 	keyTerm     = []byte("CurrentTerm")
 	keyVoteTerm = []byte("LastVoteTerm")
 	keyVoteFor  = []byte("LastVoteCand")
 )
 
-// raftDir is where the log lies in a group's folder.
+// raftDir returns the directory of the log in a group's folder.
 func raftDir(dir string) string { return filepath.Join(dir, "raft") }
 
-// openBolt opens the file of the log and checks that it is whole; a logFileError tells that it is
-// not.
+// openBolt checks the log file, creating it if it is missing, and opens it. A failed check is returned
+// as a logFileError.
 func openBolt(dir string) (store *raftboltdb.BoltStore, err error) {
 	if err := os.MkdirAll(raftDir(dir), 0o700); err != nil {
 		return nil, fmt.Errorf("group: %w", err)
@@ -53,7 +53,7 @@
 	return store, err
 }
 
-// checkBolt reads the whole file of the log.
+// checkBolt checks the consistency of the whole log file.
 func checkBolt(path string) error {
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: openTimeout})
 	if err != nil {
@@ -61,7 +61,7 @@
 	}
 	err = db.View(func(tx *bbolt.Tx) error {
 		var faults error
-		for fault := range tx.Check() { // to its end: the channel has a goroutine behind it
+		for fault := range tx.Check() { // read to the end: the goroutine that sends would leak otherwise
 			faults = errors.Join(faults, fault)
 		}
 		return faults
@@ -69,16 +69,17 @@
 	return errors.Join(err, db.Close())
 }
 
-// isTorn reports whether opening the log failed because its file is damaged, and not because of the
-// disk.
-func isTorn(err error) bool {
+// isCorrupt reports whether opening the log failed because its file is damaged, and not because of
+// missing permissions, a full disk or a file in use.
+func isCorrupt(err error) bool {
 	var file *logFileError
-	var torn *tornFileError
-	return (errors.As(err, &file) || errors.As(err, &torn)) && !errors.Is(err, os.ErrPermission) && !isDiskError(err)
+	var corrupt *corruptFileError
+	return (errors.As(err, &file) || errors.As(err, &corrupt)) && !errors.Is(err, os.ErrPermission) && !isDiskError(err)
 }
 
-// isDiskError reports whether an error tells of a disk without room or a file in use, which says
-// nothing of what the file holds. The store's errors have no types for all of these.
+// isDiskError reports whether an error means a full disk or a file in use, neither of which implies
+// that the file is damaged. It compares texts since the store does not have error types for all of
+// them.
 func isDiskError(err error) bool {
 	text := err.Error()
 	for _, part := range []string{"no space left", "file too large", "quota", "timeout"} {
@@ -89,6 +90,7 @@
 	return false
 }
 
+// openSnapshots opens the snapshots in a group's folder.
 func openSnapshots(dir string, log hclog.Logger) (*raft.FileSnapshotStore, error) {
 	store, err := raft.NewFileSnapshotStoreWithLogger(raftDir(dir), keptSnapshots, log)
 	if err != nil {
@@ -97,7 +99,7 @@
 	return store, nil
 }
 
-// readLogPosition reads how far a log is, and whether there is one.
+// readLogPosition reads the last index and the term of a log, and whether there is a log at all.
 func readLogPosition(store *raftboltdb.BoltStore, dir string) (position logPosition, err error) {
 	err = withoutPanic(func() (err error) {
 		if position.Index, err = store.LastIndex(); err != nil {
@@ -107,7 +109,7 @@
 		if errors.Is(err, raftboltdb.ErrKeyNotFound) {
 			err = nil
 		}
-		if err == nil { // what a snapshot replaced may not be in the log any more
+		if err == nil { // entries that a snapshot covers may have been removed from the log
 			err = position.includeSnapshot(dir)
 		}
 		position.Exists = position.Index > 0 || position.Term > 0
@@ -116,7 +118,7 @@
 	return position, err
 }
 
-// includeSnapshot raises the index to that of the last snapshot.
+// includeSnapshot raises the index to that of the latest snapshot if that is higher.
 func (p *logPosition) includeSnapshot(dir string) error {
 	snapshots, err := openSnapshots(dir, hclog.NewNullLogger())
 	if err != nil {
--- a/internal/group/member.go
+++ b/internal/group/member.go
@@ -10,16 +10,17 @@
 	"brackendale/internal/lease"
 )
 
-// heartbeatSender sends this member's heartbeats. It belongs to the goroutine of runHeartbeats.
+// heartbeatSender sends this member's heartbeats. Only the goroutine of runHeartbeats uses it.
 type heartbeatSender struct {
 	group    *Group
-	link     *heartbeatLink // to the member that was sent one last; nil: none, or this member itself
+	link     *heartbeatLink // to the target of the last heartbeat; nil if there is none, or it is this member
 	sequence uint64
-	leader   string // who leads, by the last reply; empty: not known
-	attempt  int    // counts the members that did not know who leads
+	leader   string // the leader, by the last reply; empty if unknown
+	attempt  int    // the number of failed heartbeats that did not lead to another leader: selects the next target
 }
 
-// runHeartbeats sends heartbeats to the leader, and looks for one where the last does not reply.
+// runHeartbeats sends heartbeats to the leader until ctx ends. If the leader does not reply, it tries
+// other members.
 func (g *Group) runHeartbeats(ctx context.Context) {
 	sender := &heartbeatSender{group: g}
 	defer func() { sender.link.close() }()
@@ -31,45 +32,45 @@
 		case <-time.After(time.Until(next)):
 		case <-g.heartbeatNow:
 		}
-		next = time.Now().Add(g.leaseFraction(heartbeatFraction))
-		to := g.heartbeatTarget(sender.leader, sender.attempt)
-		if to == "" {
+		next = time.Now().Add(g.leaseFraction(heartbeatIntervalFraction))
+		target := g.heartbeatTarget(sender.leader, sender.attempt)
+		if target == "" {
 			continue
 		}
 		sender.sequence++
-		requested := g.clock()
+		sentAt := g.clock()
 		request := g.buildHeartbeat(sender.sequence)
-		reply, err := sender.send(ctx, to, request)
+		reply, err := sender.send(ctx, target, request)
 		if err == nil {
-			sender.leader = to
-			g.handleReply(requested, request, reply)
+			sender.leader = target
+			g.handleReply(sentAt, request, reply)
 			continue
 		}
 		g.handleFailure(err)
-		sender.followHint(to, reply)
-		next = time.Now().Add(g.leaseFraction(retryFraction)) // another member is tried soon
+		sender.followRedirect(target, reply)
+		next = time.Now().Add(g.leaseFraction(retryDelayFraction)) // usually with another target
 	}
 }
 
-// send sends one heartbeat, to this member itself without a connection.
-func (s *heartbeatSender) send(ctx context.Context, to string, request heartbeat) (heartbeatReply, error) {
-	if to == s.group.opt.Name {
+// send sends one heartbeat to a member. One to this member itself needs no connection.
+func (s *heartbeatSender) send(ctx context.Context, target string, request heartbeat) (heartbeatReply, error) {
+	if target == s.group.opt.Name {
 		s.link.close()
 		s.link = nil
-		return s.group.answerOwnHeartbeat(request)
+		return s.group.handleOwnHeartbeat(request)
 	}
-	if s.link == nil || s.link.to != to {
+	if s.link == nil || s.link.target != target {
 		s.link.close()
 		s.link = nil
-		link, err := s.group.dialLeader(to)
+		link, err := s.group.dialLeader(target)
 		if err != nil {
 			return heartbeatReply{}, err
 		}
 		s.link = link
 	}
 	leader, attempt := s.leader, s.attempt
-	reply, err := s.link.exchange(request, s.group.leaseFraction(replyFraction), func() bool {
-		return ctx.Err() != nil || s.group.heartbeatTarget(leader, attempt) != to
+	reply, err := s.link.exchange(request, s.group.leaseFraction(replyTimeoutFraction), func() bool {
+		return ctx.Err() != nil || s.group.heartbeatTarget(leader, attempt) != target
 	})
 	if err != nil {
 		s.link.close()
@@ -77,15 +78,15 @@
 		return reply, err
 	}
 	if reply.Error != "" {
-		return reply, &remoteError{member: to, reason: reply.Error}
+		return reply, &remoteError{member: target, reason: reply.Error}
 	}
 	return reply, nil
 }
 
-// answerOwnHeartbeat answers a heartbeat of this member, which leads.
-func (g *Group) answerOwnHeartbeat(request heartbeat) (heartbeatReply, error) {
+// handleOwnHeartbeat handles a heartbeat of this member while it leads.
+func (g *Group) handleOwnHeartbeat(request heartbeat) (heartbeatReply, error) {
 	self := helloMessage{From: g.opt.Name, Incarnation: g.currentIncarnation(), Process: g.process}
-	reply := g.answerHeartbeat(self, request, func(member *memberState) {
+	reply := g.handleHeartbeat(self, request, func(member *memberState) {
 		member.wakeUp, member.connections = g.requestHeartbeat, 1
 	})
 	if reply.Error != "" {
@@ -94,9 +95,9 @@
 	return reply, nil
 }
 
-// followHint takes over who leads by a reply that says that its sender does not.
-func (s *heartbeatSender) followHint(to string, reply heartbeatReply) {
-	if reply.Leader == "" || reply.Leader == to {
+// followRedirect records the leader that is named in a reply of a member that does not lead.
+func (s *heartbeatSender) followRedirect(target string, reply heartbeatReply) {
+	if reply.Leader == "" || reply.Leader == target {
 		s.leader = ""
 		s.attempt++
 		return
@@ -110,9 +111,10 @@
 	}
 }
 
-// heartbeatTarget is who leads, by this member's log, or by what another member said (hint); else
-// one member after another.
-func (g *Group) heartbeatTarget(hint string, attempt int) string {
+// heartbeatTarget returns the member to send the next heartbeat to: the leader by this member's log,
+// else the leader that another member reported, else each known member in turn. It returns "" if
+// there is none.
+func (g *Group) heartbeatTarget(reported string, attempt int) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.leading {
@@ -123,41 +125,41 @@
 			return string(id)
 		}
 		if g.node.leads() {
-			return "" // this member is about to lead
+			return "" // this member has been elected, and will lead soon
 		}
 	}
-	if hint != "" && hint != g.opt.Name {
-		return hint
+	if reported != "" && reported != g.opt.Name {
+		return reported
 	}
-	known := g.otherVoters()
+	candidates := g.otherVoters()
 	for name := range g.lastView.Addresses {
-		if name != g.opt.Name && !slices.Contains(known, name) {
-			known = append(known, name)
+		if name != g.opt.Name && !slices.Contains(candidates, name) {
+			candidates = append(candidates, name)
 		}
 	}
-	slices.Sort(known)
-	if len(known) == 0 {
+	slices.Sort(candidates)
+	if len(candidates) == 0 {
 		return ""
 	}
-	return known[attempt%len(known)]
+	return candidates[attempt%len(candidates)]
 }
 
-// buildHeartbeat is what this member reports now.
+// buildHeartbeat returns a heartbeat with the current state of this member.
 func (g *Group) buildHeartbeat(sequence uint64) heartbeat {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.clock()
 	request := heartbeat{
-		Sequence: sequence,
-		Address:  g.opt.Listen,
-		Weight:   g.opt.Weight,
-		Ready:    g.opt.Ready(),
-		Acts:     map[string]actReport{},
-		Quotas:   g.quotaDemands(),
-		Hints:    g.hints.current(g.clock()),
-		Command:  g.pendingCommand,
-		WantView: g.pendingCommand != nil || now-g.lastView.receivedAt > g.leaseFraction(viewAgeFraction) ||
-			now-g.lastView.wantedAt < g.leaseFraction(viewInterestFraction),
+		Sequence:   sequence,
+		Address:    g.opt.Listen,
+		Weight:     g.opt.Weight,
+		Ready:      g.opt.Ready(),
+		Executions: map[string]executionReport{},
+		Quotas:     g.quotaDemands(),
+		Hints:      g.hints.current(g.clock()),
+		Command:    g.pendingCommand,
+		WantView: g.pendingCommand != nil || now-g.lastView.receivedAt > g.leaseFraction(maxViewAgeFraction) ||
+			now-g.lastView.requestedAt < g.leaseFraction(viewInterestFraction),
 	}
 	if !g.leaving {
 		request.Offers = slices.Sorted(maps.Keys(g.runners))
@@ -172,19 +174,19 @@
 		if runner.claimed {
 			request.Claims = append(request.Claims, name)
 		}
-		if runner.acts > 0 || runner.lastError != "" {
-			request.Acts[name] = actReport{Number: runner.acts, Error: runner.lastError}
+		if runner.executions > 0 || runner.lastError != "" {
+			request.Executions[name] = executionReport{Number: runner.executions, Error: runner.lastError}
 		}
 	}
 	if g.node != nil {
-		request.Voter = !g.givingUpVote
+		request.Voter = !g.resigning
 		request.ReadIndex, request.Term = g.node.raft.CommitIndex(), g.node.raft.CurrentTerm()
 	}
 	return request
 }
 
-// requestHeartbeat lets the member send a heartbeat now. It does not block; any goroutine may call
-// it.
+// requestHeartbeat makes this member send a heartbeat now. It does not block, and any goroutine may
+// call it.
 func (g *Group) requestHeartbeat() {
 	select {
 	case g.heartbeatNow <- struct{}{}:
@@ -192,8 +194,8 @@
 	}
 }
 
-// Claim sets the duties that this member asks for beside those of its file: leases without acts,
-// which it holds for as long as it claims them.
+// Claim sets the leases that this member requests in addition to the duties of its settings. Nothing
+// is executed under them; the member may hold them as long as it claims them.
 func (g *Group) Claim(names []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/group/options.go
+++ b/internal/group/options.go
@@ -9,73 +9,75 @@
 	"github.com/rs/zerolog"
 )
 
-// Options is what a member is made of.
+// Options configure a member.
 type Options struct {
 	Name   string            // unique in the group
-	Listen string            // its address of the group
-	Voters map[string]string // who votes at the first start, and where this member reaches them
-	Dir    string            // the folder of this package alone, which lasts
+	Listen string            // the address on which this member listens for other members
+	Voters map[string]string // the voters of the first start, with the addresses at which this member reaches them
+	Dir    string            // the persistent folder of this package; nothing else may be stored in it
 	Terms  lease.Terms
-	Weight float64 // how much it should hold beside the others; 0 counts as 1
+	Weight float64 // the share of duties that it should hold, relative to the other members; 0 counts as 1
 
 	Duties   []Duty
 	Limits   []Limit
 	Rollouts []Rollout
 
-	// Notes are duties of the file that are no lease of that name, and what is shown of them.
+	// Notes has a text for each duty of the settings for which there is no lease of the same name. The
+	// text is shown in place of the state of the lease.
 	Notes map[string]string
 
-	// OnHints gets what the others reported with each reply of the leader: hints, and who holds
-	// what this member claims (by name; it may be this one), until when that counts by the group's
-	// clock. It must not wait. nil: nobody listens.
-	OnHints func(hints []Hint, held map[string]string, until time.Duration)
+	// OnHints, if set, is called for each reply of the leader with the hints of the other members, the
+	// holders of the leases that this member claims (by lease; it may be this member), and the time on
+	// the group's clock until which these holders are valid. It must not block.
+	OnHints func(hints []Hint, holders map[string]string, until time.Duration)
 
-	// OnSuperseded is called when others have seen a later incarnation of this member than its
-	// folder knows: the folder is an older state. It is called under the group's lock and must not
-	// wait. Until booked has been called, on any goroutine but the caller's, the member takes no
-	// later number: an incarnation that follows on a kill would not hear of it. nil: nobody
-	// listens.
-	OnSuperseded func(incarnation uint64, booked func())
+	// OnSuperseded, if set, is called when another member has recorded a later incarnation of this
+	// member than its folder has: the folder is an older state. It is called with the group's lock held
+	// and must not block. This member does not continue with a later incarnation until recorded has
+	// been called, on a goroutine other than the caller's: otherwise, if the process were killed
+	// first, its next incarnation would not detect that the folder was an older state.
+	OnSuperseded func(incarnation uint64, recorded func())
 
-	Ready func() bool // whether this sender serves; nil: it does
+	Ready func() bool // reports whether this sender accepts messages; nil means that it always does
 	Log   zerolog.Logger
-	Clock func() time.Duration // steady, and going on while the machine is suspended; nil: Boottime
+	Clock func() time.Duration // monotonic, also while the machine is suspended; nil means Boottime
 
-	store func(logStore) logStore // for tests: puts faults into the disk
+	store func(logStore) logStore // for tests: wraps the store of the log to inject disk faults
 }
 
-// Duty is one that this member may hold.
+// Duty is a periodic task that one member of the group at a time executes. This member may hold it.
 type Duty struct {
 	Name       string
-	Every      time.Duration // between the starts of two acts
-	Longest    time.Duration // that an act may take
-	RoundRobin bool          // it goes on to the next member after each act
+	Every      time.Duration // between the starts of two executions
+	Longest    time.Duration // that an execution may take
+	RoundRobin bool          // the duty moves on to the next member after each execution
 	Do         func(ctx context.Context, act Act) error
 }
 
-// Act is one act of a duty. Its context ends when it has taken its longest time.
+// Act is one execution of a duty. Its context ends after Duty.Longest.
 type Act struct {
 	Duty   string
 	Member string
 	Epoch  uint64
-	Number uint64 // counted from 1 in each epoch
+	Number uint64 // counts the executions of each epoch from 1
 }
 
-// Limit is one that all members of the group use together. Amounts are whole: a thousandth of a
-// call a second, say.
+// Limit is a rate limit that all members of the group share. Amounts are integers in a unit that the
+// user of this package chooses, such as thousandths of a request per second.
 type Limit struct {
 	Name   string
-	Rate   int64        // of all together
-	Demand func() int64 // what this member would use just now; it must not wait
+	Rate   int64        // of all members together
+	Demand func() int64 // returns the amount that this member would use now; it must not block
 
-	// Apply gets this member's quota, until when it counts on it (by the group's clock), and the
-	// even part, which is all that it may use from then on. It must not wait.
+	// Apply is called with this member's quota, the time on the group's clock until which the quota is
+	// valid, and the even share, which is all that this member may use after that time. It must not
+	// block.
 	Apply func(amount int64, until time.Duration, even int64)
 }
 
-// Rollout is the right to be away for a restart.
+// Rollout limits how many members may restart at the same time.
 type Rollout struct {
 	Name        string
-	AtOnce      int           // members that may be away
-	MaxDowntime time.Duration // that one may be away, before another may in any case
+	AtOnce      int           // members that may restart at the same time
+	MaxDowntime time.Duration // after which another member may restart even if the first is not back
 }
--- a/internal/group/quotas.go
+++ b/internal/group/quotas.go
@@ -14,10 +14,10 @@
 	"brackendale/internal/lease"
 )
 
-// quotaHysteresis is the part of a limit by which a quota has to change for it to be moved.
+// quotaHysteresis is the minimum change of a quota, as a fraction of the limit.
 const quotaHysteresis = 0.02
 
-// quotaDemands is what this member demands of its limits. The lock is held.
+// quotaDemands returns this member's demand on its limits. The caller must hold g.mu.
 func (g *Group) quotaDemands() map[string]quotaDemand {
 	if len(g.opt.Limits) == 0 {
 		return nil
@@ -30,18 +30,18 @@
 	return demands
 }
 
-// assignQuotas moves the sender's quotas towards what they should be, and renews them. A quota goes
-// down only once its holder has said that it uses less, and up only as far as the others have gone
-// down: so at no instant is the sum of what members count on over the limit.
+// assignQuotas moves the sender's quotas towards their target amounts, and renews them. A quota is
+// lowered only once its holder has reported that it uses less, and raised only by the amount by which
+// the others were lowered: so the sum of the quotas in use never exceeds the limit.
 func (h *heartbeatHandler) assignQuotas() error {
 	for _, name := range slices.Sorted(maps.Keys(h.request.Quotas)) {
 		own := h.request.Quotas[name]
 		h.group.mu.Lock()
-		limit, demands := h.group.demandsOn(name, own.Limit)
-		newLeader := h.group.clock()-h.group.leaderSince < h.group.leaseFraction(hearFraction)
+		limit, demands := h.group.collectDemands(name, own.Limit)
+		newLeader := h.group.clock()-h.group.leaderSince < h.group.leaseFraction(grantDelayFraction)
 		h.group.mu.Unlock()
 		quota := own.Using
-		if !newLeader { // else not all members have sent it their demand yet
+		if !newLeader { // a new leader may not have received the demand of all members yet
 			quota = targetQuota(own, limit, assignment.DivideLimit(limit, demands)[h.sender.From])
 		}
 		result, err := h.propose(lease.Entry{
@@ -59,9 +59,10 @@
 	return nil
 }
 
-// demandsOn is what the members demand of a limit, and the lowest value of it that one of them has
-// in its file: a file that was changed may not have reached all. The lock is held.
-func (g *Group) demandsOn(name string, limit int64) (lowest int64, demands map[string]int64) {
+// collectDemands returns the members' demand on a limit, and the lowest value of the limit in the
+// settings of any of them: changed settings may not have reached all members yet. The caller must
+// hold g.mu.
+func (g *Group) collectDemands(name string, limit int64) (lowest int64, demands map[string]int64) {
 	lowest, demands = limit, map[string]int64{}
 	for _, member := range g.presence.All(g.clock()) {
 		state := g.members[member]
@@ -76,24 +77,24 @@
 	return lowest, demands
 }
 
-// targetQuota is what a member should use: its part, or what it uses already where the change is
-// small.
-func targetQuota(own quotaDemand, limit, part int64) int64 {
-	change := max(part-own.Using, own.Using-part)
+// targetQuota returns the amount that a member should use: its share, or the amount that it uses
+// already if the difference is small.
+func targetQuota(own quotaDemand, limit, share int64) int64 {
+	change := max(share-own.Using, own.Using-share)
 	if change < int64(quotaHysteresis*float64(limit)) && own.Using <= limit {
 		return own.Using
 	}
-	return part
+	return share
 }
 
-// applyQuota records a quota that was granted or renewed, and returns the call that tells its user,
-// which must be made without the lock. The lock is held.
-func (g *Group) applyQuota(limit string, ref lease.Ref, requested time.Duration, reply heartbeatReply) func() {
+// applyQuota records a quota that was granted or renewed, and returns a function that passes it to
+// Limit.Apply. The caller must hold g.mu, and must release it before it calls that function.
+func (g *Group) applyQuota(limit string, ref lease.Ref, sentAt time.Duration, reply heartbeatReply) func() {
 	if _, ok := g.holder.Get(ref.Name, g.clock()); !ok {
 		g.log.Info().Str("quota", ref.Name).Uint64("epoch", ref.Epoch).Int64("amount", ref.Amount).
-			Msg("group: quota taken: the leader has granted it")
+			Msg("group: quota acquired: the leader has granted it")
 	}
-	g.holder.QuotaGranted(ref.Name, ref.Epoch, ref.Amount, requested)
+	g.holder.QuotaGranted(ref.Name, ref.Epoch, ref.Amount, sentAt)
 	if lower, ok := reply.LowerQuotas[limit]; ok {
 		g.holder.LowerQuota(ref.Name, lower)
 	}
@@ -106,9 +107,9 @@
 	return func() {}
 }
 
-// applyEvenQuotas lets the even part of each limit count until the leader's first reply: an
-// incarnation that is one of many that start at once must not send what it likes until then. How
-// many share the limit, this member knows from its last incarnation.
+// applyEvenQuotas limits this member to the even share of each limit until the leader's first reply.
+// Without that, many members that start at the same time would exceed the limit until then. The
+// number of members that share the limit comes from this member's last incarnation.
 func (g *Group) applyEvenQuotas() {
 	g.mu.Lock()
 	members := int64(max(1, g.quotaMembers))
@@ -118,8 +119,8 @@
 	}
 }
 
-// storeQuotaMembers keeps how many members use the limits for the next incarnation, where that has
-// changed by a tenth or more. It may write a file.
+// storeQuotaMembers stores the number of members that use the limits for the next incarnation, if it
+// has changed by a tenth or more since it was last stored.
 func (g *Group) storeQuotaMembers() {
 	g.mu.Lock()
 	members, stored := g.quotaMembers, g.storedQuotaMembers
@@ -133,11 +134,11 @@
 	g.mu.Unlock()
 }
 
-// quotaMembersFile holds how many members used the limits when that was last stored: knowledge, and
-// no part of what a member promises.
+// quotaMembersFile is the file with the last stored number of members that use the limits. It is only
+// an estimate: losing it violates no guarantee.
 const quotaMembersFile = "crowd"
 
-// readQuotaMembers is 0 where nothing was stored.
+// readQuotaMembers returns the stored number of members that use the limits, or 0 if there is none.
 func readQuotaMembers(dir string) int {
 	raw, err := os.ReadFile(filepath.Join(dir, quotaMembersFile))
 	if err != nil {
@@ -150,10 +151,11 @@
 	return members
 }
 
+// writeQuotaMembers stores the number of members that use the limits.
 func writeQuotaMembers(dir string, members int) error {
-	next := filepath.Join(dir, quotaMembersFile+".new")
-	if err := os.WriteFile(next, []byte(strconv.Itoa(members)+"\n"), 0o600); err != nil {
+	newPath := filepath.Join(dir, quotaMembersFile+".new")
+	if err := os.WriteFile(newPath, []byte(strconv.Itoa(members)+"\n"), 0o600); err != nil {
 		return fmt.Errorf("group: %w", err)
 	}
-	return os.Rename(next, filepath.Join(dir, quotaMembersFile))
+	return os.Rename(newPath, filepath.Join(dir, quotaMembersFile))
 }
--- a/internal/group/raft_node.go
+++ b/internal/group/raft_node.go
@@ -11,46 +11,48 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 )
 
-// The log is short: a snapshot of the table replaces it.
+// The log is kept short: a snapshot of the table replaces old entries.
 const (
-	// snapshotThreshold is how many entries there are before a snapshot.
+	// snapshotThreshold is the number of new entries after which a snapshot is due.
 	snapshotThreshold = 512
 
-	// trailingEntries stay behind a snapshot, for voters that are a little late.
+	// trailingEntries is the number of entries that are kept before a snapshot, so that voters that lag
+	// a little need not load the snapshot.
 	trailingEntries = 128
 
-	// snapshotInterval is how often the library looks whether a snapshot is due.
+	// snapshotInterval is how often the library checks whether a snapshot is due.
 	snapshotInterval = 10 * time.Second
 
-	// maxPooledConns is how many connections to each voter are kept.
+	// maxPooledConns is the maximum number of idle connections to each voter.
 	maxPooledConns = 2
 
-	// acceptBacklog is how many of the library's connections may wait for it.
+	// acceptBacklog is the number of connections that may be queued until the library accepts them.
 	acceptBacklog = 8
 
-	// minTransportTimeout bounds the library's I/O timeout from below.
+	// minTransportTimeout is the lower bound of the library's I/O timeout.
 	minTransportTimeout = 500 * time.Millisecond
 )
 
-// raftNode is the log while it runs.
+// raftNode is a running replica of the log.
 type raftNode struct {
 	raft      *raft.Raft
 	stream    *streamLayer
 	transport *raft.NetworkTransport
 	bolt      *raftboltdb.BoltStore
-	failed    chan error // the disk has failed the log; it runs no more
+	failed    chan error // receives the disk failure that stopped the log; its buffer is 1
 }
 
-// leads reports whether the library has elected this member.
+// leads reports whether this member is the elected leader of the raft library.
 func (n *raftNode) leads() bool { return n.raft.State() == raft.Leader }
 
+// raftConfig returns the configuration of the raft library.
 func (g *Group) raftConfig() *raft.Config {
 	config := raft.DefaultConfig()
 	config.LocalID = raft.ServerID(g.opt.Name)
-	config.HeartbeatTimeout = g.leaseFraction(electionFraction)
-	config.ElectionTimeout = g.leaseFraction(electionFraction)
-	config.LeaderLeaseTimeout = g.leaseFraction(stepDownFraction)
-	config.CommitTimeout = max(g.leaseFraction(commitFraction), time.Millisecond)
+	config.HeartbeatTimeout = g.leaseFraction(electionTimeoutFraction)
+	config.ElectionTimeout = g.leaseFraction(electionTimeoutFraction)
+	config.LeaderLeaseTimeout = g.leaseFraction(stepDownTimeoutFraction)
+	config.CommitTimeout = max(g.leaseFraction(commitTimeoutFraction), time.Millisecond)
 	config.SnapshotThreshold = snapshotThreshold
 	config.TrailingLogs = trailingEntries
 	config.SnapshotInterval = snapshotInterval
@@ -58,7 +60,7 @@
 	return config
 }
 
-// startNode starts the log from what lies in the folder. It must hold one.
+// startNode starts the log from the folder, which must contain one.
 func (g *Group) startNode(bolt *raftboltdb.BoltStore, dir string) (*raftNode, error) {
 	node := &raftNode{
 		bolt:   bolt,
@@ -94,7 +96,7 @@
 	return nil, err
 }
 
-// fail reports that the disk has failed the log. Only the first report counts.
+// fail reports a disk failure of the log. Only the first one is kept.
 func (n *raftNode) fail(err error) {
 	select {
 	case n.failed <- err:
@@ -102,7 +104,8 @@
 	}
 }
 
-// newRaft makes the library's node on a goroutine of its own, which the storeGuard may end.
+// newRaft creates the library's node. It does so on a separate goroutine, since a storeGuard ends the
+// goroutine that calls it after a disk failure.
 func (g *Group) newRaft(
 	store storeGuard, snapshots raft.SnapshotStore, transport raft.Transport,
 ) (*raft.Raft, error) {
@@ -112,21 +115,21 @@
 	}
 	done := make(chan result, 1)
 	go func() {
-		made := result{err: errLogUnreadable} // if the goroutine ends in the store
-		defer func() { done <- made }()
-		made.err = withoutPanic(func() (err error) {
-			made.raft, err = raft.NewRaft(g.raftConfig(), &stateMachine{group: g}, store, store, snapshots, transport)
+		created := result{err: errLogUnreadable} // stays if the storeGuard ends the goroutine
+		defer func() { done <- created }()
+		created.err = withoutPanic(func() (err error) {
+			created.raft, err = raft.NewRaft(g.raftConfig(), &stateMachine{group: g}, store, store, snapshots, transport)
 			return err
 		})
 	}()
-	made := <-done
-	if made.err == nil && made.raft == nil {
-		made.err = errLogUnreadable
+	created := <-done
+	if created.err == nil && created.raft == nil {
+		created.err = errLogUnreadable
 	}
-	return made.raft, made.err
+	return created.raft, created.err
 }
 
-// stop ends the log.
+// stop stops the log and closes its files.
 func (n *raftNode) stop() {
 	done := n.raft.Shutdown()
 	_ = n.stream.Close()
@@ -135,8 +138,8 @@
 	_ = n.bolt.Close()
 }
 
-// propose writes an entry and waits until it is applied here. It must be called without the group's
-// lock.
+// propose writes an entry to the log and waits until this member has applied it. The caller must not
+// hold the group's lock.
 func (n *raftNode) propose(entry lease.Entry, timeout time.Duration) (lease.Result, error) {
 	raw, err := json.Marshal(entry)
 	if err != nil {
--- a/internal/group/recover.go
+++ b/internal/group/recover.go
@@ -13,41 +13,42 @@
 	"github.com/rs/zerolog"
 )
 
-// recoverEpochStep is how far epochs jump when a group is recovered: more than a group can have
-// granted.
+// recoverEpochStep is by how much the epochs are raised when a group is recovered: more epochs than a
+// group can have granted.
 const recoverEpochStep = 1 << 32
 
-// Init lets a folder start the group at its next start without asking the other voters of the file:
-// for a first start where some of them cannot be there.
+// Init marks a folder so that its member starts the group at its next start without the consent of the
+// other voters of the settings. It is for a first start at which some of them are unavailable.
 func Init(dir, name string, voters map[string]string) error {
-	f, err := readFolder(dir, name, voters)
+	stored, err := readFolder(dir, name, voters)
 	if err != nil {
 		return err
 	}
-	defer f.close()
-	if _, err := os.Stat(raftDir(dir)); err == nil || f.Started {
+	defer stored.close()
+	if _, err := os.Stat(raftDir(dir)); err == nil || stored.Started {
 		return errAlreadyStarted
 	}
 	if voters[name] == "" {
 		return errUnlisted
 	}
-	f.Forced = true
-	return f.save()
+	stored.Forced = true
+	return stored.save()
 }
 
-// Recover makes one member's folder the start of a group in which it alone votes, for a site that
-// has lost a majority of its voters for good. What the others agreed on without this one is lost;
-// its epochs are above any that they can have granted, and the lowest of them is returned. No
-// process may have the folder.
+// Recover turns one member's folder into the start of a group in which this member is the only voter.
+// It is for a site that has lost a majority of its voters for good. Log entries that the others
+// committed without this member are lost. The epochs of the new group are higher than any that the
+// old one can have granted; Recover returns the lowest of them. It fails while a process has the
+// folder locked.
 func Recover(dir, name string, voters map[string]string) (epoch uint64, err error) {
 	if voters[name] == "" {
 		return 0, errUnlisted
 	}
-	f, err := readFolder(dir, name, voters)
+	stored, err := readFolder(dir, name, voters)
 	if err != nil {
 		return 0, err
 	}
-	defer f.close()
+	defer stored.close()
 	bolt, err := openBolt(dir)
 	if err != nil {
 		return 0, err
@@ -65,6 +66,6 @@
 	if err != nil {
 		return 0, fmt.Errorf("group: recover: %w", err)
 	}
-	f.Voter, f.Started, f.FirstStartVoters, f.Forced = true, true, nil, false
-	return machine.table.Epoch + 1, f.save()
+	stored.Voter, stored.Started, stored.FirstStartVoters, stored.Forced = true, true, nil, false
+	return machine.table.Epoch + 1, stored.save()
 }
--- a/internal/group/state_machine.go
+++ b/internal/group/state_machine.go
@@ -11,12 +11,12 @@
 	"github.com/hashicorp/raft"
 )
 
-// stateMachine is the table as the raft library drives it. The library calls Apply, Snapshot and
-// Restore on one goroutine.
+// stateMachine is the state machine of the replicated log: a lease.Table. It implements raft.FSM. The
+// library calls Apply, Snapshot and Restore on one goroutine.
 type stateMachine struct {
-	group      *Group       // whose table it is; nil: table is its own
-	table      *lease.Table // of its own where there is no group (Recover)
-	raiseEpoch bool         // its snapshot starts epochs anew, above all that ever were
+	group      *Group       // the owner of the table; nil if the table below is used
+	table      *lease.Table // used without a group (Recover)
+	raiseEpoch bool         // the next snapshot raises the epoch above any that can have been granted
 }
 
 // Apply applies one entry and returns a lease.Result.
@@ -31,7 +31,7 @@
 	return m.group.applyEntry(entry)
 }
 
-// Snapshot copies the table.
+// Snapshot returns a copy of the table.
 func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	if m.group == nil {
 		if m.raiseEpoch {
@@ -46,7 +46,7 @@
 	return tableSnapshot{m.group.table.Clone()}, nil
 }
 
-// Restore reads a snapshot in place of the table.
+// Restore replaces the table with a snapshot.
 func (m *stateMachine) Restore(snapshot io.ReadCloser) error {
 	defer snapshot.Close()
 	table := lease.NewTable()
@@ -64,10 +64,10 @@
 	return nil
 }
 
-// tableSnapshot is a table that is being written.
+// tableSnapshot is a copy of the table that is to be written. It implements raft.FSMSnapshot.
 type tableSnapshot struct{ table *lease.Table }
 
-// Persist writes the table.
+// Persist writes the table as JSON.
 func (s tableSnapshot) Persist(sink raft.SnapshotSink) error {
 	if err := json.NewEncoder(sink).Encode(s.table); err != nil {
 		return errors.Join(err, sink.Cancel())
@@ -75,10 +75,11 @@
 	return sink.Close()
 }
 
-// Release has nothing to do.
+// Release does nothing: a snapshot holds no resources.
 func (s tableSnapshot) Release() {}
 
-// applyEntry applies an entry to this process's table, and looks at the clock after that.
+// applyEntry applies an entry to this member's table. The clock is read after that: leases must not
+// be seen to expire too early.
 func (g *Group) applyEntry(entry lease.Entry) lease.Result {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/group/status.go
+++ b/internal/group/status.go
@@ -8,51 +8,52 @@
 )
 
 const (
-	// viewTimeout is how long a call waits for a new view of the leader.
+	// viewTimeout is how long a call waits for a new view from the leader.
 	viewTimeout = 500 * time.Millisecond
 
-	// viewPollInterval is how often it looks whether the view has come.
+	// viewPollInterval is the interval at which such a call checks for the view.
 	viewPollInterval = 2 * time.Millisecond
 )
 
-// unreachableReason is why the leader is not heard; empty where it has replied lately. The lock is
-// held.
+// unreachableReason returns the reason for which no leader is reachable, or "" if one has replied
+// recently. The caller must hold g.mu.
 func (g *Group) unreachableReason(now time.Duration) string {
 	last := &g.lastView
 	switch {
 	case g.inactiveReason != "":
 		return g.inactiveReason
-	case last.leaderHeardAt == 0 && last.lastError == "":
+	case last.leaderRepliedAt == 0 && last.lastError == "":
 		return "no leader has answered yet"
-	case last.leaderHeardAt == 0 || now-last.leaderHeardAt > g.leaseFraction(unreachableFraction):
+	case last.leaderRepliedAt == 0 || now-last.leaderRepliedAt > g.leaseFraction(unreachableFraction):
 		return "no leader answers: " + cmp.Or(last.lastError, "nobody leads")
 	}
 	return ""
 }
 
-// Duties shows all duties as this member knows them now. Where no leader replies, nobody is said to
-// hold what this member does not hold itself. It may wait for the leader, half a second at most.
-// Any goroutine may call it.
+// Duties returns the state of all duties as this member has it. While no leader replies, it shows no
+// holder for the duties that this member does not hold itself. It waits for a new view from the
+// leader for up to viewTimeout. Any goroutine may call it.
 func (g *Group) Duties() []DutyView {
 	g.waitForView()
 	return g.dutiesNow()
 }
 
-// Members shows all members as the leader knows them. It may wait as Duties does.
+// Members returns the state of all members as the leader has it. It may wait as Duties does.
 func (g *Group) Members() []MemberView {
 	g.waitForView()
 	return g.membersNow()
 }
 
-// Views is what Duties and Members show, as this member has heard it last. It does not wait; called
-// again and again, it is at most a heartbeat old.
+// Views returns the results of Duties and Members by the last view, without waiting for a new one.
+// While it is called regularly, that view is at most one heartbeat interval old.
 func (g *Group) Views() ([]DutyView, []MemberView) {
 	g.mu.Lock()
-	g.lastView.wantedAt = g.clock()
+	g.lastView.requestedAt = g.clock()
 	g.mu.Unlock()
 	return g.dutiesNow(), g.membersNow()
 }
 
+// dutiesNow returns the state of all duties without waiting for a new view.
 func (g *Group) dutiesNow() []DutyView {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -61,13 +62,13 @@
 	known := g.knownDuties(now)
 	duties := make([]DutyView, 0, len(known))
 	for _, name := range slices.Sorted(maps.Keys(known)) {
-		duties = append(duties, g.ownDutyView(known[name], unreachable, now))
+		duties = append(duties, g.overlayOwnState(known[name], unreachable, now))
 	}
 	return duties
 }
 
-// knownDuties is each duty as the best source shows it: the last view, else the table, else the
-// file. The lock is held.
+// knownDuties returns each duty as the best available source shows it: the last view, else this
+// member's table, else the settings. The caller must hold g.mu.
 func (g *Group) knownDuties(now time.Duration) map[string]DutyView {
 	known := map[string]DutyView{}
 	for name, note := range g.opt.Notes {
@@ -87,24 +88,26 @@
 	return known
 }
 
-// ownDutyView corrects the view of a duty by what this member knows itself. The lock is held.
-func (g *Group) ownDutyView(duty DutyView, unreachable string, now time.Duration) DutyView {
+// overlayOwnState corrects the view of a duty by this member's own state, which may be newer. The
+// caller must hold g.mu.
+func (g *Group) overlayOwnState(duty DutyView, unreachable string, now time.Duration) DutyView {
 	runner := g.runners[duty.Name]
 	held, own := g.holder.Get(duty.Name, now)
 	switch {
 	case own && runner != nil:
 		duty.Holder, duty.Epoch = g.opt.Name, held.Epoch
 		duty.RemainingMs = (held.Until - now).Milliseconds()
-		duty.Acts = runner.acts
+		duty.Acts = runner.executions
 		duty.Reason = cmp.Or(unreachable, runner.lastError)
-	case unreachable != "": // of a limit that is divided each member has its even part
+	case unreachable != "": // the holder is unknown; each member then uses the even share of a limit
 		duty.Holder, duty.RemainingMs, duty.Acts, duty.Reason = "", 0, 0, unreachable
-	case duty.Holder == g.opt.Name: // released, and the leader has not heard yet
+	case duty.Holder == g.opt.Name: // released, but the leader has not received the release yet
 		duty.Holder, duty.RemainingMs, duty.Reason = "", 0, "given back"
 	}
 	return duty
 }
 
+// membersNow returns the state of all members without waiting for a new view.
 func (g *Group) membersNow() []MemberView {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -127,16 +130,16 @@
 	return members
 }
 
-// waitForView waits for a view that is younger than this call, for viewTimeout at most.
+// waitForView waits for a view that is received after the start of this call, for up to viewTimeout.
 func (g *Group) waitForView() {
 	g.mu.Lock()
-	from := g.clock()
-	g.lastView.wantedAt = from
+	start := g.clock()
+	g.lastView.requestedAt = start
 	g.mu.Unlock()
 	g.requestHeartbeat()
-	for until := time.Now().Add(viewTimeout); time.Now().Before(until); time.Sleep(viewPollInterval) {
+	for deadline := time.Now().Add(viewTimeout); time.Now().Before(deadline); time.Sleep(viewPollInterval) {
 		g.mu.Lock()
-		done := g.lastView.receivedAt >= from || g.inactiveReason != ""
+		done := g.lastView.receivedAt >= start || g.inactiveReason != ""
 		g.mu.Unlock()
 		if done {
 			return
--- a/internal/group/stream_layer.go
+++ b/internal/group/stream_layer.go
@@ -15,7 +15,7 @@
 	closed   chan struct{}
 }
 
-// memberAddr is the address of a member for the library: its name.
+// memberAddr is the address of a member as the raft library uses it: its name.
 type memberAddr string
 
 // Network implements net.Addr.
@@ -24,7 +24,7 @@
 // String implements net.Addr.
 func (a memberAddr) String() string { return string(a) }
 
-// deliver hands a connection that was accepted to the library.
+// deliver passes an accepted connection to the library.
 func (l *streamLayer) deliver(conn net.Conn) {
 	select {
 	case l.accepted <- conn:
@@ -58,6 +58,6 @@
 
 // Dial implements raft.StreamLayer.
 func (l *streamLayer) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	conn, _, err := l.group.call(string(to), purposeRaft, min(timeout, l.group.helloTimeout()))
+	conn, _, err := l.group.connect(string(to), purposeRaft, min(timeout, l.group.helloTimeout()))
 	return conn, err
 }
--- a/internal/group/submit.go
+++ b/internal/group/submit.go
@@ -6,25 +6,25 @@
 	"errors"
 )
 
-// HandOver lets the leader move a duty to a member. It waits for the outcome as long as ctx does.
+// HandOver has the leader move a duty to a member. It waits for the result until ctx ends.
 func (g *Group) HandOver(ctx context.Context, duty, member string) error {
 	return g.submit(ctx, &command{Op: opHandOver, Name: duty, Recipient: member})
 }
 
-// Revoke lets the lease on a duty be renewed no more. It waits for the outcome as long as ctx does.
+// Revoke has the leader stop renewing the lease on a duty. It waits for the result until ctx ends.
 func (g *Group) Revoke(ctx context.Context, duty string) error {
 	return g.submit(ctx, &command{Op: opRevoke, Name: duty})
 }
 
-// RequestRestart asks once for a restart slot of each rollout that the file names; the error tells
-// why it is not granted yet. Without a rollout in the file there is nothing to ask for.
+// RequestRestart requests a restart slot of each rollout in the settings, once. The error tells why
+// one is not granted yet. Without a rollout in the settings it returns nil.
 func (g *Group) RequestRestart(ctx context.Context) error {
 	for _, rollout := range g.opt.Rollouts {
 		err := g.submit(ctx, &command{
-			Op:     opRestart,
-			Name:   rollout.Name,
-			AtOnce: rollout.AtOnce,
-			HoldUs: rollout.MaxDowntime.Microseconds(),
+			Op:            opRestart,
+			Name:          rollout.Name,
+			MaxConcurrent: rollout.AtOnce,
+			MaxDowntimeUs: rollout.MaxDowntime.Microseconds(),
 		})
 		if err != nil {
 			return err
@@ -33,7 +33,8 @@
 	return nil
 }
 
-// submit lets the leader carry out a command with the next heartbeat, and waits for the outcome.
+// submit sends a command to the leader with the next heartbeat, and waits for the result until ctx
+// ends.
 func (g *Group) submit(ctx context.Context, cmd *command) error {
 	cmd.done = make(chan error, 1)
 	for !g.setPendingCommand(cmd) {
@@ -56,7 +57,7 @@
 	}
 }
 
-// setPendingCommand reports whether no other command was pending.
+// setPendingCommand makes a command the pending one. It returns false if another command is pending.
 func (g *Group) setPendingCommand(cmd *command) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/group/transport.go
+++ b/internal/group/transport.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// minHelloTimeout bounds the time of a hello from below.
+	// minHelloTimeout is the lower bound of the timeout of a hello.
 	minHelloTimeout = 500 * time.Millisecond
 
-	// acceptRetryDelay is the pause after a connection could not be accepted.
+	// acceptRetryDelay is the pause after a failure to accept a connection.
 	acceptRetryDelay = 50 * time.Millisecond
 )
 
-// helloTimeout is how long the first line, and its answer, may take.
+// helloTimeout returns how long a hello and its reply may take.
 func (g *Group) helloTimeout() time.Duration {
-	return max(g.leaseFraction(replyFraction), minHelloTimeout)
+	return max(g.leaseFraction(replyTimeoutFraction), minHelloTimeout)
 }
 
-// addressOf is where this member reaches another: as its file says, else as that one reported to
-// the group.
+// addressOf returns the address of another member: by this member's settings, else as the other member
+// reported it to the group.
 func (g *Group) addressOf(name string) (string, error) {
 	g.mu.Lock()
 	reported := cmp.Or(g.lastView.Addresses[name], g.table.Addresses[name])
@@ -32,11 +32,11 @@
 	if address := cmp.Or(g.opt.Voters[name], reported); address != "" {
 		return address, nil
 	}
-	return "", fmt.Errorf("nobody has said where %q is", name)
+	return "", fmt.Errorf("no address is known for member %q", name)
 }
 
-// call connects to another member for a purpose.
-func (g *Group) call(name string, what purpose, timeout time.Duration) (net.Conn, welcomeMessage, error) {
+// connect opens a connection to another member and exchanges the hello.
+func (g *Group) connect(name string, purpose connPurpose, timeout time.Duration) (net.Conn, welcomeMessage, error) {
 	address, err := g.addressOf(name)
 	if err != nil {
 		return nil, welcomeMessage{}, err
@@ -46,13 +46,13 @@
 		return nil, welcomeMessage{}, err
 	}
 	_ = conn.SetDeadline(time.Now().Add(timeout))
-	hello := g.newHello(name, what)
+	hello := g.newHello(name, purpose)
 	welcome, err := exchangeHello(conn, hello)
 	if err == nil && welcome.Error != "" {
 		err = &remoteError{member: name, reason: welcome.Error}
 	}
-	if g.recordWelcome(hello, welcome) && err == nil && what == purposeRaft {
-		err = fmt.Errorf("the log of %s is older than what it had before", name)
+	if g.recordWelcome(hello, welcome) && err == nil && purpose == purposeRaft {
+		err = fmt.Errorf("the log of %s is outdated: it lacks entries that it had before", name)
 	}
 	if err != nil {
 		_ = conn.Close()
@@ -62,7 +62,7 @@
 	return conn, welcome, nil
 }
 
-// exchangeHello sends the first line of a connection and reads its answer.
+// exchangeHello sends a hello and reads the reply.
 func exchangeHello(conn net.Conn, hello helloMessage) (welcome welcomeMessage, err error) {
 	if err := writeLine(conn, hello); err != nil {
 		return welcome, err
@@ -75,7 +75,7 @@
 	return welcome, err
 }
 
-// listen opens the group's port, and tries again until it is free.
+// listen opens the group's port, and retries until that succeeds.
 func (g *Group) listen(ctx context.Context) (net.Listener, error) {
 	for {
 		listener, err := net.Listen("tcp", g.opt.Listen)
@@ -89,8 +89,8 @@
 	}
 }
 
-// accept serves the group's port until the listener is closed, each connection on a goroutine of
-// its own.
+// accept accepts connections on the group's port until the listener is closed, and serves each on its
+// own goroutine.
 func (g *Group) accept(ctx context.Context, listener net.Listener) {
 	slots := make(chan struct{}, maxConns)
 	for {
@@ -116,7 +116,7 @@
 	}
 }
 
-// serve answers one connection.
+// serve replies to the hello of a connection, and serves the connection by its purpose.
 func (g *Group) serve(ctx context.Context, conn net.Conn) {
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
--- a/internal/group/view.go
+++ b/internal/group/view.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// view is what the leader shows of the group.
+// view is the state of the group as the leader reports it to members.
 type view struct {
 	Leader       string            `json:"leader"`
 	Duties       []DutyView        `json:"duties"`
@@ -16,24 +16,24 @@
 	Incarnations map[string]uint64 `json:"lives"`
 	Addresses    map[string]string `json:"addrs"`
 
-	// What the member that has received it knows besides.
-	receivedAt    time.Duration
-	leaderHeardAt time.Duration // when the leader replied last
-	wantedAt      time.Duration // when somebody wanted to see a view last
-	lastError     string        // of the last heartbeat that failed
+	// The fields below are local to the member that received the view.
+	receivedAt      time.Duration
+	leaderRepliedAt time.Duration // time of the leader's last reply
+	requestedAt     time.Duration // time at which a view was last read on this member
+	lastError       string        // of the last failed heartbeat
 }
 
-// DutyView is a duty as it is shown.
+// DutyView is the state of a duty as it is shown to operators.
 type DutyView struct {
 	Name        string `json:"name"`
-	Holder      string `json:"holder"` // empty: nobody
+	Holder      string `json:"holder"` // empty if the duty is free
 	Epoch       uint64 `json:"epoch"`
-	RemainingMs int64  `json:"left_ms"` // until the lease ends if it is not renewed, by whoever shows it
-	Acts        uint64 `json:"acts"`    // begun under this epoch
-	Reason      string `json:"why"`     // why nobody holds it, or what failed last
+	RemainingMs int64  `json:"left_ms"` // until the lease ends unless renewed, by the clock of the member that shows it
+	Acts        uint64 `json:"acts"`    // executions begun under this epoch
+	Reason      string `json:"why"`     // why the duty is free, or the error of the last execution
 }
 
-// MemberView is a member as it is shown.
+// MemberView is the state of a member as it is shown to operators.
 type MemberView struct {
 	Name        string   `json:"name"`
 	Present     bool     `json:"here"`
@@ -43,14 +43,14 @@
 	Incarnation uint64   `json:"life"`
 	Address     string   `json:"addr"`
 	Holds       []string `json:"holds"`
-	SilentMs    int64    `json:"quiet_ms"` // since its last heartbeat; -1: not known
+	SilentMs    int64    `json:"quiet_ms"` // since its last heartbeat; -1 if unknown
 	Reason      string   `json:"why,omitempty"`
 }
 
-// buildView is the leader's view. The lock is held.
+// buildView returns the leader's view. The caller must hold g.mu.
 func (g *Group) buildView(now time.Duration) view {
 	duties := g.viewDuties(now)
-	holds := map[string][]string{} // of the members that are known
+	holds := map[string][]string{} // by member with a record
 	for _, duty := range duties {
 		if g.members[duty.Holder] != nil {
 			holds[duty.Holder] = append(holds[duty.Holder], duty.Name)
@@ -65,7 +65,8 @@
 	}
 }
 
-// viewDuties shows each duty that has a lease or is offered, sorted by name. The lock is held.
+// viewDuties returns the state of each duty that has a lease or is offered, sorted by name. The caller
+// must hold g.mu.
 func (g *Group) viewDuties(now time.Duration) (duties []DutyView) {
 	names := map[string]bool{}
 	for name, held := range g.table.Leases {
@@ -87,7 +88,7 @@
 	return duties
 }
 
-// viewDuty shows one duty. The lock is held.
+// viewDuty returns the state of one duty. The caller must hold g.mu.
 func (g *Group) viewDuty(name string, plan map[string]string, now time.Duration) DutyView {
 	duty := DutyView{Name: name}
 	if held := g.table.Leases[name]; held != nil {
@@ -98,8 +99,8 @@
 		}
 	}
 	if member := g.members[duty.Holder]; member != nil {
-		duty.Acts = member.acts[name].Number
-		duty.Reason = cmp.Or(duty.Reason, member.acts[name].Error)
+		duty.Acts = member.executions[name].Number
+		duty.Reason = cmp.Or(duty.Reason, member.executions[name].Error)
 	}
 	if duty.Holder == "" {
 		duty.Reason = freeReason(name, plan)
@@ -109,7 +110,7 @@
 	return duty
 }
 
-// freeReason is why nobody holds a duty.
+// freeReason returns the reason for which no member holds a duty.
 func freeReason(duty string, plan map[string]string) string {
 	switch {
 	case plan == nil:
@@ -122,7 +123,8 @@
 	return plan[duty] + " is to take it"
 }
 
-// viewMembers shows each member that is known or votes, sorted by name. The lock is held.
+// viewMembers returns the state of each member that has an incarnation in the table or votes, sorted by
+// name. The caller must hold g.mu.
 func (g *Group) viewMembers(now time.Duration, holds map[string][]string) (members []MemberView) {
 	voters := g.currentVoters()
 	known := maps.Clone(g.table.Incarnations)
@@ -141,14 +143,14 @@
 		}
 		member.Present, member.Settled = g.presence.Present(name, now)
 		if state := g.members[name]; state != nil {
-			member.SilentMs = (now - state.lastHeard).Milliseconds()
+			member.SilentMs = (now - state.lastHeartbeatAt).Milliseconds()
 		}
 		members = append(members, member)
 	}
 	return members
 }
 
-// currentVoters is who votes by this member's log. The lock is held.
+// currentVoters returns the voters by this member's log. The caller must hold g.mu.
 func (g *Group) currentVoters() map[string]bool {
 	voters := map[string]bool{}
 	if g.node == nil {
