--- a/internal/app/app_test.go
+++ b/internal/app/app_test.go
@@ -61,8 +61,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	duties := []group.Duty{{
-		Name: "nightly", Every: time.Second, Longest: time.Second,
-		Do: func(context.Context, group.Act) error { return nil },
+		Name: "nightly", Every: time.Second, MaxDuration: time.Second,
+		Execute: func(context.Context, group.Execution) error { return nil },
 	}}
 	member := group.New(group.Options{Name: "alone", Terms: lease.Terms{Length: time.Second}, Duties: duties})
 	network, err := newTransport(transportParams{
--- a/internal/app/peers.go
+++ b/internal/app/peers.go
@@ -83,18 +83,18 @@
 	switch duty.Kind {
 	case config.DutyCall:
 		opt.Duties = append(opt.Duties, group.Duty{
-			Name:    duty.Name,
-			Every:   milliseconds(duty.EveryMs),
-			Longest: milliseconds(duty.LongestMs),
-			Do:      group.Call(duty.URL),
+			Name:        duty.Name,
+			Every:       milliseconds(duty.EveryMs),
+			MaxDuration: milliseconds(duty.LongestMs),
+			Execute:     group.HTTPExecutor(duty.URL),
 		})
 	case config.DutyVerify:
 		opt.Duties = append(opt.Duties, group.Duty{
-			Name:       duty.Name,
-			Every:      milliseconds(duty.EveryMs),
-			Longest:    milliseconds(duty.LongestMs),
-			RoundRobin: true,
-			Do:         verifyJournal(cfg, p.log),
+			Name:        duty.Name,
+			Every:       milliseconds(duty.EveryMs),
+			MaxDuration: milliseconds(duty.LongestMs),
+			RoundRobin:  true,
+			Execute:     verifyJournal(cfg, p.log),
 		})
 	case config.DutyReturn:
 		p.probeDuty = duty.Name
@@ -136,8 +136,8 @@
 func eventTime(at time.Duration) int64 { return at.Microseconds() }
 
 // verifyJournal is the act of the duty that reads the journal back.
-func verifyJournal(cfg config.Config, log zerolog.Logger) func(context.Context, group.Act) error {
-	return func(_ context.Context, act group.Act) error {
+func verifyJournal(cfg config.Config, log zerolog.Logger) func(context.Context, group.Execution) error {
+	return func(_ context.Context, act group.Execution) error {
 		records, err := journal.Verify(cfg.State, journalBytes(cfg))
 		if err != nil {
 			log.Error().Err(err).Str("duty", act.Duty).Msg("the journal does not read back")
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -154,11 +154,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	acts := func(context.Context, group.Act) error { return nil }
+	acts := func(context.Context, group.Execution) error { return nil }
 	g := group.New(group.Options{
 		Name: "alone", Listen: addr, Voters: map[string]string{"alone": addr},
 		Dir: filepath.Join(t.TempDir(), "group"), Terms: lease.Terms{Length: time.Second, Drift: 0.01}, Log: zerolog.Nop(),
-		Duties: []group.Duty{{Name: "nightly", Every: time.Hour, Longest: time.Second / 4, Do: acts}},
+		Duties: []group.Duty{{Name: "nightly", Every: time.Hour, MaxDuration: time.Second / 4, Execute: acts}},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan bool)
@@ -166,7 +166,7 @@
 	t.Cleanup(func() { cancel(); <-done })
 	c := scene(t, Sources{Group: g})
 	for end := time.Now().Add(standin.Long); ; time.Sleep(5 * time.Millisecond) {
-		if d := g.Duties(); len(d) == 1 && d[0].Holder == "alone" && d[0].Acts > 0 {
+		if d := g.Duties(); len(d) == 1 && d[0].Holder == "alone" && d[0].Executions > 0 {
 			break
 		}
 		if time.Now().After(end) {
--- a/internal/console/tables.go
+++ b/internal/console/tables.go
@@ -23,7 +23,7 @@
 	}
 	for _, duty := range duties {
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d ms\t%d\t%s\n", duty.Name, cmp.Or(duty.Holder, "-"), duty.Epoch,
-			duty.RemainingMs, duty.Acts, cmp.Or(duty.Reason, "-"))
+			duty.RemainingMs, duty.Executions, cmp.Or(duty.Reason, "-"))
 	}
 	if duties != nil && members != nil {
 		fmt.Fprintln(w)
--- a/internal/group/duty_runner.go
+++ b/internal/group/duty_runner.go
@@ -69,29 +69,29 @@
 
 // startExecution begins an execution if one is due and allowed. If not, wait fires when the next one
 // is due; wait is nil if the duty may not be executed at all for now.
-func (g *Group) startExecution(runner *runner) (execution Act, started bool, wait <-chan time.Time) {
+func (g *Group) startExecution(runner *runner) (execution Execution, started bool, wait <-chan time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.clock()
-	epoch, allowed := g.holder.MayAct(runner.Name, now, runner.Longest)
+	epoch, allowed := g.holder.MayAct(runner.Name, now, runner.MaxDuration)
 	if !allowed || g.leaving || g.successors[runner.Name] != "" {
-		return Act{}, false, nil
+		return Execution{}, false, nil
 	}
 	due, next := runner.schedule.Due(now)
 	if !due {
-		return Act{}, false, time.After(max(next-now, time.Millisecond))
+		return Execution{}, false, time.After(max(next-now, time.Millisecond))
 	}
 	runner.executing = true
 	runner.executions++
 	runner.schedule.Started(now)
 	g.counters.executions++
-	return Act{Duty: runner.Name, Member: g.opt.Name, Epoch: epoch, Number: runner.executions}, true, nil
+	return Execution{Duty: runner.Name, Member: g.opt.Name, Epoch: epoch, Number: runner.executions}, true, nil
 }
 
 // runExecution runs one execution and records its result.
-func (g *Group) runExecution(ctx context.Context, runner *runner, execution Act) {
-	executionCtx, cancel := context.WithTimeout(ctx, runner.Longest)
-	err := runner.Do(executionCtx, execution)
+func (g *Group) runExecution(ctx context.Context, runner *runner, execution Execution) {
+	executionCtx, cancel := context.WithTimeout(ctx, runner.MaxDuration)
+	err := runner.Execute(executionCtx, execution)
 	cancel()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -114,7 +114,7 @@
 // releaseAfterExecution releases the duty if a release was only waiting for the execution to end.
 // held reports whether the duty is still held under the epoch of the execution. The result reports
 // whether the leader must be notified by a heartbeat. The caller must hold g.mu.
-func (g *Group) releaseAfterExecution(runner *runner, execution Act, held, staleEpoch bool) bool {
+func (g *Group) releaseAfterExecution(runner *runner, execution Execution, held, staleEpoch bool) bool {
 	ref := lease.Ref{Name: runner.Name, Epoch: execution.Epoch}
 	switch {
 	case staleEpoch:
--- a/internal/group/golden_test.go
+++ b/internal/group/golden_test.go
@@ -30,7 +30,7 @@
 	})
 	testMessage(t, "beat.json", goldenHeartbeat())
 	testMessage(t, "answer.json", goldenReply())
-	testMessage(t, "called.json", executionBody{Duty: "report", Member: "a", Epoch: 41, Act: 7})
+	testMessage(t, "called.json", executionBody{Duty: "report", Member: "a", Epoch: 41, Execution: 7})
 }
 
 // TestGoldenSmallestMessages holds which fields are left out when they are zero.
@@ -184,9 +184,9 @@
 		_, _ = io.Copy(&got, r.Body)
 		got.WriteString("\n")
 	}))
-	act := Act{Duty: "report", Member: "a", Epoch: 41, Number: 7}
+	act := Execution{Duty: "report", Member: "a", Epoch: 41, Number: 7}
 	requireAllFields(t, act)
-	if err := Call(s.URL+"/act")(t.Context(), act); err != nil {
+	if err := HTTPExecutor(s.URL+"/act")(t.Context(), act); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
--- a/internal/group/golden_values_test.go
+++ b/internal/group/golden_values_test.go
@@ -53,7 +53,9 @@
 func goldenView() *view {
 	return &view{
 		Leader: "b", Incarnations: map[string]uint64{"a": 3}, Addresses: map[string]string{"a": "10.0.0.1:7000"},
-		Duties: []DutyView{{Name: "report", Holder: "a", Epoch: 41, RemainingMs: 250, Acts: 7, Reason: "it answers 500"}},
+		Duties: []DutyView{{
+			Name: "report", Holder: "a", Epoch: 41, RemainingMs: 250, Executions: 7, Reason: "it answers 500",
+		}},
 		Members: []MemberView{{
 			Name: "a", Present: true, Settled: true, Voter: true, Leader: true, Incarnation: 3,
 			Address: "10.0.0.1:7000", Holds: []string{"report"}, SilentMs: 20, Reason: "a later state has been seen",
--- a/internal/group/group_test.go
+++ b/internal/group/group_test.go
@@ -164,7 +164,7 @@
 	c.start("d")
 	c.waitFor("it holds one", func() bool {
 		for _, x := range c.running["d"].Duties() {
-			if x.Holder == "d" && x.Acts > 0 {
+			if x.Holder == "d" && x.Executions > 0 {
 				return true
 			}
 		}
--- a/internal/group/http_act.go
+++ b/internal/group/http_act.go
@@ -10,26 +10,28 @@
 
 // executionBody is the body of the HTTP request for an execution.
 type executionBody struct {
-	Duty   string `json:"duty"`
-	Member string `json:"member"`
-	Epoch  uint64 `json:"epoch"`
-	Act    uint64 `json:"act"`
+	Duty      string `json:"duty"`
+	Member    string `json:"member"`
+	Epoch     uint64 `json:"epoch"`
+	Execution uint64 `json:"act"`
 }
 
 // maxResponseBytes limits how much of a response body is read.
 const maxResponseBytes = 64 << 10
 
-// Call returns a Duty.Do that sends each execution as one POST request to a URL of the operator. A
-// status 2xx is success; 409 means that the receiver has recorded a newer epoch (ErrStaleEpoch). Each
-// request uses a new connection, so that no bytes left over from an earlier response can be read as
-// its response.
-func Call(url string) func(context.Context, Act) error {
+// HTTPExecutor returns a Duty.Execute that sends each execution as one POST request to a URL of the
+// operator. A status 2xx is success; 409 means that the receiver has recorded a newer epoch
+// (ErrStaleEpoch). Each request uses a new connection, so that no bytes left over from an earlier
+// response can be read as its response.
+func HTTPExecutor(url string) func(context.Context, Execution) error {
 	client := &http.Client{
 		Transport:     &http.Transport{DisableKeepAlives: true, Proxy: nil},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
-	return func(ctx context.Context, act Act) error {
-		body, err := json.Marshal(executionBody{Duty: act.Duty, Member: act.Member, Epoch: act.Epoch, Act: act.Number})
+	return func(ctx context.Context, execution Execution) error {
+		body, err := json.Marshal(executionBody{
+			Duty: execution.Duty, Member: execution.Member, Epoch: execution.Epoch, Execution: execution.Number,
+		})
 		if err != nil {
 			return err
 		}
--- a/internal/group/leader.go
+++ b/internal/group/leader.go
@@ -79,7 +79,7 @@
 		case <-ctx.Done():
 			return nil
 		case err := <-node.failed:
-			g.log.Error().Err(err).Msg("group: a disk failure stopped the log: this member does not vote for now")
+			g.log.Error().Err(err).Msg("group: the disk has failed the log: this member does not vote for now")
 			return fmt.Errorf("the log cannot be written: %w", err)
 		case <-ticker.C:
 		}
--- a/internal/group/leave.go
+++ b/internal/group/leave.go
@@ -25,7 +25,7 @@
 	g.leaving = true
 	longest := time.Duration(0)
 	for _, runner := range g.runners {
-		longest = max(longest, runner.Longest)
+		longest = max(longest, runner.MaxDuration)
 	}
 	g.releaseAll("leaving")
 	node := g.node
--- a/internal/group/options.go
+++ b/internal/group/options.go
@@ -47,15 +47,15 @@
 
 // Duty is a periodic task that one member of the group at a time executes. This member may hold it.
 type Duty struct {
-	Name       string
-	Every      time.Duration // between the starts of two executions
-	Longest    time.Duration // that an execution may take
-	RoundRobin bool          // the duty moves on to the next member after each execution
-	Do         func(ctx context.Context, act Act) error
+	Name        string
+	Every       time.Duration // between the starts of two executions
+	MaxDuration time.Duration // that an execution may take
+	RoundRobin  bool          // the duty moves on to the next member after each execution
+	Execute     func(ctx context.Context, execution Execution) error
 }
 
-// Act is one execution of a duty. Its context ends after Duty.Longest.
-type Act struct {
+// Execution is one execution of a duty. Its context ends after Duty.MaxDuration.
+type Execution struct {
 	Duty   string
 	Member string
 	Epoch  uint64
--- a/internal/group/status.go
+++ b/internal/group/status.go
@@ -97,10 +97,10 @@
 	case own && runner != nil:
 		duty.Holder, duty.Epoch = g.opt.Name, held.Epoch
 		duty.RemainingMs = (held.Until - now).Milliseconds()
-		duty.Acts = runner.executions
+		duty.Executions = runner.executions
 		duty.Reason = cmp.Or(unreachable, runner.lastError)
 	case unreachable != "": // the holder is unknown; each member then uses the even share of a limit
-		duty.Holder, duty.RemainingMs, duty.Acts, duty.Reason = "", 0, 0, unreachable
+		duty.Holder, duty.RemainingMs, duty.Executions, duty.Reason = "", 0, 0, unreachable
 	case duty.Holder == g.opt.Name: // released, but the leader has not received the release yet
 		duty.Holder, duty.RemainingMs, duty.Reason = "", 0, "given back"
 	}
--- a/internal/group/testgroup_test.go
+++ b/internal/group/testgroup_test.go
@@ -99,8 +99,8 @@
 	}
 	for _, duty := range c.duties {
 		options.Duties = append(options.Duties, group.Duty{
-			Name: duty, Every: length / 8, Longest: length / 4,
-			Do: group.Call("http://" + c.receiver.Addr() + "/act"),
+			Name: duty, Every: length / 8, MaxDuration: length / 4,
+			Execute: group.HTTPExecutor("http://" + c.receiver.Addr() + "/act"),
 		})
 	}
 	return options
--- a/internal/group/view.go
+++ b/internal/group/view.go
@@ -29,7 +29,7 @@
 	Holder      string `json:"holder"` // empty if the duty is free
 	Epoch       uint64 `json:"epoch"`
 	RemainingMs int64  `json:"left_ms"` // until the lease ends unless renewed, by the clock of the member that shows it
-	Acts        uint64 `json:"acts"`    // executions begun under this epoch
+	Executions  uint64 `json:"acts"`    // executions begun under this epoch
 	Reason      string `json:"why"`     // why the duty is free, or the error of the last execution
 }
 
@@ -99,7 +99,7 @@
 		}
 	}
 	if member := g.members[duty.Holder]; member != nil {
-		duty.Acts = member.executions[name].Number
+		duty.Executions = member.executions[name].Number
 		duty.Reason = cmp.Or(duty.Reason, member.executions[name].Error)
 	}
 	if duty.Holder == "" {
