--- a/internal/app/peers.go
+++ b/internal/app/peers.go
@@ -105,9 +105,9 @@
 		opt.Notes[duty.Name] = "it is divided: see " + duty.Name + "/MEMBER"
 	case config.DutyRoll:
 		opt.Rollouts = append(opt.Rollouts, group.Rollout{
-			Name:        duty.Name,
-			AtOnce:      duty.AtOnce,
-			MaxDowntime: milliseconds(duty.OutMs),
+			Name:          duty.Name,
+			MaxConcurrent: duty.AtOnce,
+			MaxDowntime:   milliseconds(duty.OutMs),
 		})
 		opt.Notes[duty.Name] = "nobody is out, or see " + duty.Name + "#1"
 	}
@@ -196,7 +196,7 @@
 
 // reportHealth tells the group of the destinations' health and of the demand for limited ones until ctx ends.
 func (p *peers) reportHealth(ctx context.Context) {
-	ticker := time.NewTicker(max(p.group.Lease()/healthReportsPerLease, minHealthReportInterval))
+	ticker := time.NewTicker(max(p.group.LeaseLength()/healthReportsPerLease, minHealthReportInterval))
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -58,7 +58,8 @@
 	var out bytes.Buffer
 	for _, err := range []error{
 		show(&out, full.State, nil, full.Wire), show(&out, &later, full.State, nil),
-		Table(&out, full.Duties, full.Members), Table(&out, []group.DutyView{{}}, []group.MemberView{{SilentMs: -1}}),
+		Table(&out, full.Duties, full.Members),
+		Table(&out, []group.DutyView{{}}, []group.MemberView{{HeartbeatAgeMs: -1}}),
 		Table(&out, nil, []group.MemberView{{Present: true, Voter: true}}),
 	} {
 		if err != nil {
--- a/internal/console/tables.go
+++ b/internal/console/tables.go
@@ -33,8 +33,8 @@
 	}
 	for _, member := range members {
 		heard := "-"
-		if member.SilentMs >= 0 {
-			heard = fmt.Sprintf("%d ms ago", member.SilentMs)
+		if member.HeartbeatAgeMs >= 0 {
+			heard = fmt.Sprintf("%d ms ago", member.HeartbeatAgeMs)
 		}
 		presence := either(member.Present, either(member.Settled, "here", "new"), "away")
 		vote := either(member.Leader, "leads", either(member.Voter, "yes", "no"))
--- a/internal/group/figures.go
+++ b/internal/group/figures.go
@@ -13,9 +13,9 @@
 // metrics.
 const quotaUnitsPerRequest = 1000
 
-// Figures returns the metrics of this member. It does not wait for other members, and any goroutine
-// may call it.
-func (g *Group) Figures() []metrics.Metric {
+// CollectMetrics returns the metrics of this member. It does not wait for other members, and any
+// goroutine may call it.
+func (g *Group) CollectMetrics() []metrics.Metric {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.clock()
--- a/internal/group/golden_values_test.go
+++ b/internal/group/golden_values_test.go
@@ -35,7 +35,7 @@
 func goldenHints() []Hint {
 	return []Hint{{
 		Destination: 2, RetryAfterUs: 1_500_000, Unavailable: true, Recovering: true,
-		RecoveringUs: 2_000_000, AgeUs: 250_000, From: "c",
+		RecoveringUs: 2_000_000, AgeUs: 250_000, Member: "c",
 	}}
 }
 
@@ -58,7 +58,7 @@
 		}},
 		Members: []MemberView{{
 			Name: "a", Present: true, Settled: true, Voter: true, Leader: true, Incarnation: 3,
-			Address: "10.0.0.1:7000", Holds: []string{"report"}, SilentMs: 20, Reason: "a later state has been seen",
+			Address: "10.0.0.1:7000", Holds: []string{"report"}, HeartbeatAgeMs: 20, Reason: "a later state has been seen",
 		}},
 	}
 }
--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -118,8 +118,8 @@
 	return g
 }
 
-// Lease returns the length of the group's leases.
-func (g *Group) Lease() time.Duration { return g.opt.Terms.Length }
+// LeaseLength returns the duration of the group's leases.
+func (g *Group) LeaseLength() time.Duration { return g.opt.Terms.Length }
 
 // Run participates in the group until ctx ends. It then releases what this member holds, stops and
 // returns.
--- a/internal/group/hints.go
+++ b/internal/group/hints.go
@@ -15,7 +15,7 @@
 	Recovering   bool   `json:"returning,omitempty"`
 	RecoveringUs int64  `json:"since_us,omitempty"` // how long the destination has been recovering
 	AgeUs        int64  `json:"age_us"`             // time since the member observed this
-	From         string `json:"from,omitempty"`     // the member that reported it; set by the leader
+	Member       string `json:"from,omitempty"`     // the member that reported it; set by the leader
 }
 
 const (
@@ -63,7 +63,7 @@
 		}
 		age := (now - member.lastHeartbeatAt).Microseconds()
 		for _, hint := range member.hints {
-			hint.From = name
+			hint.Member = name
 			hint.advance(age)
 			if hint.RecoveringUs > 0 {
 				hint.RecoveringUs += age
--- a/internal/group/options.go
+++ b/internal/group/options.go
@@ -77,7 +77,7 @@
 
 // Rollout limits how many members may restart at the same time.
 type Rollout struct {
-	Name        string
-	AtOnce      int           // members that may restart at the same time
-	MaxDowntime time.Duration // after which another member may restart even if the first is not back
+	Name          string
+	MaxConcurrent int           // members that may restart at the same time
+	MaxDowntime   time.Duration // after which another member may restart even if the first is not back
 }
--- a/internal/group/quotas_test.go
+++ b/internal/group/quotas_test.go
@@ -30,7 +30,7 @@
 		w.Store(5_000)
 		o := c.opts[n]
 		o.Duties[0].RoundRobin = true
-		o.Rollouts = []group.Rollout{{Name: "r", AtOnce: 1, MaxDowntime: time.Hour}}
+		o.Rollouts = []group.Rollout{{Name: "r", MaxConcurrent: 1, MaxDowntime: time.Hour}}
 		o.Limits = []group.Limit{{
 			Name: "l", Rate: limit, Demand: w.Load,
 			Apply: func(amount int64, until time.Duration, _ int64) {
@@ -150,7 +150,7 @@
 		c.opts[n].OnHints = func(hints []group.Hint, held map[string]string, _ time.Duration) {
 			v.Store(held["return@7"])
 			for _, h := range hints {
-				if h.Destination == 7 && h.From == "a" && n == "b" {
+				if h.Destination == 7 && h.Member == "a" && n == "b" {
 					waits.Store(h.RetryAfterUs)
 				}
 			}
--- a/internal/group/status.go
+++ b/internal/group/status.go
@@ -120,11 +120,11 @@
 	}}
 	for _, name := range g.otherVoters() {
 		members = append(members, MemberView{
-			Name:        name,
-			Address:     g.opt.Voters[name],
-			Incarnation: g.knownIncarnation(name),
-			SilentMs:    -1,
-			Reason:      "not known: no leader answers",
+			Name:           name,
+			Address:        g.opt.Voters[name],
+			Incarnation:    g.knownIncarnation(name),
+			HeartbeatAgeMs: -1,
+			Reason:         "not known: no leader answers",
 		})
 	}
 	return members
--- a/internal/group/submit.go
+++ b/internal/group/submit.go
@@ -23,7 +23,7 @@
 		err := g.submit(ctx, &command{
 			Op:            opRestart,
 			Name:          rollout.Name,
-			MaxConcurrent: rollout.AtOnce,
+			MaxConcurrent: rollout.MaxConcurrent,
 			MaxDowntimeUs: rollout.MaxDowntime.Microseconds(),
 		})
 		if err != nil {
--- a/internal/group/view.go
+++ b/internal/group/view.go
@@ -35,16 +35,16 @@
 
 // MemberView is the state of a member as it is shown to operators.
 type MemberView struct {
-	Name        string   `json:"name"`
-	Present     bool     `json:"here"`
-	Settled     bool     `json:"settled"`
-	Voter       bool     `json:"voter"`
-	Leader      bool     `json:"leader"`
-	Incarnation uint64   `json:"life"`
-	Address     string   `json:"addr"`
-	Holds       []string `json:"holds"`
-	SilentMs    int64    `json:"quiet_ms"` // since its last heartbeat; -1 if unknown
-	Reason      string   `json:"why,omitempty"`
+	Name           string   `json:"name"`
+	Present        bool     `json:"here"`
+	Settled        bool     `json:"settled"`
+	Voter          bool     `json:"voter"`
+	Leader         bool     `json:"leader"`
+	Incarnation    uint64   `json:"life"`
+	Address        string   `json:"addr"`
+	Holds          []string `json:"holds"`
+	HeartbeatAgeMs int64    `json:"quiet_ms"` // since its last heartbeat; -1 if unknown
+	Reason         string   `json:"why,omitempty"`
 }
 
 // buildView returns the leader's view. The caller must hold g.mu.
@@ -133,17 +133,17 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(known)) {
 		member := MemberView{
-			Name:        name,
-			Voter:       voters[name],
-			Leader:      name == g.opt.Name,
-			Incarnation: known[name],
-			Address:     g.table.Addresses[name],
-			Holds:       holds[name],
-			SilentMs:    -1,
+			Name:           name,
+			Voter:          voters[name],
+			Leader:         name == g.opt.Name,
+			Incarnation:    known[name],
+			Address:        g.table.Addresses[name],
+			Holds:          holds[name],
+			HeartbeatAgeMs: -1,
 		}
 		member.Present, member.Settled = g.presence.Present(name, now)
 		if state := g.members[name]; state != nil {
-			member.SilentMs = (now - state.lastHeartbeatAt).Milliseconds()
+			member.HeartbeatAgeMs = (now - state.lastHeartbeatAt).Milliseconds()
 		}
 		members = append(members, member)
 	}
