--- a/internal/group/export_test.go
+++ b/internal/group/export_test.go
@@ -7,40 +7,41 @@
 	"golang.org/x/sys/unix"
 )
 
-// FailStore lets a member's disk fail while bad is true.
-func FailStore(o *Options, bad *atomic.Bool) {
-	o.store = func(s logStore) logStore { return failing{s, bad} }
+// FailStore makes writes to the store of a member's log fail while diskFull is true.
+func FailStore(options *Options, diskFull *atomic.Bool) {
+	options.store = func(underlying logStore) logStore { return faultyStore{underlying, diskFull} }
 }
 
-type failing struct {
+// faultyStore is a logStore whose writes fail with ENOSPC while diskFull is true.
+type faultyStore struct {
 	logStore
-	bad *atomic.Bool
+	diskFull *atomic.Bool
 }
 
-func (f failing) err() error {
-	if f.bad.Load() {
+func (f faultyStore) err() error {
+	if f.diskFull.Load() {
 		return unix.ENOSPC
 	}
 	return nil
 }
 
-func (f failing) StoreLogs(l []*raft.Log) error {
+func (f faultyStore) StoreLogs(entries []*raft.Log) error {
 	if err := f.err(); err != nil {
 		return err
 	}
-	return f.logStore.StoreLogs(l)
+	return f.logStore.StoreLogs(entries)
 }
 
-func (f failing) Set(k, v []byte) error {
+func (f faultyStore) Set(key, value []byte) error {
 	if err := f.err(); err != nil {
 		return err
 	}
-	return f.logStore.Set(k, v)
+	return f.logStore.Set(key, value)
 }
 
-func (f failing) SetUint64(k []byte, v uint64) error {
+func (f faultyStore) SetUint64(key []byte, value uint64) error {
 	if err := f.err(); err != nil {
 		return err
 	}
-	return f.logStore.SetUint64(k, v)
+	return f.logStore.SetUint64(key, value)
 }
--- a/internal/group/folders_test.go
+++ b/internal/group/folders_test.go
@@ -17,54 +17,54 @@
 	"golang.org/x/sys/unix"
 )
 
-// Folders that are lost or put back: a member that was emptied is let in again, with an empty log;
-// one whose folder is older than what it had is too, and its old log does not count; four of five
-// emptied found no second group.
+// A member whose folder was emptied, or replaced by an older copy, must not vote by the state in it: it
+// would vote twice in a term, or lack committed entries. It is readmitted with an empty log instead.
+// Two of three members with empty folders must not start a second group.
 func TestFoldersLostAndPutBack(t *testing.T) {
-	c := newTestGroup(t, three, "x")
-	c.start(three...)
-	c.acts()
-	lead := c.leader()
-	b := other(lead)
-	back := filepath.Join(c.dir, "back")
-	c.stop(b)
+	cluster := newTestGroup(t, threeMembers, "x")
+	cluster.start(threeMembers...)
+	cluster.awaitExecutions()
+	leaderName := cluster.leader()
+	affected := otherThan(leaderName)
+	backup := filepath.Join(cluster.dir, "back")
+	cluster.stop(affected)
 	var superseded atomic.Uint64
-	var incarnations []uint64 // in pairs: the folder's while the notice was not booked, and the one of the notice
+	var incarnations []uint64 // in pairs: the stored one before the superseding one was recorded, the superseding one
 	var mu sync.Mutex
-	var words sync.WaitGroup
-	c.opts[b].OnSuperseded = func(incarnation uint64, booked func()) {
+	var pending sync.WaitGroup
+	cluster.memberOptions[affected].OnSuperseded = func(incarnation uint64, recorded func()) {
 		superseded.Store(incarnation)
-		words.Add(1)
+		pending.Add(1)
 		go func() {
-			defer words.Done()
-			time.Sleep(length / 2)
+			defer pending.Done()
+			time.Sleep(leaseLength / 2)
 			mu.Lock()
 			defer mu.Unlock()
-			raw, _ := os.ReadFile(filepath.Join(c.opts[b].Dir, "member.json"))
-			var m struct{ Life uint64 }
-			_ = json.Unmarshal(raw, &m)
-			incarnations = append(incarnations, m.Life, incarnation)
-			booked()
+			raw, _ := os.ReadFile(filepath.Join(cluster.memberOptions[affected].Dir, "member.json"))
+			var member struct{ Life uint64 }
+			_ = json.Unmarshal(raw, &member)
+			incarnations = append(incarnations, member.Life, incarnation)
+			recorded()
 		}()
 	}
-	if err := fleet.Backup(c.opts[b].Dir, back); err != nil {
+	if err := fleet.Backup(cluster.memberOptions[affected].Dir, backup); err != nil {
 		t.Fatal(err)
 	}
-	c.start(b)
-	c.acts()
-	for _, put := range []func() error{
-		func() error { return fleet.Empty(c.opts[b].Dir) },
-		func() error { return fleet.Restore(back, c.opts[b].Dir) },
+	cluster.start(affected)
+	cluster.awaitExecutions()
+	for _, replaceFolder := range []func() error{
+		func() error { return fleet.Empty(cluster.memberOptions[affected].Dir) },
+		func() error { return fleet.Restore(backup, cluster.memberOptions[affected].Dir) },
 	} {
-		c.acts()
-		c.stop(b)
-		if err := put(); err != nil {
+		cluster.awaitExecutions()
+		cluster.stop(affected)
+		if err := replaceFolder(); err != nil {
 			t.Fatal(err)
 		}
-		c.start(b)
-		c.waitFor("it votes again", func() bool {
-			for _, m := range c.running[b].Members() {
-				if m.Name == b && m.Voter && m.Present && m.Incarnation > 1 {
+		cluster.start(affected)
+		cluster.waitFor("it votes again", func() bool {
+			for _, member := range cluster.running[affected].Members() {
+				if member.Name == affected && member.Voter && member.Present && member.Incarnation > 1 {
 					return true
 				}
 			}
@@ -72,112 +72,118 @@
 		})
 	}
 	if superseded.Load() == 0 {
-		t.Error("a folder that was put back was not reported as one")
+		t.Error("a folder that was replaced by an older copy was not reported to OnSuperseded")
 	}
-	words.Wait()
+	pending.Wait()
 	mu.Lock()
 	for i := 0; i < len(incarnations); i += 2 {
 		if incarnations[i] > incarnations[i+1] {
-			t.Errorf("incarnation %d was taken after incarnation %d had been seen, and nobody had booked that yet",
+			t.Errorf("incarnation %d was stored after incarnation %d had been seen and before that was recorded",
 				incarnations[i], incarnations[i+1])
 		}
 	}
 	mu.Unlock()
-	epoch := c.running[lead].Duties()[0].Epoch
-	for _, n := range three {
-		c.stop(n)
-	}
-	d := other(lead, b)
-	if err := errors.Join(fleet.Empty(c.opts[b].Dir), fleet.Empty(c.opts[d].Dir)); err != nil {
+	epoch := cluster.running[leaderName].Duties()[0].Epoch
+	for _, name := range threeMembers {
+		cluster.stop(name)
+	}
+	third := otherThan(leaderName, affected)
+	if err := errors.Join(
+		fleet.Empty(cluster.memberOptions[affected].Dir), fleet.Empty(cluster.memberOptions[third].Dir),
+	); err != nil {
 		t.Fatal(err)
 	}
-	at := c.timeline.Now()
-	// The one that has its log cannot read it for a while: that is no empty folder, or the two
-	// would found a second group with it.
-	held, err := os.Open(filepath.Join(c.opts[lead].Dir, "raft", "log.db"))
+	restartedAt := cluster.timeline.Now()
+	// The member that still has its log cannot read it for a while. The others must not treat its folder
+	// as empty: they would start a second group with it.
+	lockedFile, err := os.Open(filepath.Join(cluster.memberOptions[leaderName].Dir, "raft", "log.db"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := unix.Flock(int(held.Fd()), unix.LOCK_EX); err != nil {
+	if err := unix.Flock(int(lockedFile.Fd()), unix.LOCK_EX); err != nil {
 		t.Fatal(err)
 	}
-	c.start(three...)
-	c.waitFor("they wait for its word", func() bool {
-		x, y := c.running[b].Duties()[0], c.running[d].Duties()[0]
-		return strings.Contains(x.Reason, "waits for "+lead) && strings.Contains(y.Reason, "waits for "+lead)
+	cluster.start(threeMembers...)
+	cluster.waitFor("they wait for its word", func() bool {
+		first, second := cluster.running[affected].Duties()[0], cluster.running[third].Duties()[0]
+		return strings.Contains(first.Reason, "waits for "+leaderName) &&
+			strings.Contains(second.Reason, "waits for "+leaderName)
 	})
-	_ = held.Close()
-	c.waitFor("it shows why", func() bool {
-		x, y := c.running[b].Duties()[0], c.running[d].Duties()[0]
-		return strings.Contains(x.Reason, "recover") && strings.Contains(y.Reason, "recover") && x.Holder+y.Holder == ""
+	_ = lockedFile.Close()
+	cluster.waitFor("it shows why", func() bool {
+		first, second := cluster.running[affected].Duties()[0], cluster.running[third].Duties()[0]
+		return strings.Contains(first.Reason, "recover") && strings.Contains(second.Reason, "recover") &&
+			first.Holder+second.Holder == ""
 	})
-	for _, n := range three {
-		c.stop(n)
+	for _, name := range threeMembers {
+		cluster.stop(name)
 	}
-	for _, e := range c.timeline.Events() {
-		if e.What == "act" && e.At > at {
-			t.Fatalf("a majority of emptied folders acted: %+v", e)
+	for _, e := range cluster.timeline.Events() {
+		if e.What == "act" && e.At > restartedAt {
+			t.Fatalf("a duty was executed while a majority of the folders was empty: %+v", e)
 		}
 	}
-	got, err := group.Recover(c.opts[lead].Dir, lead, c.opts[lead].Voters)
-	if err != nil || got <= epoch {
-		t.Fatalf("epochs from %d, before %d, %v", got, epoch, err)
-	}
-	c.start(three...)
-	c.acts()
-	for _, n := range three {
-		c.waitFor(n+" votes", func() bool {
-			for _, m := range c.running[n].Members() {
-				if m.Name == n && m.Voter {
+	recoveredEpoch, err := group.Recover(
+		cluster.memberOptions[leaderName].Dir, leaderName, cluster.memberOptions[leaderName].Voters,
+	)
+	if err != nil || recoveredEpoch <= epoch {
+		t.Fatalf("the recovered group starts at epoch %d, the last one before was %d, %v", recoveredEpoch, epoch, err)
+	}
+	cluster.start(threeMembers...)
+	cluster.awaitExecutions()
+	for _, name := range threeMembers {
+		cluster.waitFor(name+" votes", func() bool {
+			for _, member := range cluster.running[name].Members() {
+				if member.Name == name && member.Voter {
 					return true
 				}
 			}
 			return false
 		})
 	}
-	if e := c.running[lead].Duties()[0].Epoch; e < got {
-		t.Errorf("epoch %d after the recovery, %d was reported", e, got)
+	if e := cluster.running[leaderName].Duties()[0].Epoch; e < recoveredEpoch {
+		t.Errorf("epoch %d after the recovery is lower than the reported %d", e, recoveredEpoch)
 	}
-	c.requireOneHolder()
+	cluster.requireOneHolder()
 }
 
-// The disk fails under the log of the leader, then of a follower: others go on, the member says
-// why, and takes part again once it can. No vote or entry that was not written counts, and the
-// process goes on.
+// The disk of the leader fails, then that of a follower, then the leader's again. The process of the
+// member must not end, and no vote or entry that was not written may count. The other members
+// continue, the affected one shows the reason, and votes again once its disk accepts writes.
 func TestDiskFails(t *testing.T) {
-	c := newTestGroup(t, three, "x")
-	bad := map[string]*atomic.Bool{}
-	for _, n := range three {
-		bad[n] = &atomic.Bool{}
-		group.FailStore(c.opts[n], bad[n])
+	cluster := newTestGroup(t, threeMembers, "x")
+	diskFull := map[string]*atomic.Bool{}
+	for _, name := range threeMembers {
+		diskFull[name] = &atomic.Bool{}
+		group.FailStore(cluster.memberOptions[name], diskFull[name])
 	}
-	c.start(three...)
+	cluster.start(threeMembers...)
 	for i := range 3 {
-		c.acts()
-		lead := c.leader()
-		if i == 1 { // a follower's
-			lead = other(lead)
+		cluster.awaitExecutions()
+		affected := cluster.leader()
+		if i == 1 { // a follower
+			affected = otherThan(affected)
 		}
-		bad[lead].Store(true)
-		c.waitFor("another leads", func() bool { return c.leader() != lead })
-		c.acts()
-		c.waitFor("it says why", func() bool {
-			for _, m := range c.running[lead].Members() {
-				if strings.Contains(m.Reason, "no space left") {
+		diskFull[affected].Store(true)
+		cluster.waitFor("another leads", func() bool { return cluster.leader() != affected })
+		cluster.awaitExecutions()
+		cluster.waitFor("it says why", func() bool {
+			for _, member := range cluster.running[affected].Members() {
+				if strings.Contains(member.Reason, "no space left") {
 					return true
 				}
 			}
 			return false
 		})
-		bad[lead].Store(false)
-		c.waitFor("it votes on", func() bool {
-			for _, m := range c.running[lead].Members() {
-				if m.Name == lead && m.Voter && m.Present {
+		diskFull[affected].Store(false)
+		cluster.waitFor("it votes on", func() bool {
+			for _, member := range cluster.running[affected].Members() {
+				if member.Name == affected && member.Voter && member.Present {
 					return true
 				}
 			}
 			return false
 		})
 	}
-	c.requireOneHolder()
+	cluster.requireOneHolder()
 }
--- a/internal/group/golden_folder_test.go
+++ b/internal/group/golden_folder_test.go
@@ -17,35 +17,36 @@
 	"brackendale/internal/lease"
 )
 
-// storedFolder is the folder of the only voter of a group as this program left it: member.json, the
-// number of quota members, a snapshot and a log of which the snapshot has a part. With
-// -update-golden it is made anew; its bytes then differ by times and ids.
+// storedFolder is a golden folder that this program wrote as the only voter of a group: member.json,
+// the number of quota members, a snapshot, and a log of which the snapshot covers a part. With
+// -update-golden it is created again; its bytes then differ in times and ids.
 const storedFolder = "folder"
 
-// remake lets an update make the stored folder once.
-var remake sync.Once
+// rebuildOnce limits an update to creating the stored folder once.
+var rebuildOnce sync.Once
 
+// onlyVoter is the list of voters of the stored folder's group.
 var onlyVoter = map[string]string{"a": "10.0.0.1:7000"}
 
-// makeFolder starts a group of one in dir and writes the golden entries.
+// makeFolder starts a group with one member in dir and writes the golden entries.
 func makeFolder(t *testing.T, dir string) {
 	t.Helper()
-	f, err := openFolder(dir, "a", onlyVoter)
+	stored, err := openFolder(dir, "a", onlyVoter)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.close()
-	f.FirstStartVoters = voterNames(onlyVoter)
+	defer stored.close()
+	stored.FirstStartVoters = voterNames(onlyVoter)
 	g := goldenMember(t, "a", onlyVoter)
-	bolt, err := g.bootstrap(f)
+	bolt, err := g.bootstrap(stored)
 	if err != nil {
 		t.Fatal(err)
 	}
 	node := startNode(t, g, func() (*raftNode, error) { return g.startNode(bolt, dir) })
 	defer node.stop()
-	for i, x := range goldenEntries() {
-		if d, err := node.propose(x, 10*time.Second); err != nil || d.Reason != "" {
-			t.Fatalf("entry %d: %s, %v", i, d.Reason, err)
+	for i, entry := range goldenEntries() {
+		if result, err := node.propose(entry, 10*time.Second); err != nil || result.Reason != "" {
+			t.Fatalf("entry %d: %s, %v", i, result.Reason, err)
 		}
 		if i+1 == inSnapshot {
 			if err := node.raft.Snapshot().Error(); err != nil {
@@ -58,7 +59,7 @@
 	}
 }
 
-// startNode starts a log and waits until it leads and has applied what it holds.
+// startNode starts a log and waits until its member leads and has applied all entries.
 func startNode(t *testing.T, g *Group, start func() (*raftNode, error)) *raftNode {
 	t.Helper()
 	node, err := start()
@@ -78,11 +79,11 @@
 	return node
 }
 
-// copyStored copies the stored folder so that a test may open it.
+// copyStored copies the stored folder, so that a test may open and change it.
 func copyStored(t *testing.T) string {
 	t.Helper()
 	if *updateGolden {
-		remake.Do(func() {
+		rebuildOnce.Do(func() {
 			if err := os.RemoveAll(goldenPath(storedFolder)); err != nil {
 				t.Fatal(err)
 			}
@@ -96,16 +97,17 @@
 	return dir
 }
 
-// TestGoldenFolder opens the stored folder as a start does and compares all that it holds.
+// TestGoldenFolder opens the stored folder as a member does at its start, and compares its contents.
 func TestGoldenFolder(t *testing.T) {
 	dir := copyStored(t)
-	f, err := openFolder(dir, "a", nil)
+	stored, err := openFolder(dir, "a", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.close()
-	if f.Incarnation != 2 || !f.Voter || !f.Started || f.Forced || f.FirstStartVoters != nil || f.Name != "a" {
-		t.Errorf("member.json read as %+v", f)
+	defer stored.close()
+	if stored.Incarnation != 2 || !stored.Voter || !stored.Started || stored.Forced ||
+		stored.FirstStartVoters != nil || stored.Name != "a" {
+		t.Errorf("member.json read as %+v", stored)
 	}
 	if n := readQuotaMembers(dir); n != 17 {
 		t.Errorf("%d quota members", n)
@@ -114,11 +116,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	mark, err := readLogPosition(bolt, dir)
-	if err != nil || !mark.Exists || mark.Term == 0 || mark.Index <= uint64(len(goldenEntries())) {
-		t.Errorf("the log is at %+v, %v", mark, err)
+	position, err := readLogPosition(bolt, dir)
+	if err != nil || !position.Exists || position.Term == 0 || position.Index <= uint64(len(goldenEntries())) {
+		t.Errorf("the log position is %+v, %v", position, err)
 	}
-	compareGolden(t, "log.jsonl", commands(t, bolt)) // byte for byte
+	compareGolden(t, "log.jsonl", commandData(t, bolt)) // byte for byte
 	g := goldenMember(t, "a", onlyVoter)
 	node := startNode(t, g, func() (*raftNode, error) { return g.startNode(bolt, dir) })
 	defer node.stop()
@@ -126,11 +128,11 @@
 	defer g.mu.Unlock()
 	if !reflect.DeepEqual(g.table, goldenTable()) {
 		raw, _ := json.Marshal(g.table)
-		t.Errorf("the folder leads to %s", raw)
+		t.Errorf("the table that is read from the folder is %s", raw)
 	}
 }
 
-// TestGoldenFolderSnapshot restores the stored snapshot alone.
+// TestGoldenFolderSnapshot restores the stored snapshot without the log, and writes it again.
 func TestGoldenFolderSnapshot(t *testing.T) {
 	dir := copyStored(t)
 	paths, err := filepath.Glob(filepath.Join(dir, "raft", "snapshots", "*", "state.bin"))
@@ -147,33 +149,33 @@
 	}
 	readStrict(t, raw, got)
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("the snapshot holds %s", raw)
+		t.Errorf("the snapshot contains %s", raw)
 	}
-	var again sink
-	if err := (tableSnapshot{got}).Persist(&again); err != nil {
+	var rewritten memorySink
+	if err := (tableSnapshot{got}).Persist(&rewritten); err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(again.Bytes(), raw) {
-		t.Errorf("written again: %s", again.Bytes())
+	if !bytes.Equal(rewritten.Bytes(), raw) {
+		t.Errorf("written again: %s", rewritten.Bytes())
 	}
 }
 
-// TestGoldenFolderFiles holds the names of the files of a folder, those of a new one as well.
+// TestGoldenFolderFiles compares the names of the files in the stored folder and in a new one.
 func TestGoldenFolderFiles(t *testing.T) {
 	stored := copyStored(t)
-	made := t.TempDir()
-	makeFolder(t, made)
-	for _, dir := range []string{stored, made} {
+	created := t.TempDir()
+	makeFolder(t, created)
+	for _, dir := range []string{stored, created} {
 		compareGolden(t, "files.txt", []byte(strings.Join(fileNames(t, dir), "\n")+"\n"))
 	}
 }
 
-// fileNames lists the files below dir. The name of a snapshot has its time, and here none.
+// fileNames returns the paths of the files below dir, with the time in the name of a snapshot masked.
 func fileNames(t *testing.T, dir string) (list []string) {
 	t.Helper()
 	snapshot := regexp.MustCompile(`snapshots/\d+-\d+-\d+/`)
-	err := fs.WalkDir(os.DirFS(dir), ".", func(path string, d fs.DirEntry, err error) error {
-		if err == nil && !d.IsDir() {
+	err := fs.WalkDir(os.DirFS(dir), ".", func(path string, entry fs.DirEntry, err error) error {
+		if err == nil && !entry.IsDir() {
 			list = append(list, snapshot.ReplaceAllString(path, "snapshots/term-index-ms/"))
 		}
 		return err
@@ -185,8 +187,8 @@
 	return list
 }
 
-// TestGoldenFolderRecovers makes a group of one of the stored folder: epochs go on above all that
-// can have been given.
+// TestGoldenFolderRecovers recovers a group from the stored folder: its epochs must be higher than any
+// that can have been granted before.
 func TestGoldenFolderRecovers(t *testing.T) {
 	dir := copyStored(t)
 	epoch, err := Recover(dir, "a", onlyVoter)
--- a/internal/group/golden_helpers_test.go
+++ b/internal/group/golden_helpers_test.go
@@ -18,9 +18,8 @@
 //
 //	go test ./internal/group -run Golden -update-golden
 //
-// The files hold what members of a group send to each other and what they store. Only a deliberate
-// change of a format may update them: members of two versions stand side by side while a group is
-// upgraded.
+// The files contain the messages between members and the stored data. Update them only for a
+// deliberate change of a format: members of two versions run together while a group is upgraded.
 var updateGolden = flag.Bool("update-golden", false, "rewrite the files in testdata/golden")
 
 func goldenPath(name string) string { return filepath.Join("testdata", "golden", name) }
@@ -35,7 +34,7 @@
 	return raw
 }
 
-// compareGolden compares got with a golden file.
+// compareGolden compares got with a golden file, which -update-golden rewrites first.
 func compareGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	if *updateGolden {
@@ -51,12 +50,12 @@
 	}
 }
 
-// readStrict decodes one JSON value and refuses fields that the type does not have.
+// readStrict decodes one JSON value. It fails the test for fields that the type does not have.
 func readStrict(t *testing.T, raw []byte, into any) {
 	t.Helper()
-	d := json.NewDecoder(bytes.NewReader(raw))
-	d.DisallowUnknownFields()
-	if err := d.Decode(into); err != nil {
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(into); err != nil {
 		t.Fatalf("%s: %v", raw, err)
 	}
 }
@@ -74,6 +73,7 @@
 	}
 }
 
+// collectFields records for each exported field of the struct types in v whether any value sets it.
 func collectFields(v reflect.Value, set map[string]bool) {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -99,37 +99,37 @@
 	}
 }
 
-// sent is a value as it goes over a connection between members.
-func sent(t *testing.T, v any) []byte {
+// wireBytes returns the bytes of a value as it is sent over a connection between members.
+func wireBytes(t *testing.T, v any) []byte {
 	t.Helper()
-	a, b := net.Pipe()
-	defer a.Close()
+	reader, writer := net.Pipe()
+	defer reader.Close()
 	go func() {
-		if err := writeLine(b, v); err != nil {
+		if err := writeLine(writer, v); err != nil {
 			t.Error(err)
 		}
-		_ = b.Close()
+		_ = writer.Close()
 	}()
-	raw, err := io.ReadAll(a)
+	raw, err := io.ReadAll(reader)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return raw
 }
 
-// testMessage compares a message with its golden bytes, reads these back, and sends what was read
+// testMessage compares a message with its golden bytes, decodes these, and sends the decoded message
 // again.
 func testMessage[T any](t *testing.T, name string, want T) {
 	t.Run(name, func(t *testing.T) {
 		requireAllFields(t, want)
-		raw := sent(t, want)
+		raw := wireBytes(t, want)
 		compareGolden(t, name, raw)
 		var got T
 		readStrict(t, readGolden(t, name), &got)
 		if !reflect.DeepEqual(got, want) {
 			t.Errorf("read back: %+v\nwant %+v", got, want)
 		}
-		if again := sent(t, got); !bytes.Equal(again, raw) {
+		if again := wireBytes(t, got); !bytes.Equal(again, raw) {
 			t.Errorf("sent again: %s", again)
 		}
 	})
--- a/internal/group/golden_test.go
+++ b/internal/group/golden_test.go
@@ -19,8 +19,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// TestGoldenMessages holds each message of the port between members, and the body of a call, with
-// every field set.
+// TestGoldenMessages compares each message between members, and the body of the request for an
+// execution, with golden files. Every field is set.
 func TestGoldenMessages(t *testing.T) {
 	testMessage(t, "hello.json", goldenHello(purposeRaft))
 	testMessage(t, "welcome.json", welcomeMessage{
@@ -33,9 +33,9 @@
 	testMessage(t, "called.json", executionBody{Duty: "report", Member: "a", Epoch: 41, Execution: 7})
 }
 
-// TestGoldenSmallestMessages holds which fields are left out when they are zero.
+// TestGoldenSmallestMessages checks which fields are left out if they are zero.
 func TestGoldenSmallestMessages(t *testing.T) {
-	var out []byte
+	var frames []byte
 	for _, v := range []any{
 		helloMessage{},
 		welcomeMessage{},
@@ -47,13 +47,13 @@
 			Executions: map[string]executionReport{"d": {}}, Quotas: map[string]quotaDemand{"l": {}}, Hints: []Hint{{}},
 		},
 	} {
-		out = append(out, sent(t, v)...)
+		frames = append(frames, wireBytes(t, v)...)
 	}
-	compareGolden(t, "smallest.jsonl", out)
+	compareGolden(t, "smallest.jsonl", frames)
 }
 
-// TestGoldenWords holds the words and numbers that members and folders of other versions know.
-func TestGoldenWords(t *testing.T) {
+// TestGoldenConstants compares the constants on which members and folders of other versions rely.
+func TestGoldenConstants(t *testing.T) {
 	raw, err := json.MarshalIndent(map[string]any{
 		"version": protocolVersion,
 		"states":  []logState{stateOpening, stateEmpty, stateReady, stateStarted, stateNonVoter},
@@ -73,42 +73,43 @@
 	compareGolden(t, "words.json", append(raw, '\n'))
 }
 
-// TestGoldenCaller holds all that a caller sends: its hello, and its heartbeat after that.
+// TestGoldenCaller compares all bytes that a member sends on a connection that it opens: its hello,
+// and what follows for each purpose.
 func TestGoldenCaller(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
-	g := goldenMember(t, "a", map[string]string{"a": "10.0.0.9:7000", "b": ln.Addr().String()})
+	defer listener.Close()
+	g := goldenMember(t, "a", map[string]string{"a": "10.0.0.9:7000", "b": listener.Addr().String()})
 	g.table.Incarnations["b"] = 5
-	peer := func(answers ...string) <-chan []byte {
-		heard := make(chan []byte, 1)
+	servePeer := func(replies ...string) <-chan []byte {
+		received := make(chan []byte, 1)
 		go func() {
 			var all []byte
-			defer func() { heard <- all }()
-			c, err := ln.Accept()
+			defer func() { received <- all }()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			defer c.Close()
-			for _, a := range answers {
-				line, err := readLine(c, maxFrame)
+			defer conn.Close()
+			for _, reply := range replies {
+				line, err := readLine(conn, maxFrame)
 				if err != nil {
 					return
 				}
 				all = append(append(all, line...), '\n')
-				_, _ = io.WriteString(c, a)
+				_, _ = io.WriteString(conn, reply)
 			}
-			rest, _ := io.ReadAll(c)
+			rest, _ := io.ReadAll(conn)
 			all = append(all, rest...)
 		}()
-		return heard
+		return received
 	}
-	welcomed := `{"life":5,"known":3,"log":{"index":9,"term":2,"here":true},"state":"begun","leader":"b"}` + "\n"
-	for _, what := range []connPurpose{purposePeek, purposeRaft} {
-		heard := peer(welcomed)
-		c, w, err := g.connect("b", what, 10*time.Second)
+	welcomeLine := `{"life":5,"known":3,"log":{"index":9,"term":2,"here":true},"state":"begun","leader":"b"}` + "\n"
+	for _, purpose := range []connPurpose{purposePeek, purposeRaft} {
+		received := servePeer(welcomeLine)
+		conn, welcome, err := g.connect("b", purpose, 10*time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -116,52 +117,53 @@
 			Incarnation: 5, KnownIncarnation: 3, Log: logPosition{Index: 9, Term: 2, Exists: true},
 			State: stateStarted, Leader: "b",
 		}
-		if !reflect.DeepEqual(w, want) {
-			t.Errorf("%s: welcome read as %+v", what, w)
+		if !reflect.DeepEqual(welcome, want) {
+			t.Errorf("%s: welcome read as %+v", purpose, welcome)
 		}
-		if what == purposeRaft { // the library's own bytes follow with nothing around them
-			_, _ = io.WriteString(c, "\x00raft's bytes\n")
+		if purpose == purposeRaft { // the raft library's bytes follow the hello unchanged
+			_, _ = io.WriteString(conn, "\x00raft's bytes\n")
 		}
-		_ = c.Close()
-		compareGolden(t, "caller-"+string(what)+".txt", <-heard)
+		_ = conn.Close()
+		compareGolden(t, "caller-"+string(purpose)+".txt", <-received)
 	}
-	g.opt.Terms.Length = 10 * time.Second // the time that an answer may take
-	heard := peer(welcomed, `{"n":0,"nudge":true}`+"\n"+`{"n":12,"refs":[{"n":"report","e":41,"t":2}]}`+"\n")
-	l, err := g.dialLeader("b")
+	g.opt.Terms.Length = 10 * time.Second // allows enough time for the reply
+	received := servePeer(welcomeLine, `{"n":0,"nudge":true}`+"\n"+`{"n":12,"refs":[{"n":"report","e":41,"t":2}]}`+"\n")
+	link, err := g.dialLeader("b")
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, err := l.exchange(goldenHeartbeat(), 10*time.Second, nil)
+	reply, err := link.exchange(goldenHeartbeat(), 10*time.Second, nil)
 	want := heartbeatReply{Sequence: 12, Granted: []lease.Ref{{Name: "report", Epoch: 41, Renewal: 2}}}
-	if err != nil || !reflect.DeepEqual(a, want) {
-		t.Errorf("answer %+v, %v", a, err)
+	if err != nil || !reflect.DeepEqual(reply, want) {
+		t.Errorf("reply read as %+v, %v", reply, err)
 	}
-	l.close()
-	compareGolden(t, "caller-ask.txt", <-heard)
+	link.close()
+	compareGolden(t, "caller-ask.txt", <-received)
 }
 
-// TestGoldenServer holds all that a member without a log answers to golden hellos and heartbeats.
+// TestGoldenServer compares all replies of a member without a log to hellos and heartbeats.
 func TestGoldenServer(t *testing.T) {
-	var out []byte
-	old, strange := goldenHello(purposeHeartbeat), goldenHello(purposeHeartbeat)
-	old.Incarnation, strange.Version = 1, 2
-	agreed := goldenHello(purposeHeartbeat)
-	agreed.LeaseUs++
-	for _, h := range []helloMessage{
-		goldenHello(purposePeek), goldenHello(purposeHeartbeat), goldenHello(purposeRaft), old, strange, agreed,
+	var replies []byte
+	endedIncarnation, otherVersion := goldenHello(purposeHeartbeat), goldenHello(purposeHeartbeat)
+	endedIncarnation.Incarnation, otherVersion.Version = 1, 2
+	otherLease := goldenHello(purposeHeartbeat)
+	otherLease.LeaseUs++
+	for _, hello := range []helloMessage{
+		goldenHello(purposePeek), goldenHello(purposeHeartbeat), goldenHello(purposeRaft), endedIncarnation, otherVersion,
+		otherLease,
 	} {
 		g := goldenMember(t, "b", map[string]string{"a": "10.0.0.1:7000", "b": "10.0.0.9:7000"})
 		g.state, g.lastView.Leader, g.table.Incarnations["a"] = stateStarted, "a", 2
 		g.table.Addresses["a"] = "10.0.0.1:7000"
 		near, far := net.Pipe()
 		go g.serve(t.Context(), far)
-		sentBytes := sent(t, h)
-		if h == goldenHello(purposeHeartbeat) {
-			sentBytes = append(sentBytes, sent(t, goldenHeartbeat())...)
+		sentBytes := wireBytes(t, hello)
+		if hello == goldenHello(purposeHeartbeat) {
+			sentBytes = append(sentBytes, wireBytes(t, goldenHeartbeat())...)
 		}
 		go func() { _, _ = near.Write(sentBytes) }()
 		lines := 1
-		if h == goldenHello(purposeHeartbeat) {
+		if hello == goldenHello(purposeHeartbeat) {
 			lines = 2
 		}
 		for range lines {
@@ -169,64 +171,64 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			out = append(append(out, line...), '\n')
+			replies = append(append(replies, line...), '\n')
 		}
 		_ = near.Close()
 	}
-	compareGolden(t, "server.jsonl", out)
+	compareGolden(t, "server.jsonl", replies)
 }
 
-// TestGoldenAct holds what the receiver of an act gets.
-func TestGoldenAct(t *testing.T) {
+// TestGoldenExecution compares the request that the receiver of an execution gets.
+func TestGoldenExecution(t *testing.T) {
 	var got bytes.Buffer
-	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		got.WriteString(r.Method + " " + r.URL.Path + " " + r.Header.Get("Content-Type") + "\n")
 		_, _ = io.Copy(&got, r.Body)
 		got.WriteString("\n")
 	}))
-	act := Execution{Duty: "report", Member: "a", Epoch: 41, Number: 7}
-	requireAllFields(t, act)
-	if err := HTTPExecutor(s.URL+"/act")(t.Context(), act); err != nil {
+	execution := Execution{Duty: "report", Member: "a", Epoch: 41, Number: 7}
+	requireAllFields(t, execution)
+	if err := HTTPExecutor(server.URL+"/act")(t.Context(), execution); err != nil {
 		t.Fatal(err)
 	}
-	s.Close()
+	server.Close()
 	compareGolden(t, "act.txt", got.Bytes())
 }
 
-// sink is a snapshot's file in memory.
-type sink struct{ bytes.Buffer }
+// memorySink is a raft.SnapshotSink that keeps the snapshot in memory.
+type memorySink struct{ bytes.Buffer }
 
-func (*sink) Close() error  { return nil }
-func (*sink) Cancel() error { return nil }
-func (*sink) ID() string    { return "golden" }
+func (*memorySink) Close() error  { return nil }
+func (*memorySink) Cancel() error { return nil }
+func (*memorySink) ID() string    { return "golden" }
 
-// TestGoldenMachine replays the log's data and writes and restores a snapshot.
-func TestGoldenMachine(t *testing.T) {
+// TestGoldenStateMachine replays golden log entries, and writes and restores a snapshot of the result.
+func TestGoldenStateMachine(t *testing.T) {
 	requireAllFields(t, goldenEntries())
 	var log bytes.Buffer
-	for _, e := range goldenEntries() {
-		raw, err := json.Marshal(e)
+	for _, entry := range goldenEntries() {
+		raw, err := json.Marshal(entry)
 		if err != nil {
 			t.Fatal(err)
 		}
 		log.Write(append(raw, '\n'))
 	}
 	compareGolden(t, "log.jsonl", log.Bytes())
-	alone := &stateMachine{table: lease.NewTable()}
+	machine := &stateMachine{table: lease.NewTable()}
 	for i, data := range bytes.Split(bytes.TrimSpace(readGolden(t, "log.jsonl")), []byte("\n")) {
-		if d := alone.Apply(&raft.Log{Data: data}).(lease.Result); d.Reason != "" {
-			t.Errorf("entry %d: %s", i, d.Reason)
+		if result := machine.Apply(&raft.Log{Data: data}).(lease.Result); result.Reason != "" {
+			t.Errorf("entry %d: %s", i, result.Reason)
 		}
 	}
-	if !reflect.DeepEqual(alone.table, goldenTable()) {
-		t.Errorf("the log leads to %+v", alone.table)
+	if !reflect.DeepEqual(machine.table, goldenTable()) {
+		t.Errorf("the table after all log entries is %+v", machine.table)
 	}
-	snap, err := alone.Snapshot()
+	snapshot, err := machine.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	var stored sink
-	if err := snap.Persist(&stored); err != nil {
+	var stored memorySink
+	if err := snapshot.Persist(&stored); err != nil {
 		t.Fatal(err)
 	}
 	compareGolden(t, "snapshot.json", stored.Bytes())
@@ -242,21 +244,22 @@
 	}
 }
 
-// TestGoldenMemberFile holds member.json and the file of the quota members, and reads them back.
+// TestGoldenMemberFile compares member.json and the file with the number of quota members with golden
+// files, and reads them back.
 func TestGoldenMemberFile(t *testing.T) {
 	dir := t.TempDir()
-	f := &folder{
+	stored := &folder{
 		dir: dir, Name: "a", Incarnation: 7, Voter: true, FirstStartVoters: []string{"a", "b"}, Forced: true,
 		Started: true,
 	}
-	requireAllFields(t, f)
+	requireAllFields(t, stored)
 	smallest := &folder{dir: t.TempDir()}
 	var files []byte
-	for _, x := range []*folder{f, smallest} {
-		if err := x.save(); err != nil {
+	for _, item := range []*folder{stored, smallest} {
+		if err := item.save(); err != nil {
 			t.Fatal(err)
 		}
-		raw, err := os.ReadFile(filepath.Join(x.dir, "member.json"))
+		raw, err := os.ReadFile(filepath.Join(item.dir, "member.json"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -270,10 +273,10 @@
 		t.Fatal(err)
 	}
 	defer got.close()
-	for _, x := range []*folder{got, &strict} {
-		if x.Name != "a" || x.Incarnation != 7 || !x.Voter || !x.Forced || !x.Started ||
-			!slices.Equal(x.FirstStartVoters, []string{"a", "b"}) {
-			t.Errorf("read back: %+v", x)
+	for _, item := range []*folder{got, &strict} {
+		if item.Name != "a" || item.Incarnation != 7 || !item.Voter || !item.Forced || !item.Started ||
+			!slices.Equal(item.FirstStartVoters, []string{"a", "b"}) {
+			t.Errorf("read back: %+v", item)
 		}
 	}
 	if err := writeQuotaMembers(dir, 17); err != nil {
--- a/internal/group/golden_values_test.go
+++ b/internal/group/golden_values_test.go
@@ -9,13 +9,16 @@
 	"github.com/rs/zerolog"
 )
 
-func goldenHello(what connPurpose) helloMessage {
+// goldenHello returns a hello with every field set.
+func goldenHello(purpose connPurpose) helloMessage {
 	return helloMessage{
-		Version: protocolVersion, Purpose: what, From: "a", To: "b", Incarnation: 3, Process: 1<<63 + 7, KnownIncarnation: 5,
-		LeaseUs: 400_000, Drift: 0.01, Log: logPosition{Index: 900, Term: 4, Exists: true},
+		Version: protocolVersion, Purpose: purpose, From: "a", To: "b", Incarnation: 3, Process: 1<<63 + 7,
+		KnownIncarnation: 5,
+		LeaseUs:          400_000, Drift: 0.01, Log: logPosition{Index: 900, Term: 4, Exists: true},
 	}
 }
 
+// goldenHeartbeat returns a heartbeat with every field set.
 func goldenHeartbeat() heartbeat {
 	return heartbeat{
 		Sequence: 12, Address: "10.0.0.1:7000", Weight: 1.5, Offers: []string{"report", "sweep"},
@@ -32,6 +35,7 @@
 	}
 }
 
+// goldenHints returns a hint with every field set.
 func goldenHints() []Hint {
 	return []Hint{{
 		Destination: 2, RetryAfterUs: 1_500_000, Unavailable: true, Recovering: true,
@@ -39,6 +43,7 @@
 	}}
 }
 
+// goldenReply returns a reply with every field set.
 func goldenReply() heartbeatReply {
 	return heartbeatReply{
 		Sequence: 12, WakeUp: true, Error: "does not lead", Leader: "b", LeaderAddress: "10.0.0.2:7000",
@@ -50,6 +55,7 @@
 	}
 }
 
+// goldenView returns a view with every field set.
 func goldenView() *view {
 	return &view{
 		Leader: "b", Incarnations: map[string]uint64{"a": 3}, Addresses: map[string]string{"a": "10.0.0.1:7000"},
@@ -63,24 +69,24 @@
 	}
 }
 
-// goldenMember is a member that has not been started, with a fixed number and a fixed clock.
+// goldenMember returns a member that is not running, with a fixed process number and a fixed clock.
 func goldenMember(t *testing.T, name string, voters map[string]string) *Group {
 	t.Helper()
-	return goldenMemberOf(t, name, voters, 400*time.Millisecond)
+	return goldenMemberWithLease(t, name, voters, 400*time.Millisecond)
 }
 
-// goldenMemberOf is one with leases of a length.
-func goldenMemberOf(t *testing.T, name string, voters map[string]string, length time.Duration) *Group {
+// goldenMemberWithLease returns a member as goldenMember does, with leases of the given length.
+func goldenMemberWithLease(t *testing.T, name string, voters map[string]string, leaseLength time.Duration) *Group {
 	t.Helper()
 	g := New(Options{
 		Name: name, Listen: "10.0.0.9:7000", Voters: voters, Dir: t.TempDir(), Log: zerolog.Nop(),
-		Terms: lease.Terms{Length: length, Drift: 0.01}, Clock: func() time.Duration { return time.Hour },
+		Terms: lease.Terms{Length: leaseLength, Drift: 0.01}, Clock: func() time.Duration { return time.Hour },
 	})
 	g.process, g.incarnation, g.position = 1<<63+7, 3, logPosition{Index: 900, Term: 4, Exists: true}
 	return g
 }
 
-// goldenEntries is the log of the stored folder. It sets every field of an entry.
+// goldenEntries returns the log entries of the stored folder. Together they set every field of an entry.
 func goldenEntries() []lease.Entry {
 	return []lease.Entry{
 		{Op: lease.RecordIncarnation, Member: "a", Incarnation: 3, Recipient: "10.0.0.1:7000", Base: 11},
@@ -91,7 +97,7 @@
 		{Op: lease.Revoke, Refs: []lease.Ref{{Name: "report", Epoch: 41}}},
 		{Op: lease.Grant, Name: "roll#1", Member: "b", Incarnation: 2, Hold: 90_000_000},
 		{Op: lease.AssignQuota, Name: "calls", Member: "a", Incarnation: 3, Amount: 700, Limit: 1000},
-		// From here on the snapshot does not have them.
+		// The snapshot does not cover the entries from here on.
 		{Op: lease.Grant, Name: "sweep", Member: "b", Incarnation: 2},
 		{Op: lease.Renew, Member: "b", Incarnation: 2, Refs: []lease.Ref{{Name: "sweep", Epoch: 44, Renewal: 1, Amount: 1}}},
 		{Op: lease.Release, Member: "b", Incarnation: 2, Recipient: "a", Refs: []lease.Ref{{Name: "sweep", Epoch: 44}}},
@@ -100,10 +106,10 @@
 	}
 }
 
-// inSnapshot is how many of the golden entries the stored folder's snapshot has.
+// inSnapshot is the number of golden entries that the stored folder's snapshot covers.
 const inSnapshot = 8
 
-// goldenTable is the table that the golden entries lead to.
+// goldenTable returns the table after all golden entries.
 func goldenTable() *lease.Table {
 	return &lease.Table{
 		Epoch: 45,
--- a/internal/group/group_test.go
+++ b/internal/group/group_test.go
@@ -16,115 +16,123 @@
 	"brackendale/internal/testing/fleet"
 )
 
-// The holder is cut off from the others but not from the receiver: it stops by its own clock,
-// another goes on under a newer epoch, and an order names who is next. Clocks run at most 1% too
-// fast or too slow. What is handed on in order is.
-func TestHandedOn(t *testing.T) {
-	c := newTestGroup(t, three, "x", "y")
-	for n, rate := range map[string]float64{"a": 0.991, "b": 1.009} {
-		c.opts[n].Clock = func() time.Duration { return time.Duration(float64(group.Boottime()) * rate) }
+// A duty must not be executed by two members at once while its lease changes hands, with clocks that
+// run up to 1% too fast or too slow. A holder that is partitioned from the other members, but not from
+// the receiver, stops by its own clock, and another member continues under a newer epoch. A command
+// moves a duty to the member that it names. A holder that stops hands its duties over.
+func TestHandOverOnPartitionAndCommand(t *testing.T) {
+	cluster := newTestGroup(t, threeMembers, "x", "y")
+	for name, rate := range map[string]float64{"a": 0.991, "b": 1.009} {
+		cluster.memberOptions[name].Clock = func() time.Duration { return time.Duration(float64(group.Boottime()) * rate) }
 	}
-	c.start(three...)
+	cluster.start(threeMembers...)
 	for range 2 {
-		who := c.acts()
-		c.cut(who, true)
-		c.waitFor("another holder", func() bool { return c.acts() != who })
-		for _, d := range c.running[who].Duties() {
-			if d.Holder != "" || d.Reason == "" {
-				t.Errorf("cut off: %+v", d)
+		holder := cluster.awaitExecutions()
+		cluster.setIsolated(holder, true)
+		cluster.waitFor("another holder", func() bool { return cluster.awaitExecutions() != holder })
+		for _, duty := range cluster.running[holder].Duties() {
+			if duty.Holder != "" || duty.Reason == "" {
+				t.Errorf("the isolated member shows a holder, or no reason: %+v", duty)
 			}
 		}
-		c.cut(who, false)
+		cluster.setIsolated(holder, false)
 	}
-	who := c.acts()
-	to := other(who)
-	ctx, stop := context.WithTimeout(context.Background(), long)
+	holder := cluster.awaitExecutions()
+	recipient := otherThan(holder)
+	ctx, stop := context.WithTimeout(context.Background(), hangTimeout)
 	defer stop()
-	c.waitFor("handed", func() bool { return c.running[other(to)].HandOver(ctx, "x", to) == nil })
-	c.waitFor("it has it", func() bool { return c.acts() == to })
-	c.receiver.Behave(length, 0, false) // no act ends in time: each is given up, with a word why, and the duty is held on
-	c.waitFor("it says why", func() bool {
-		for _, d := range c.running[to].Duties() {
-			if d.Holder == to && strings.Contains(d.Reason, "deadline") {
+	cluster.waitFor("handed",
+		func() bool { return cluster.running[otherThan(recipient)].HandOver(ctx, "x", recipient) == nil })
+	cluster.waitFor("it has it", func() bool { return cluster.awaitExecutions() == recipient })
+	// No execution ends in time now: each one is aborted, its error is shown, and the duty stays held.
+	cluster.receiver.Behave(leaseLength, 0, false)
+	cluster.waitFor("it says why", func() bool {
+		for _, duty := range cluster.running[recipient].Duties() {
+			if duty.Holder == recipient && strings.Contains(duty.Reason, "deadline") {
 				return true
 			}
 		}
 		return false
 	})
-	c.receiver.Behave(0, 0, false)
-	c.stop(to)
-	c.waitFor("it has gone", func() bool { return c.acts() != to })
-	if err := c.running[who].HandOver(ctx, "x", to); err == nil {
-		t.Errorf("handed to one who is not here: %v", err)
+	cluster.receiver.Behave(0, 0, false)
+	cluster.stop(recipient)
+	cluster.waitFor("it has gone",
+		func() bool { return cluster.awaitExecutions() != recipient })
+	if err := cluster.running[holder].HandOver(ctx, "x", recipient); err == nil {
+		t.Errorf("a duty was handed over to a member that is absent: %v", err)
 	}
-	c.requireOneHolder()
+	cluster.requireOneHolder()
 }
 
-// A holder whose clock is far slower than the drift allows believes for too long: with a receiver
-// that takes all, the checker must see it.
-func TestSlowClockIsCaught(t *testing.T) {
-	c := newTestGroup(t, three, "x")
-	c.receiver.Behave(length/8, 0, true)
+// The check of the other tests must detect an overlap: a holder whose clock is far slower than the
+// allowed drift uses its lease for too long, and the receiver accepts executions of any epoch.
+func TestSlowClockIsDetected(t *testing.T) {
+	cluster := newTestGroup(t, threeMembers, "x")
+	cluster.receiver.Behave(leaseLength/8, 0, true)
 	slowed := map[string]*atomic.Int64{}
-	for _, n := range three {
-		at := &atomic.Int64{}
-		slowed[n] = at
-		c.opts[n].Clock = func() time.Duration {
-			if f := at.Load(); f != 0 {
-				return time.Duration(f) + (group.Boottime()-time.Duration(f))/10 // a tenth of its pace
+	for _, name := range threeMembers {
+		slowedAt := &atomic.Int64{}
+		slowed[name] = slowedAt
+		cluster.memberOptions[name].Clock = func() time.Duration {
+			if since := slowedAt.Load(); since != 0 {
+				return time.Duration(since) + (group.Boottime()-time.Duration(since))/10 // a tenth of the normal speed
 			}
 			return group.Boottime()
 		}
 	}
-	c.start(three...)
-	who := c.acts()
-	slowed[who].Store(int64(group.Boottime()))
-	c.cut(who, true)
-	c.waitFor("the fault in the time line", func() bool {
-		verdict := fleet.Check(c.timeline.Events())
+	cluster.start(threeMembers...)
+	holder := cluster.awaitExecutions()
+	slowed[holder].Store(int64(group.Boottime()))
+	cluster.setIsolated(holder, true)
+	cluster.waitFor("the fault in the time line", func() bool {
+		verdict := fleet.Check(cluster.timeline.Events())
 		return verdict.Overlaps+verdict.Old > 0
 	})
 }
 
-// A name that is in use, a file with other terms, a folder of another member, a file with other
-// voters at the first start: each is refused with a sentence, and the group goes on.
-func TestRefused(t *testing.T) {
-	c := newTestGroup(t, three, "x")
-	other := *c.opts["c"]
-	c.start("a", "b")
-	c.waitFor("it waits for all at the first start",
-		func() bool { return strings.Contains(c.running["a"].Duties()[0].Reason, "waits for") })
-	odd := other
-	odd.Voters = map[string]string{"a": other.Voters["a"], "b": other.Voters["b"], "z": other.Listen}
-	c.opts["c"] = &odd
-	c.start("c")
-	c.waitFor("other voters", func() bool { return strings.Contains(c.running["a"].Duties()[0].Reason, "other voters") })
-	c.stop("c")
-	c.opts["c"] = &other
-	c.start("c")
-	c.acts()
-	says := func(what, word string, change func(*group.Options)) {
+// A member that must not join is refused with an explanation, and the group continues without it: a
+// name that is in use, other lease terms, the folder of another member, other voters at the first
+// start, another protocol version.
+func TestMisconfiguredMembersAreRefused(t *testing.T) {
+	cluster := newTestGroup(t, threeMembers, "x")
+	original := *cluster.memberOptions["c"]
+	cluster.start("a", "b")
+	cluster.waitFor("it waits for all at the first start",
+		func() bool { return strings.Contains(cluster.running["a"].Duties()[0].Reason, "waits for") })
+	changed := original
+	changed.Voters = map[string]string{"a": original.Voters["a"], "b": original.Voters["b"], "z": original.Listen}
+	cluster.memberOptions["c"] = &changed
+	cluster.start("c")
+	cluster.waitFor("other voters",
+		func() bool { return strings.Contains(cluster.running["a"].Duties()[0].Reason, "other voters") })
+	cluster.stop("c")
+	cluster.memberOptions["c"] = &original
+	cluster.start("c")
+	cluster.awaitExecutions()
+	expectReason := func(variant, reason string, change func(*group.Options)) {
 		t.Helper()
-		o := *c.opts["c"]
-		o.Dir = filepath.Join(c.dir, "new"+what)
+		options := *cluster.memberOptions["c"]
+		options.Dir = filepath.Join(cluster.dir, "new"+variant)
 		var err error
-		if o.Listen, err = fleet.FreePort(); err != nil {
+		if options.Listen, err = fleet.FreePort(); err != nil {
 			t.Fatal(err)
 		}
-		change(&o)
-		c.opts[what] = &o
-		c.start(what)
-		c.waitFor(what+": "+word, func() bool { return strings.Contains(c.running[what].Duties()[0].Reason, word) })
-		c.stop(what)
+		change(&options)
+		cluster.memberOptions[variant] = &options
+		cluster.start(variant)
+		cluster.waitFor(variant+": "+reason,
+			func() bool { return strings.Contains(cluster.running[variant].Duties()[0].Reason, reason) })
+		cluster.stop(variant)
 	}
-	says("clash", "in use", func(*group.Options) {})
-	says("terms", "drift must be the same", func(o *group.Options) { o.Name = "d"; o.Terms.Drift = 0.02 })
-	says("folder", "belongs to", func(o *group.Options) {
-		o.Name = "d"
-		o.Dir = c.opts["c"].Dir + "-copy"
-		copyFolder(t, c.opts["c"].Dir, o.Dir)
+	expectReason("clash", "in use", func(*group.Options) {})
+	expectReason("terms", "drift must be the same",
+		func(options *group.Options) { options.Name = "d"; options.Terms.Drift = 0.02 })
+	expectReason("folder", "belongs to", func(options *group.Options) {
+		options.Name = "d"
+		options.Dir = cluster.memberOptions["c"].Dir + "-copy"
+		copyFolder(t, cluster.memberOptions["c"].Dir, options.Dir)
 	})
-	conn, err := net.Dial("tcp", c.listen["a"])
+	conn, err := net.Dial("tcp", cluster.listen["a"])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,75 +143,79 @@
 	if line, err := bufio.NewReader(conn).ReadString('\n'); err != nil || !strings.Contains(line, "version 99") {
 		t.Errorf("another version: %q %v", line, err)
 	}
-	c.acts()
-	c.requireOneHolder()
+	cluster.awaitExecutions()
+	cluster.requireOneHolder()
 }
 
-func copyFolder(t *testing.T, from, to string) {
+// copyFolder copies the member.json of a folder to a new folder.
+func copyFolder(t *testing.T, source, target string) {
 	t.Helper()
-	raw, err := os.ReadFile(filepath.Join(from, "member.json"))
+	raw, err := os.ReadFile(filepath.Join(source, "member.json"))
 	if err == nil {
-		err = errors.Join(os.MkdirAll(to, 0o700), os.WriteFile(filepath.Join(to, "member.json"), raw, 0o600))
+		err = errors.Join(os.MkdirAll(target, 0o700), os.WriteFile(filepath.Join(target, "member.json"), raw, 0o600))
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
 }
 
-// Members beside the voters hold duties too and cannot vote; one that its file names is let in,
-// leaves and comes again; a receiver that knows a newer epoch ends a holding at once.
-func TestMembersBesideVoters(t *testing.T) {
-	c := newTestGroup(t, append([]string{"d"}, three...), "x", "y", "z")
-	for _, o := range c.opts {
-		delete(o.Voters, "d")
+// Members that are not voters hold duties, but cannot vote. A member that its settings list as a voter
+// can become one, leave the voters and join them again. A holder releases a duty at once if the
+// receiver replies that it has recorded a newer epoch.
+func TestNonVotingMembers(t *testing.T) {
+	cluster := newTestGroup(t, append([]string{"d"}, threeMembers...), "x", "y", "z")
+	for _, options := range cluster.memberOptions {
+		delete(options.Voters, "d")
 	}
-	d := c.opts["d"]
-	d.Weight = 50
-	c.start("a", "b", "c")
-	c.acts()
-	c.start("d")
-	c.waitFor("it holds one", func() bool {
-		for _, x := range c.running["d"].Duties() {
-			if x.Holder == "d" && x.Executions > 0 {
+	nonVoter := cluster.memberOptions["d"]
+	nonVoter.Weight = 50
+	cluster.start("a", "b", "c")
+	cluster.awaitExecutions()
+	cluster.start("d")
+	cluster.waitFor("it holds one", func() bool {
+		for _, duty := range cluster.running["d"].Duties() {
+			if duty.Holder == "d" && duty.Executions > 0 {
 				return true
 			}
 		}
 		return false
 	})
-	votes := func(is bool) func() bool {
+	hasVote := func(expected bool) func() bool {
 		return func() bool {
-			for _, m := range c.running["d"].Members() {
-				if m.Name == "d" && m.Present {
-					return m.Voter == is
+			for _, member := range cluster.running["d"].Members() {
+				if member.Name == "d" && member.Present {
+					return member.Voter == expected
 				}
 			}
 			return false
 		}
 	}
-	if err := c.running["d"].Join(); err == nil {
-		t.Error("a member that no file names votes")
+	if err := cluster.running["d"].Join(); err == nil {
+		t.Error("a member that no settings list as a voter may vote")
 	}
-	c.stop("d")
-	if _, err := group.Recover(d.Dir, "d", d.Voters); err == nil {
-		t.Error("a group was recovered on a member that no file names: others would not find it")
+	cluster.stop("d")
+	if _, err := group.Recover(nonVoter.Dir, "d", nonVoter.Voters); err == nil {
+		t.Error("a group was recovered on a member that no settings list as a voter: others would not find it")
 	}
-	d.Voters["d"] = d.Listen
-	c.start("d")
-	c.waitFor("it votes", votes(true))
-	ctx, stop := context.WithTimeout(context.Background(), long)
+	nonVoter.Voters["d"] = nonVoter.Listen
+	cluster.start("d")
+	cluster.waitFor("it votes", hasVote(true))
+	ctx, stop := context.WithTimeout(context.Background(), hangTimeout)
 	defer stop()
-	c.waitFor("it votes no more", func() bool { _ = c.running["d"].Leave(ctx); return votes(false)() })
-	c.waitFor("it votes again", func() bool { _ = c.running["d"].Join(); return votes(true)() })
-	from := c.timeline.Now()
-	c.receiver.Behave(0, 409, false)
-	c.waitFor("given up", func() bool {
+	cluster.waitFor("it votes no more",
+		func() bool { _ = cluster.running["d"].Leave(ctx); return hasVote(false)() })
+	cluster.waitFor("it votes again",
+		func() bool { _ = cluster.running["d"].Join(); return hasVote(true)() })
+	since := cluster.timeline.Now()
+	cluster.receiver.Behave(0, 409, false)
+	cluster.waitFor("given up", func() bool {
 		epochs := map[uint64]bool{}
-		for _, e := range c.timeline.Events() {
-			if e.What == "act" && e.At > from && e.Duty == "x" {
-				epochs[e.Epoch] = true
+		for _, event := range cluster.timeline.Events() {
+			if event.What == "act" && event.At > since && event.Duty == "x" {
+				epochs[event.Epoch] = true
 			}
 		}
 		return len(epochs) > 2
 	})
-	c.requireOneHolder()
+	cluster.requireOneHolder()
 }
--- a/internal/group/quotas_test.go
+++ b/internal/group/quotas_test.go
@@ -10,48 +10,50 @@
 	"brackendale/internal/group"
 )
 
-// Shares of a limit: at no instant do the members count on more than it together, each by its own
-// clock, while wants change, one is cut off, one is gone for good and the limit is lowered; all of
-// it is in use again afterwards. A restart slot is one member's at a time, and its next
-// incarnation releases it. A duty that goes round does.
-func TestSharesAndRolls(t *testing.T) {
-	c := newTestGroup(t, three, "x")
+// The sum of the quotas that the members use, each by its own clock, must never exceed the limit:
+// while demands change, while a member is isolated, and after a member has stopped. After each of
+// these, the whole limit is used again. A restart slot belongs to one member at a time, until the next
+// incarnation of that member releases it. A round-robin duty moves from member to member.
+func TestQuotasAndRollouts(t *testing.T) {
+	cluster := newTestGroup(t, threeMembers, "x")
 	const limit = 60_000
-	type part struct {
+	type appliedQuota struct {
 		amount atomic.Int64
 		until  atomic.Int64
 	}
-	parts, wants := map[string]*part{}, map[string]*atomic.Int64{}
-	top := atomic.Int64{}
-	top.Store(limit)
-	for _, n := range three {
-		p, w := &part{}, &atomic.Int64{}
-		parts[n], wants[n] = p, w
-		w.Store(5_000)
-		o := c.opts[n]
-		o.Duties[0].RoundRobin = true
-		o.Rollouts = []group.Rollout{{Name: "r", MaxConcurrent: 1, MaxDowntime: time.Hour}}
-		o.Limits = []group.Limit{{
-			Name: "l", Rate: limit, Demand: w.Load,
+	quotas, demands := map[string]*appliedQuota{}, map[string]*atomic.Int64{}
+	maximum := atomic.Int64{}
+	maximum.Store(limit)
+	for _, name := range threeMembers {
+		quota, demand := &appliedQuota{}, &atomic.Int64{}
+		quotas[name], demands[name] = quota, demand
+		demand.Store(5_000)
+		options := cluster.memberOptions[name]
+		options.Duties[0].RoundRobin = true
+		options.Rollouts = []group.Rollout{{Name: "r", MaxConcurrent: 1, MaxDowntime: time.Hour}}
+		options.Limits = []group.Limit{{
+			Name: "l", Rate: limit, Demand: demand.Load,
 			Apply: func(amount int64, until time.Duration, _ int64) {
-				if amount > p.amount.Load() { // the later end counts only with the later amount: down first, up last
-					p.until.Store(int64(until))
-					p.amount.Store(amount)
+				// The two values are stored separately: a later deadline must never be paired with an earlier, larger
+				// amount. So the amount is stored first if it is lowered, and last if it is raised.
+				if amount > quota.amount.Load() {
+					quota.until.Store(int64(until))
+					quota.amount.Store(amount)
 					return
 				}
-				p.amount.Store(amount)
-				p.until.Store(int64(until))
+				quota.amount.Store(amount)
+				quota.until.Store(int64(until))
 			},
 		}}
 	}
-	sum := func() (all int64) {
+	sum := func() (total int64) {
 		now := int64(group.Boottime())
-		for _, p := range parts {
-			if now < p.until.Load() {
-				all += p.amount.Load()
+		for _, quota := range quotas {
+			if now < quota.until.Load() {
+				total += quota.amount.Load()
 			}
 		}
-		return all
+		return total
 	}
 	stop := make(chan struct{})
 	defer close(stop)
@@ -61,118 +63,129 @@
 			case <-stop:
 				return
 			case <-time.After(time.Millisecond):
-				if s := sum(); s > top.Load() {
-					t.Errorf("shares of %d together, of %d", s, top.Load())
+				if inUse := sum(); inUse > maximum.Load() {
+					t.Errorf("the quotas add up to %d, the limit is %d", inUse, maximum.Load())
 					return
 				}
 			}
 		}
 	}()
-	used := func() bool { return sum() > limit*95/100 }
-	c.start(three...)
-	c.waitFor("all of it is in use", used)
-	wants["a"].Store(50_000)
-	c.waitFor("who wants most has most", func() bool { return used() && parts["a"].amount.Load() > 45_000 })
-	wants["a"].Store(1_000)
-	wants["b"].Store(50_000)
-	c.waitFor("the other has it", func() bool { return used() && parts["b"].amount.Load() > 45_000 })
-	c.cut("b", true)
-	wants["c"].Store(50_000)
-	c.waitFor("what the one cut off had is in use", func() bool { return used() && parts["c"].amount.Load() > 45_000 })
-	c.cut("b", false)
-	c.waitFor("both", func() bool { return used() && parts["b"].amount.Load() > 20_000 })
-	c.stop("b")
-	c.waitFor("what the dead one had is in use", func() bool { return used() && parts["c"].amount.Load() > 45_000 })
-	c.start("b")
+	fullyUsed := func() bool { return sum() > limit*95/100 }
+	cluster.start(threeMembers...)
+	cluster.waitFor("all of it is in use", fullyUsed)
+	demands["a"].Store(50_000)
+	cluster.waitFor("who wants most has most",
+		func() bool { return fullyUsed() && quotas["a"].amount.Load() > 45_000 })
+	demands["a"].Store(1_000)
+	demands["b"].Store(50_000)
+	cluster.waitFor("the other has it",
+		func() bool { return fullyUsed() && quotas["b"].amount.Load() > 45_000 })
+	cluster.setIsolated("b", true)
+	demands["c"].Store(50_000)
+	cluster.waitFor("what the one cut off had is in use",
+		func() bool { return fullyUsed() && quotas["c"].amount.Load() > 45_000 })
+	cluster.setIsolated("b", false)
+	cluster.waitFor("both", func() bool { return fullyUsed() && quotas["b"].amount.Load() > 20_000 })
+	cluster.stop("b")
+	cluster.waitFor("what the dead one had is in use",
+		func() bool { return fullyUsed() && quotas["c"].amount.Load() > 45_000 })
+	cluster.start("b")
 
-	ctx, cancel := context.WithTimeout(context.Background(), long)
+	ctx, cancel := context.WithTimeout(context.Background(), hangTimeout)
 	defer cancel()
-	c.waitFor("out", func() bool { return c.running["a"].RequestRestart(ctx) == nil })
-	if err := c.running["c"].RequestRestart(ctx); err == nil || !strings.Contains(err.Error(), "a is out") {
-		t.Errorf("two are out: %v", err)
+	cluster.waitFor("out",
+		func() bool { return cluster.running["a"].RequestRestart(ctx) == nil })
+	if err := cluster.running["c"].RequestRestart(ctx); err == nil || !strings.Contains(err.Error(), "a is out") {
+		t.Errorf("two members may restart at once: %v", err)
 	}
-	c.stop("a")
-	if err := c.running["c"].RequestRestart(ctx); err == nil {
-		t.Error("another is out while the first has not come back")
+	cluster.stop("a")
+	if err := cluster.running["c"].RequestRestart(ctx); err == nil {
+		t.Error("another member may restart while the first has not started again")
 	}
-	c.start("a")
-	c.waitFor("the first is back", func() bool { return c.running["c"].RequestRestart(ctx) == nil })
-	who := map[string]bool{}
-	c.waitFor("it went round", func() bool { who[c.acts()] = true; return len(who) == 3 })
-	c.requireOneHolder()
+	cluster.start("a")
+	cluster.waitFor("the first is back",
+		func() bool { return cluster.running["c"].RequestRestart(ctx) == nil })
+	executors := map[string]bool{}
+	cluster.waitFor("it went round",
+		func() bool { executors[cluster.awaitExecutions()] = true; return len(executors) == 3 })
+	cluster.requireOneHolder()
 }
 
-// An incarnation that comes back alone, after one in which three used a limit, counts on no more
-// than the even part of three until somebody leads, and knows so before anybody has answered.
-func TestEvenPartUntilTheFirstWord(t *testing.T) {
-	c := newTestGroup(t, three, "x")
-	parts := map[string]*atomic.Int64{}
-	for _, n := range three {
-		v := &atomic.Int64{}
-		parts[n] = v
-		delete(c.opts[n].Voters, "b")
-		delete(c.opts[n].Voters, "c") // a votes alone: its file says nothing of the others
-		c.opts[n].Limits = []group.Limit{{
+// Members that start at the same time must not use the whole limit each until a leader assigns quotas.
+// A member whose last incarnation shared a limit with two others uses only the even share of three
+// from its start, without a reply of any other member.
+func TestEvenShareUntilFirstReply(t *testing.T) {
+	cluster := newTestGroup(t, threeMembers, "x")
+	shares := map[string]*atomic.Int64{}
+	for _, name := range threeMembers {
+		share := &atomic.Int64{}
+		shares[name] = share
+		delete(cluster.memberOptions[name].Voters, "b")
+		delete(cluster.memberOptions[name].Voters, "c") // a is the only voter: the settings do not list the other members
+		cluster.memberOptions[name].Limits = []group.Limit{{
 			Name: "l", Rate: 60_000, Demand: func() int64 { return 10_000 },
 			Apply: func(amount int64, _ time.Duration, even int64) {
-				if v.Store(even); amount > 20_000 {
-					v.Store(-1)
+				if share.Store(even); amount > 20_000 {
+					share.Store(-1)
 				}
 			},
 		}}
 	}
-	c.opts["b"].Voters["a"], c.opts["c"].Voters["a"] = c.links[[2]string{"b", "a"}].Addr(),
-		c.links[[2]string{"c", "a"}].Addr()
-	c.start(three...)
-	c.waitFor("all three share it", func() bool { return parts["a"].Load() == 20_000 && parts["c"].Load() == 20_000 })
-	for _, n := range three {
-		c.stop(n)
+	cluster.memberOptions["b"].Voters["a"], cluster.memberOptions["c"].Voters["a"] =
+		cluster.links[[2]string{"b", "a"}].Addr(), cluster.links[[2]string{"c", "a"}].Addr()
+	cluster.start(threeMembers...)
+	cluster.waitFor("all three share it",
+		func() bool { return shares["a"].Load() == 20_000 && shares["c"].Load() == 20_000 })
+	for _, name := range threeMembers {
+		cluster.stop(name)
 	}
-	parts["c"].Store(0)
-	c.start("c")
-	c.waitFor("it has heard nothing", func() bool {
-		return strings.Contains(c.running["c"].Duties()[0].Reason, "no leader") && parts["c"].Load() != 0
+	shares["c"].Store(0)
+	cluster.start("c")
+	cluster.waitFor("it has heard nothing", func() bool {
+		return strings.Contains(cluster.running["c"].Duties()[0].Reason, "no leader") && shares["c"].Load() != 0
 	})
-	if got := parts["c"].Load(); got != 20_000 {
-		t.Errorf("it counts on %d", got)
+	if got := shares["c"].Load(); got != 20_000 {
+		t.Errorf("the restarted member uses %d", got)
 	}
 }
 
-// What one claims another holds: all that claim hear who it is, one at a time, and another when
-// that one claims no more. Hints come with their age.
+// Of the members that claim a lease, one holds it, and all of them are notified of that holder. Another
+// one gets the lease once the holder no longer claims it. Hints arrive with their age deducted.
 func TestClaimsAndHints(t *testing.T) {
-	c := newTestGroup(t, three, "x")
-	holds, waits := map[string]*atomic.Value{}, &atomic.Int64{}
-	for _, n := range three {
-		v := &atomic.Value{}
-		v.Store("")
-		holds[n] = v
-		c.opts[n].OnHints = func(hints []group.Hint, held map[string]string, _ time.Duration) {
-			v.Store(held["return@7"])
-			for _, h := range hints {
-				if h.Destination == 7 && h.Member == "a" && n == "b" {
-					waits.Store(h.RetryAfterUs)
+	cluster := newTestGroup(t, threeMembers, "x")
+	holders, retryAfterUs := map[string]*atomic.Value{}, &atomic.Int64{}
+	for _, name := range threeMembers {
+		holder := &atomic.Value{}
+		holder.Store("")
+		holders[name] = holder
+		cluster.memberOptions[name].OnHints = func(hints []group.Hint, claimHolders map[string]string, _ time.Duration) {
+			holder.Store(claimHolders["return@7"])
+			for _, hint := range hints {
+				if hint.Destination == 7 && hint.Member == "a" && name == "b" {
+					retryAfterUs.Store(hint.RetryAfterUs)
 				}
 			}
 		}
 	}
-	c.start(three...)
-	c.acts()
-	for _, n := range three {
-		c.running[n].Claim([]string{"return@7"})
+	cluster.start(threeMembers...)
+	cluster.awaitExecutions()
+	for _, name := range threeMembers {
+		cluster.running[name].Claim([]string{"return@7"})
 	}
-	agreed := func() string {
-		who := holds["a"].Load().(string)
-		if who == holds["b"].Load() && who == holds["c"].Load() {
-			return who
+	agreedHolder := func() string {
+		common := holders["a"].Load().(string)
+		if common == holders["b"].Load() && common == holders["c"].Load() {
+			return common
 		}
 		return ""
 	}
-	c.waitFor("one tries", func() bool { return agreed() != "" })
-	first := agreed()
-	c.running[first].Claim(nil)
-	next := other(first)
-	c.waitFor("another tries", func() bool { w := holds[next].Load().(string); return w != "" && w != first })
-	c.running["a"].PublishHints([]group.Hint{{Destination: 7, RetryAfterUs: 1_000_000}})
-	c.waitFor("the wait is heard of", func() bool { w := waits.Load(); return w > 0 && w < 1_000_000 })
+	cluster.waitFor("one tries", func() bool { return agreedHolder() != "" })
+	first := agreedHolder()
+	cluster.running[first].Claim(nil)
+	next := otherThan(first)
+	cluster.waitFor("another tries",
+		func() bool { w := holders[next].Load().(string); return w != "" && w != first })
+	cluster.running["a"].PublishHints([]group.Hint{{Destination: 7, RetryAfterUs: 1_000_000}})
+	cluster.waitFor("the wait is heard of",
+		func() bool { w := retryAfterUs.Load(); return w > 0 && w < 1_000_000 })
 }
--- a/internal/group/testgroup_test.go
+++ b/internal/group/testgroup_test.go
@@ -16,64 +16,65 @@
 )
 
 const (
-	length = 400 * time.Millisecond // of a lease
-	long   = 30 * time.Second       // ends a hang; no test passes or fails by time
+	leaseLength = 400 * time.Millisecond
+	hangTimeout = 30 * time.Second // fails a test that hangs; no other result depends on it
 )
 
-// testGroup is members in this process, with a link between each two.
+// testGroup is a group whose members run in this process. Each two members are connected by links that
+// can inject faults.
 type testGroup struct {
-	t        *testing.T
-	dir      string
-	timeline *fleet.Timeline
-	receiver *fleet.Receiver
-	opts     map[string]*group.Options
-	links    map[[2]string]*fleet.Link
-	listen   map[string]string
-	running  map[string]*runningMember
-	duties   []string
+	t             *testing.T
+	dir           string
+	timeline      *fleet.Timeline
+	receiver      *fleet.Receiver
+	memberOptions map[string]*group.Options
+	links         map[[2]string]*fleet.Link // by caller and target
+	listen        map[string]string         // addresses by member
+	running       map[string]*runningMember
+	duties        []string
 }
 
-// runningMember is a member that takes part.
+// runningMember is a member whose Run is in progress.
 type runningMember struct {
 	*group.Group
 	stop func()
 }
 
-// newTestGroup makes members with these duties; start lets them take part.
+// newTestGroup prepares members that may hold the duties; start starts them.
 func newTestGroup(t *testing.T, names []string, duties ...string) *testGroup {
 	t.Helper()
-	c := &testGroup{
-		t:        t,
-		dir:      t.TempDir(),
-		timeline: fleet.NewTimeline(),
-		opts:     map[string]*group.Options{},
-		links:    map[[2]string]*fleet.Link{},
-		listen:   map[string]string{},
-		running:  map[string]*runningMember{},
-		duties:   duties,
+	cluster := &testGroup{
+		t:             t,
+		dir:           t.TempDir(),
+		timeline:      fleet.NewTimeline(),
+		memberOptions: map[string]*group.Options{},
+		links:         map[[2]string]*fleet.Link{},
+		listen:        map[string]string{},
+		running:       map[string]*runningMember{},
+		duties:        duties,
 	}
 	var err error
-	if c.receiver, err = fleet.NewReceiver(c.timeline); err != nil {
+	if cluster.receiver, err = fleet.NewReceiver(cluster.timeline); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(c.receiver.Close)
+	t.Cleanup(cluster.receiver.Close)
 	for _, name := range names {
-		if c.listen[name], err = fleet.FreePort(); err != nil {
+		if cluster.listen[name], err = fleet.FreePort(); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for _, name := range names {
-		c.opts[name] = c.options(name, names)
+		cluster.memberOptions[name] = cluster.options(name, names)
 	}
 	t.Cleanup(func() {
-		for name := range c.running {
-			c.stop(name)
+		for name := range cluster.running {
+			cluster.stop(name)
 		}
 	})
-	return c
+	return cluster
 }
 
-// options is those of a member, which reaches each other one over a link of its own.
+// options returns the options of a member, which connects to each other member over a separate link.
 func (c *testGroup) options(name string, names []string) *group.Options {
 	c.t.Helper()
 	options := &group.Options{
@@ -81,7 +82,7 @@
 		Listen: c.listen[name],
 		Voters: map[string]string{},
 		Dir:    filepath.Join(c.dir, name),
-		Terms:  lease.Terms{Length: length, Drift: 0.01},
+		Terms:  lease.Terms{Length: leaseLength, Drift: 0.01},
 		Log:    zerolog.New(zerolog.NewTestWriter(c.t)).Level(zerolog.WarnLevel),
 	}
 	for _, peer := range names {
@@ -99,24 +100,24 @@
 	}
 	for _, duty := range c.duties {
 		options.Duties = append(options.Duties, group.Duty{
-			Name: duty, Every: length / 8, MaxDuration: length / 4,
+			Name: duty, Every: leaseLength / 8, MaxDuration: leaseLength / 4,
 			Execute: group.HTTPExecutor("http://" + c.receiver.Addr() + "/act"),
 		})
 	}
 	return options
 }
 
-// start lets members take part.
+// start starts members.
 func (c *testGroup) start(names ...string) {
 	for _, name := range names {
 		ctx, cancel := context.WithCancel(context.Background())
-		member, done := group.New(*c.opts[name]), make(chan struct{})
+		member, done := group.New(*c.memberOptions[name]), make(chan struct{})
 		go func() { defer close(done); member.Run(ctx) }()
 		c.running[name] = &runningMember{member, func() { cancel(); <-done }}
 	}
 }
 
-// stop ends a member in order, if it runs.
+// stop stops a member gracefully if it runs.
 func (c *testGroup) stop(name string) {
 	if member := c.running[name]; member != nil {
 		delete(c.running, name)
@@ -124,62 +125,62 @@
 	}
 }
 
-// cut cuts a member off from all others, both ways, or lets all through again.
-func (c *testGroup) cut(name string, on bool) {
+// setIsolated cuts all links to and from a member, or restores them.
+func (c *testGroup) setIsolated(name string, isolated bool) {
 	for ends, link := range c.links {
 		if ends[0] == name || ends[1] == name {
-			link.Set(fleet.LinkConditions{Cut: on}, fleet.LinkConditions{Cut: on})
+			link.Set(fleet.LinkConditions{Cut: isolated}, fleet.LinkConditions{Cut: isolated})
 		}
 	}
 }
 
-// waitFor waits until something holds.
-func (c *testGroup) waitFor(what string, is func() bool) {
+// waitFor waits until a condition holds. It fails the test after hangTimeout.
+func (c *testGroup) waitFor(condition string, holds func() bool) {
 	c.t.Helper()
-	for end := time.Now().Add(long); !is(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(hangTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			for name, member := range c.running {
 				c.t.Logf("%s: %+v %+v", name, member.Duties(), member.Members())
 			}
-			c.t.Fatalf("never: %s", what)
+			c.t.Fatalf("never: %s", condition)
 		}
 	}
 }
 
-// acts waits for an act of each duty that begins after this moment, and tells who carries out the
-// first one.
-func (c *testGroup) acts() (who string) {
+// awaitExecutions waits until an execution of each duty has begun since this call, and returns the
+// member that executed the first duty.
+func (c *testGroup) awaitExecutions() (executor string) {
 	c.t.Helper()
-	from := c.timeline.Now()
+	start := c.timeline.Now()
 	c.waitFor("an act of each duty", func() bool {
-		seen := map[string]string{}
+		executors := map[string]string{}
 		for _, event := range c.timeline.Events() {
-			if event.What == "act" && event.At > from {
-				seen[event.Duty] = event.Who
+			if event.What == "act" && event.At > start {
+				executors[event.Duty] = event.Who
 			}
 		}
-		who = seen[c.duties[0]]
-		return len(seen) == len(c.duties)
+		executor = executors[c.duties[0]]
+		return len(executors) == len(c.duties)
 	})
-	return who
+	return executor
 }
 
-// requireOneHolder fails the test where two held a duty at once.
+// requireOneHolder fails the test if two members held a duty at once.
 func (c *testGroup) requireOneHolder() {
 	c.t.Helper()
 	if verdict := fleet.Check(c.timeline.Events()); !verdict.Right() {
-		c.t.Errorf("%d overlaps, %d old, %d shared: %s", verdict.Overlaps, verdict.Old, verdict.Shared,
-			strings.Join(verdict.Broken, "\n"))
+		c.t.Errorf("%d overlapping executions, %d of an old epoch, %d epochs of two members: %s",
+			verdict.Overlaps, verdict.Old, verdict.Shared, strings.Join(verdict.Broken, "\n"))
 	}
 }
 
-// leader waits until a member sees itself lead.
+// leader waits until a member reports itself as the leader, and returns its name.
 func (c *testGroup) leader() (name string) {
 	c.t.Helper()
 	c.waitFor("a leader", func() bool {
 		for running, member := range c.running {
-			for _, m := range member.Members() {
-				if m.Leader && m.Name == running {
+			for _, view := range member.Members() {
+				if view.Leader && view.Name == running {
 					name = running
 					return true
 				}
@@ -190,15 +191,15 @@
 	return name
 }
 
-// other is a member that is none of those given.
-func other(than ...string) string {
-	for _, n := range []string{"a", "b", "c"} {
-		if fmt.Sprint(than) != fmt.Sprint([]string{n}) && !strings.Contains(strings.Join(than, ""), n) {
-			return n
+// otherThan returns a member of threeMembers that is not excluded.
+func otherThan(excluded ...string) string {
+	for _, name := range []string{"a", "b", "c"} {
+		if fmt.Sprint(excluded) != fmt.Sprint([]string{name}) && !strings.Contains(strings.Join(excluded, ""), name) {
+			return name
 		}
 	}
 	return ""
 }
 
-// three is the names of a usual group.
-var three = []string{"a", "b", "c"}
+// threeMembers are the names of the members in most tests.
+var threeMembers = []string{"a", "b", "c"}
