--- a/internal/group/folders_test.go
+++ b/internal/group/folders_test.go
@@ -62,7 +62,7 @@
 			t.Fatal(err)
 		}
 		cluster.start(affected)
-		cluster.waitFor("it votes again", func() bool {
+		cluster.waitFor("the member votes again", func() bool {
 			for _, member := range cluster.running[affected].Members() {
 				if member.Name == affected && member.Voter && member.Present && member.Incarnation > 1 {
 					return true
@@ -104,13 +104,13 @@
 		t.Fatal(err)
 	}
 	cluster.start(threeMembers...)
-	cluster.waitFor("they wait for its word", func() bool {
+	cluster.waitFor("the emptied members wait for the member with the log", func() bool {
 		first, second := cluster.running[affected].Duties()[0], cluster.running[third].Duties()[0]
 		return strings.Contains(first.Reason, "waits for "+leaderName) &&
 			strings.Contains(second.Reason, "waits for "+leaderName)
 	})
 	_ = lockedFile.Close()
-	cluster.waitFor("it shows why", func() bool {
+	cluster.waitFor("the emptied members show that a recovery is needed", func() bool {
 		first, second := cluster.running[affected].Duties()[0], cluster.running[third].Duties()[0]
 		return strings.Contains(first.Reason, "recover") && strings.Contains(second.Reason, "recover") &&
 			first.Holder+second.Holder == ""
@@ -165,9 +165,9 @@
 			affected = otherThan(affected)
 		}
 		diskFull[affected].Store(true)
-		cluster.waitFor("another leads", func() bool { return cluster.leader() != affected })
+		cluster.waitFor("another member leads", func() bool { return cluster.leader() != affected })
 		cluster.awaitExecutions()
-		cluster.waitFor("it says why", func() bool {
+		cluster.waitFor("the affected member shows the reason", func() bool {
 			for _, member := range cluster.running[affected].Members() {
 				if strings.Contains(member.Reason, "no space left") {
 					return true
@@ -176,7 +176,7 @@
 			return false
 		})
 		diskFull[affected].Store(false)
-		cluster.waitFor("it votes on", func() bool {
+		cluster.waitFor("the affected member votes again", func() bool {
 			for _, member := range cluster.running[affected].Members() {
 				if member.Name == affected && member.Voter && member.Present {
 					return true
--- a/internal/group/group_test.go
+++ b/internal/group/group_test.go
@@ -29,7 +29,7 @@
 	for range 2 {
 		holder := cluster.awaitExecutions()
 		cluster.setIsolated(holder, true)
-		cluster.waitFor("another holder", func() bool { return cluster.awaitExecutions() != holder })
+		cluster.waitFor("another member executes the duty", func() bool { return cluster.awaitExecutions() != holder })
 		for _, duty := range cluster.running[holder].Duties() {
 			if duty.Holder != "" || duty.Reason == "" {
 				t.Errorf("the isolated member shows a holder, or no reason: %+v", duty)
@@ -41,12 +41,12 @@
 	recipient := otherThan(holder)
 	ctx, stop := context.WithTimeout(context.Background(), hangTimeout)
 	defer stop()
-	cluster.waitFor("handed",
+	cluster.waitFor("the leader accepts the hand-over",
 		func() bool { return cluster.running[otherThan(recipient)].HandOver(ctx, "x", recipient) == nil })
-	cluster.waitFor("it has it", func() bool { return cluster.awaitExecutions() == recipient })
+	cluster.waitFor("the recipient executes the duty", func() bool { return cluster.awaitExecutions() == recipient })
 	// No execution ends in time now: each one is aborted, its error is shown, and the duty stays held.
 	cluster.receiver.Behave(leaseLength, 0, false)
-	cluster.waitFor("it says why", func() bool {
+	cluster.waitFor("the holder shows the error of an execution", func() bool {
 		for _, duty := range cluster.running[recipient].Duties() {
 			if duty.Holder == recipient && strings.Contains(duty.Reason, "deadline") {
 				return true
@@ -56,7 +56,7 @@
 	})
 	cluster.receiver.Behave(0, 0, false)
 	cluster.stop(recipient)
-	cluster.waitFor("it has gone",
+	cluster.waitFor("a member other than the stopped one executes the duty",
 		func() bool { return cluster.awaitExecutions() != recipient })
 	if err := cluster.running[holder].HandOver(ctx, "x", recipient); err == nil {
 		t.Errorf("a duty was handed over to a member that is absent: %v", err)
@@ -84,7 +84,7 @@
 	holder := cluster.awaitExecutions()
 	slowed[holder].Store(int64(group.Boottime()))
 	cluster.setIsolated(holder, true)
-	cluster.waitFor("the fault in the time line", func() bool {
+	cluster.waitFor("the check finds the overlap in the timeline", func() bool {
 		verdict := fleet.Check(cluster.timeline.Events())
 		return verdict.Overlaps+verdict.Old > 0
 	})
@@ -97,13 +97,13 @@
 	cluster := newTestGroup(t, threeMembers, "x")
 	original := *cluster.memberOptions["c"]
 	cluster.start("a", "b")
-	cluster.waitFor("it waits for all at the first start",
+	cluster.waitFor("the first start waits for all voters",
 		func() bool { return strings.Contains(cluster.running["a"].Duties()[0].Reason, "waits for") })
 	changed := original
 	changed.Voters = map[string]string{"a": original.Voters["a"], "b": original.Voters["b"], "z": original.Listen}
 	cluster.memberOptions["c"] = &changed
 	cluster.start("c")
-	cluster.waitFor("other voters",
+	cluster.waitFor("the other voters of a member are reported",
 		func() bool { return strings.Contains(cluster.running["a"].Duties()[0].Reason, "other voters") })
 	cluster.stop("c")
 	cluster.memberOptions["c"] = &original
@@ -172,7 +172,7 @@
 	cluster.start("a", "b", "c")
 	cluster.awaitExecutions()
 	cluster.start("d")
-	cluster.waitFor("it holds one", func() bool {
+	cluster.waitFor("the non-voter executes a duty", func() bool {
 		for _, duty := range cluster.running["d"].Duties() {
 			if duty.Holder == "d" && duty.Executions > 0 {
 				return true
@@ -199,16 +199,16 @@
 	}
 	nonVoter.Voters["d"] = nonVoter.Listen
 	cluster.start("d")
-	cluster.waitFor("it votes", hasVote(true))
+	cluster.waitFor("the listed member votes", hasVote(true))
 	ctx, stop := context.WithTimeout(context.Background(), hangTimeout)
 	defer stop()
-	cluster.waitFor("it votes no more",
+	cluster.waitFor("the member no longer votes after Leave",
 		func() bool { _ = cluster.running["d"].Leave(ctx); return hasVote(false)() })
-	cluster.waitFor("it votes again",
+	cluster.waitFor("the member votes again after Join",
 		func() bool { _ = cluster.running["d"].Join(); return hasVote(true)() })
 	since := cluster.timeline.Now()
 	cluster.receiver.Behave(0, 409, false)
-	cluster.waitFor("given up", func() bool {
+	cluster.waitFor("the duty is released and granted again under newer epochs", func() bool {
 		epochs := map[uint64]bool{}
 		for _, event := range cluster.timeline.Events() {
 			if event.What == "act" && event.At > since && event.Duty == "x" {
--- a/internal/group/quotas_test.go
+++ b/internal/group/quotas_test.go
@@ -72,28 +72,28 @@
 	}()
 	fullyUsed := func() bool { return sum() > limit*95/100 }
 	cluster.start(threeMembers...)
-	cluster.waitFor("all of it is in use", fullyUsed)
+	cluster.waitFor("the whole limit is used", fullyUsed)
 	demands["a"].Store(50_000)
-	cluster.waitFor("who wants most has most",
+	cluster.waitFor("the member with the highest demand has the largest quota",
 		func() bool { return fullyUsed() && quotas["a"].amount.Load() > 45_000 })
 	demands["a"].Store(1_000)
 	demands["b"].Store(50_000)
-	cluster.waitFor("the other has it",
+	cluster.waitFor("the quota follows the demand to another member",
 		func() bool { return fullyUsed() && quotas["b"].amount.Load() > 45_000 })
 	cluster.setIsolated("b", true)
 	demands["c"].Store(50_000)
-	cluster.waitFor("what the one cut off had is in use",
+	cluster.waitFor("another member uses the quota of the isolated one",
 		func() bool { return fullyUsed() && quotas["c"].amount.Load() > 45_000 })
 	cluster.setIsolated("b", false)
-	cluster.waitFor("both", func() bool { return fullyUsed() && quotas["b"].amount.Load() > 20_000 })
+	cluster.waitFor("both members have a quota", func() bool { return fullyUsed() && quotas["b"].amount.Load() > 20_000 })
 	cluster.stop("b")
-	cluster.waitFor("what the dead one had is in use",
+	cluster.waitFor("another member uses the quota of the stopped one",
 		func() bool { return fullyUsed() && quotas["c"].amount.Load() > 45_000 })
 	cluster.start("b")
 
 	ctx, cancel := context.WithTimeout(context.Background(), hangTimeout)
 	defer cancel()
-	cluster.waitFor("out",
+	cluster.waitFor("the first member gets the restart slot",
 		func() bool { return cluster.running["a"].RequestRestart(ctx) == nil })
 	if err := cluster.running["c"].RequestRestart(ctx); err == nil || !strings.Contains(err.Error(), "a is out") {
 		t.Errorf("two members may restart at once: %v", err)
@@ -103,10 +103,10 @@
 		t.Error("another member may restart while the first has not started again")
 	}
 	cluster.start("a")
-	cluster.waitFor("the first is back",
+	cluster.waitFor("another member gets the slot after the first has started again",
 		func() bool { return cluster.running["c"].RequestRestart(ctx) == nil })
 	executors := map[string]bool{}
-	cluster.waitFor("it went round",
+	cluster.waitFor("the round-robin duty was executed by all members",
 		func() bool { executors[cluster.awaitExecutions()] = true; return len(executors) == 3 })
 	cluster.requireOneHolder()
 }
@@ -134,14 +134,14 @@
 	cluster.memberOptions["b"].Voters["a"], cluster.memberOptions["c"].Voters["a"] =
 		cluster.links[[2]string{"b", "a"}].Addr(), cluster.links[[2]string{"c", "a"}].Addr()
 	cluster.start(threeMembers...)
-	cluster.waitFor("all three share it",
+	cluster.waitFor("the limit is shared by three members",
 		func() bool { return shares["a"].Load() == 20_000 && shares["c"].Load() == 20_000 })
 	for _, name := range threeMembers {
 		cluster.stop(name)
 	}
 	shares["c"].Store(0)
 	cluster.start("c")
-	cluster.waitFor("it has heard nothing", func() bool {
+	cluster.waitFor("the restarted member uses a share without a leader", func() bool {
 		return strings.Contains(cluster.running["c"].Duties()[0].Reason, "no leader") && shares["c"].Load() != 0
 	})
 	if got := shares["c"].Load(); got != 20_000 {
@@ -179,13 +179,13 @@
 		}
 		return ""
 	}
-	cluster.waitFor("one tries", func() bool { return agreedHolder() != "" })
+	cluster.waitFor("all members report the same holder", func() bool { return agreedHolder() != "" })
 	first := agreedHolder()
 	cluster.running[first].Claim(nil)
 	next := otherThan(first)
-	cluster.waitFor("another tries",
+	cluster.waitFor("another member holds the lease",
 		func() bool { w := holders[next].Load().(string); return w != "" && w != first })
 	cluster.running["a"].PublishHints([]group.Hint{{Destination: 7, RetryAfterUs: 1_000_000}})
-	cluster.waitFor("the wait is heard of",
+	cluster.waitFor("the hint arrives with a shorter Retry-After",
 		func() bool { w := retryAfterUs.Load(); return w > 0 && w < 1_000_000 })
 }
--- a/internal/group/testgroup_test.go
+++ b/internal/group/testgroup_test.go
@@ -152,7 +152,7 @@
 func (c *testGroup) awaitExecutions() (executor string) {
 	c.t.Helper()
 	start := c.timeline.Now()
-	c.waitFor("an act of each duty", func() bool {
+	c.waitFor("each duty is executed", func() bool {
 		executors := map[string]string{}
 		for _, event := range c.timeline.Events() {
 			if event.What == "act" && event.At > start {
@@ -177,7 +177,7 @@
 // leader waits until a member reports itself as the leader, and returns its name.
 func (c *testGroup) leader() (name string) {
 	c.t.Helper()
-	c.waitFor("a leader", func() bool {
+	c.waitFor("a member leads", func() bool {
 		for running, member := range c.running {
 			for _, view := range member.Members() {
 				if view.Leader && view.Name == running {
