--- a/internal/group/assign.go
+++ b/internal/group/assign.go
@@ -23,7 +23,7 @@
 			plan[duty] = member
 		}
 	}
-	if now-g.leaderSince < g.leaseFraction(rebalanceDelayFraction) {
+	if now-g.leaderSince < g.leaseFraction(rebalanceDelayFraction) { // a new leader does not move held duties yet
 		for duty, holder := range holders {
 			if present, _ := g.presence.Present(holder, now); present && preferred[duty] == "" && plan[duty] != "" {
 				plan[duty] = holder
@@ -37,10 +37,10 @@
 // is present. The caller must hold g.mu.
 func (g *Group) holdersAndPreferred(now time.Duration) (holders, preferred map[string]string) {
 	holders, preferred = map[string]string{}, map[string]string{}
-	for name, held := range g.table.Leases {
-		holders[name] = held.Holder
-		if present, _ := g.presence.Present(held.Preferred, now); present && held.Preferred != "" {
-			preferred[name] = held.Preferred
+	for name, record := range g.table.Leases {
+		holders[name] = record.Holder
+		if present, _ := g.presence.Present(record.Preferred, now); present && record.Preferred != "" {
+			preferred[name] = record.Preferred
 		}
 	}
 	return holders, preferred
--- a/internal/group/commands.go
+++ b/internal/group/commands.go
@@ -62,10 +62,10 @@
 // executeRevoke marks the lease on a duty as revoked: it is not renewed any more.
 func (g *Group) executeRevoke(node *raftNode, duty string) (reason string, err error) {
 	g.mu.Lock()
-	held := g.table.Leases[duty]
+	record := g.table.Leases[duty]
 	var ref lease.Ref
-	if held != nil && held.Holder != "" {
-		ref = lease.Ref{Name: duty, Epoch: held.Epoch}
+	if record != nil && record.Holder != "" {
+		ref = lease.Ref{Name: duty, Epoch: record.Epoch}
 	}
 	g.mu.Unlock()
 	if ref.Name == "" {
@@ -169,16 +169,16 @@
 // restartSlotHolders reports whether the sender holds a restart slot of a rollout, and describes the
 // other members that hold one. The caller must hold g.mu.
 func (g *Group) restartSlotHolders(sender helloMessage, rollout string) (holdsSlot bool, others []string) {
-	for name, held := range g.table.Leases {
-		if !strings.HasPrefix(name, rollout+restartSlotSeparator) || held.Holder == "" {
+	for name, record := range g.table.Leases {
+		if !strings.HasPrefix(name, rollout+restartSlotSeparator) || record.Holder == "" {
 			continue
 		}
-		if held.Holder == sender.From {
-			holdsSlot = holdsSlot || held.Incarnation == sender.Incarnation
+		if record.Holder == sender.From {
+			holdsSlot = holdsSlot || record.Incarnation == sender.Incarnation
 			continue
 		}
 		remaining := g.watch.Remaining(name, g.clock()).Round(time.Second)
-		others = append(others, fmt.Sprintf("%s is out, for %v at most", held.Holder, remaining))
+		others = append(others, fmt.Sprintf("%s is out, for %v at most", record.Holder, remaining))
 	}
 	slices.Sort(others)
 	return holdsSlot, others
@@ -201,9 +201,9 @@
 // finishedRestartSlots lists the restart slots that an earlier incarnation of the sender holds, once
 // the sender is ready again. The caller must hold g.mu.
 func (g *Group) finishedRestartSlots(sender helloMessage, ready bool) (refs []lease.Ref) {
-	for name, held := range g.table.Leases {
-		if ready && held.Hold > 0 && held.Holder == sender.From && held.Incarnation < sender.Incarnation {
-			refs = append(refs, lease.Ref{Name: name, Epoch: held.Epoch})
+	for name, record := range g.table.Leases {
+		if ready && record.Hold > 0 && record.Holder == sender.From && record.Incarnation < sender.Incarnation {
+			refs = append(refs, lease.Ref{Name: name, Epoch: record.Epoch})
 		}
 	}
 	return refs
--- a/internal/group/frames.go
+++ b/internal/group/frames.go
@@ -44,19 +44,19 @@
 
 // lineReader reads lines of a limited length through a buffer.
 type lineReader struct {
-	in    *bufio.Reader
-	limit int // bytes
+	buffered *bufio.Reader
+	limit    int // bytes
 }
 
 func newLineReader(conn net.Conn, limit int) lineReader {
-	return lineReader{in: bufio.NewReader(conn), limit: limit}
+	return lineReader{buffered: bufio.NewReader(conn), limit: limit}
 }
 
 // next returns the next line, including its line end.
 func (r lineReader) next() ([]byte, error) {
 	var line []byte
 	for {
-		part, err := r.in.ReadSlice('\n')
+		part, err := r.buffered.ReadSlice('\n')
 		if len(line)+len(part) > r.limit {
 			return nil, errFrameTooLong
 		}
--- a/internal/group/heartbeat_handler.go
+++ b/internal/group/heartbeat_handler.go
@@ -232,14 +232,14 @@
 // holds and has to hand over, with their recipients. The caller must hold the group's lock.
 func (h *heartbeatHandler) plannedMoves(plan map[string]string) (free []string, handOver map[string]string) {
 	for duty, assignee := range plan {
-		held := h.group.table.Leases[duty]
+		record := h.group.table.Leases[duty]
 		if assignee == h.sender.From {
-			if held == nil || held.Holder == "" {
+			if record == nil || record.Holder == "" {
 				free = append(free, duty)
 			}
 			continue
 		}
-		if held != nil && held.Holder == h.sender.From && held.Incarnation == h.sender.Incarnation {
+		if record != nil && record.Holder == h.sender.From && record.Incarnation == h.sender.Incarnation {
 			handOver = setEntry(handOver, duty, assignee)
 		}
 	}
@@ -254,8 +254,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, name := range h.request.Claims[:min(len(h.request.Claims), maxOffers)] {
-		if held := g.table.Leases[name]; held != nil && held.Holder != "" {
-			h.reply.ClaimHolders = setEntry(h.reply.ClaimHolders, name, held.Holder)
+		if record := g.table.Leases[name]; record != nil && record.Holder != "" {
+			h.reply.ClaimHolders = setEntry(h.reply.ClaimHolders, name, record.Holder)
 		}
 	}
 	h.reply.Leader, h.reply.LeaderAddress = g.currentLeader()
--- a/internal/group/hello.go
+++ b/internal/group/hello.go
@@ -67,7 +67,7 @@
 	LeaderAddress    string      `json:"at,omitempty"` // as the leader reported it
 }
 
-// maxNameLength bounds a member's name, in bytes.
+// maxNameLength is the maximum length of a member's name in bytes.
 const maxNameLength = 128
 
 // The formats of the refusals that apply to hellos and to heartbeats.
--- a/internal/group/leader.go
+++ b/internal/group/leader.go
@@ -25,8 +25,8 @@
 type memberState struct {
 	incarnation     uint64
 	process         uint64
-	readIndex       uint64
-	term            uint64
+	readIndex       uint64 // last log index that the member has read
+	term            uint64 // of the member's log
 	lastHeartbeatAt time.Duration
 
 	offers     map[string]bool
@@ -35,9 +35,9 @@
 	quotas     map[string]quotaDemand
 	hints      []Hint
 
-	connections int
-	wakeUp      func() // sends the member a wake-up notification; nil if that is impossible
-	wokenAt     time.Duration
+	connections int           // for heartbeats
+	wakeUp      func()        // sends the member a wake-up notification; nil if that is impossible
+	wokenAt     time.Duration // time of the last wake-up
 }
 
 const (
@@ -72,8 +72,8 @@
 func (g *Group) superviseLeadership(ctx context.Context, node *raftNode) error {
 	ticker := time.NewTicker(max(g.leaseFraction(leaseCheckFraction), time.Millisecond))
 	defer ticker.Stop()
-	unconfirmed := g.otherVoters() // not yet asked whether this member's folder is its latest one
-	peeked := g.clock()
+	unconfirmed := g.otherVoters() // voters that have not yet replied whether this member's folder is its latest one
+	lastPeekAt := g.clock()
 	for {
 		select {
 		case <-ctx.Done():
@@ -83,10 +83,10 @@
 			return fmt.Errorf("the log cannot be written: %w", err)
 		case <-ticker.C:
 		}
-		if now := g.clock(); len(unconfirmed) > 0 && now-peeked > g.leaseFraction(latePeekIntervalFraction) {
-			peeked = now
-			answered := g.peekVoters(ctx, g.leaseFraction(latePeekTimeoutFraction))
-			unconfirmed = slices.DeleteFunc(unconfirmed, func(name string) bool { _, ok := answered[name]; return ok })
+		if now := g.clock(); len(unconfirmed) > 0 && now-lastPeekAt > g.leaseFraction(latePeekIntervalFraction) {
+			lastPeekAt = now
+			replies := g.peekVoters(ctx, g.leaseFraction(latePeekTimeoutFraction))
+			unconfirmed = slices.DeleteFunc(unconfirmed, func(name string) bool { _, ok := replies[name]; return ok })
 		}
 		g.mu.Lock()
 		superseded, voter := g.superseded, g.folder.Voter
@@ -188,8 +188,8 @@
 			continue
 		}
 		holder := ""
-		if held := g.table.Leases[duty]; held != nil {
-			if holder = held.Holder; held.Preferred != "" && held.Preferred != assignee {
+		if record := g.table.Leases[duty]; record != nil {
+			if holder = record.Holder; record.Preferred != "" && record.Preferred != assignee {
 				absentPreferred = append(absentPreferred, duty)
 			}
 		}
@@ -212,8 +212,8 @@
 	var wakeUps []func()
 	g.mu.Lock()
 	for duty, assignee := range g.assignDuties(now) {
-		held, member := g.table.Leases[duty], g.members[assignee]
-		if held != nil && held.Holder != "" {
+		record, member := g.table.Leases[duty], g.members[assignee]
+		if record != nil && record.Holder != "" {
 			continue
 		}
 		if member != nil && member.allowWakeUp(now, g.leaseFraction(grantWakeFraction)) {
@@ -234,6 +234,7 @@
 	return true
 }
 
+// callAll calls the functions in order.
 func callAll(functions []func()) {
 	for _, call := range functions {
 		call()
--- a/internal/group/options.go
+++ b/internal/group/options.go
@@ -72,7 +72,7 @@
 	// Apply is called with this member's quota, the time on the group's clock until which the quota is
 	// valid, and the even share, which is all that this member may use after that time. It must not
 	// block.
-	Apply func(amount int64, until time.Duration, even int64)
+	Apply func(amount int64, until time.Duration, evenShare int64)
 }
 
 // Rollout limits how many members may restart at the same time.
--- a/internal/group/quotas_test.go
+++ b/internal/group/quotas_test.go
@@ -124,8 +124,8 @@
 		delete(cluster.memberOptions[name].Voters, "c") // a is the only voter: the settings do not list the other members
 		cluster.memberOptions[name].Limits = []group.Limit{{
 			Name: "l", Rate: 60_000, Demand: func() int64 { return 10_000 },
-			Apply: func(amount int64, _ time.Duration, even int64) {
-				if share.Store(even); amount > 20_000 {
+			Apply: func(amount int64, _ time.Duration, evenShare int64) {
+				if share.Store(evenShare); amount > 20_000 {
 					share.Store(-1)
 				}
 			},
--- a/internal/group/status.go
+++ b/internal/group/status.go
@@ -77,8 +77,8 @@
 	for name := range g.runners {
 		known[name] = DutyView{Name: name, Reason: "not heard of yet"}
 	}
-	for name, held := range g.table.Leases {
-		known[name] = DutyView{Name: name, Epoch: held.Epoch}
+	for name, record := range g.table.Leases {
+		known[name] = DutyView{Name: name, Epoch: record.Epoch}
 	}
 	age := (now - g.lastView.receivedAt).Milliseconds()
 	for _, duty := range g.lastView.Duties {
--- a/internal/group/view.go
+++ b/internal/group/view.go
@@ -69,8 +69,8 @@
 // must hold g.mu.
 func (g *Group) viewDuties(now time.Duration) (duties []DutyView) {
 	names := map[string]bool{}
-	for name, held := range g.table.Leases {
-		if held.Hold == 0 || held.Holder != "" { // a free restart slot is not shown
+	for name, record := range g.table.Leases {
+		if record.Hold == 0 || record.Holder != "" { // a free restart slot is not shown
 			names[name] = true
 		}
 	}
@@ -91,10 +91,10 @@
 // viewDuty returns the state of one duty. The caller must hold g.mu.
 func (g *Group) viewDuty(name string, plan map[string]string, now time.Duration) DutyView {
 	duty := DutyView{Name: name}
-	if held := g.table.Leases[name]; held != nil {
-		duty.Holder, duty.Epoch = held.Holder, held.Epoch
+	if record := g.table.Leases[name]; record != nil {
+		duty.Holder, duty.Epoch = record.Holder, record.Epoch
 		duty.RemainingMs = g.watch.Remaining(name, now).Milliseconds()
-		if held.Revoked {
+		if record.Revoked {
 			duty.Reason = "revoked: it ends with its lease"
 		}
 	}
