--- a/scheduler/breaker_test.go
+++ b/scheduler/breaker_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// A silent route gets few calls, and a pause does not count as an outage.
-func TestSilence(t *testing.T) {
-	rig := newRig(t, testSettings(), ep("a", "plain", "z", 1))
+// An unresponsive route gets few calls, and a pause without responses is not an outage.
+func TestUnresponsiveRouteGetsFewCalls(t *testing.T) {
+	rig := newRig(t, testSettings(), liveEndpoint("a", "plain", "z", 1))
 	rig.warmUp(1, 8)
 	event := rig.request("safe", 1)
 	rig.step(event)
@@ -15,20 +15,22 @@
 		rig.advance(50*ms, rig.request("once", 1))
 	}
 	rt := rig.sched.destination(1).route
-	if n := len(rt.calls); n > 6 {
-		t.Fatalf("%d calls stranded at a silent destination", n)
+	if inFlight := len(rt.calls); inFlight > 6 {
+		t.Fatalf("%d calls in flight to an unresponsive destination, want at most 6", inFlight)
 	}
 	if !rig.sched.isProbing(rt) || rt.health.unavailable {
-		t.Fatal("two seconds of silence must hold calls back, and not yet count as an outage")
+		t.Fatal("after two seconds without a response the route must be probing and not yet unavailable")
 	}
 	if rig.advance(50*ms, rig.outcome(event.ID, OutcomeSuccess)); rig.sched.isFailing(rt) || rt.slowStart.until > 0 {
-		t.Fatal("a pause counted as an outage")
+		t.Fatal("a pause without responses counted as an outage")
 	}
 }
 
-func TestReturnFromOutageIsPaced(t *testing.T) {
+// In an outage a route gets only probe attempts. After it, the calls of two seconds stay within the slow-start
+// budget, however the outage ended the calls.
+func TestRecoveryFromOutageIsPaced(t *testing.T) {
 	for _, reason := range []Outcome{OutcomeConnectFailed, OutcomeReset, OutcomeFailed, OutcomeTimedOut, OutcomeRejected} {
-		rig := newRig(t, testSettings(), ep("a", "plain", "z", 1))
+		rig := newRig(t, testSettings(), liveEndpoint("a", "plain", "z", 1))
 		rig.warmUp(1, 12)
 		var events []Event
 		for range 60 {
@@ -36,46 +38,47 @@
 			event.Deadline = rig.now + 60_000*ms
 			events = append(events, event)
 		}
-		actions, end := rig.step(events...), rig.now+8000*ms
+		actions, outageEndAt := rig.step(events...), rig.now+8000*ms
 		calls := 0
-		for rig.now < end { // every call fails for eight seconds
-			var back []Event
+		for rig.now < outageEndAt { // every call fails for eight seconds
+			var outcomes []Event
 			for _, action := range actions {
 				if action.Kind == StartAttempt {
-					back = append(back, rig.outcome(action.ID, reason))
+					outcomes = append(outcomes, rig.outcome(action.ID, reason))
 					calls++
 				}
 			}
-			actions = rig.advance(100*ms, append(back, Event{Kind: TimerFired})...)
+			actions = rig.advance(100*ms, append(outcomes, Event{Kind: TimerFired})...)
 		}
 		if calls > 25 {
-			t.Errorf("%s: %d calls in an outage of 8 s", reason, calls)
+			t.Errorf("outcome %s: %d calls in an outage of 8 s, want at most 25", reason, calls)
 		}
-		limit, back := 0.0, 0
-		for range 80 { // it answers again: what is sent in two seconds must stay in the budget
-			var res []Event
+		budgetEndAt, successes := 0.0, 0
+		for range 80 { // it responds again: the calls of two seconds must stay within the budget
+			var outcomes []Event
 			for _, action := range actions {
 				if action.Kind == StartAttempt {
-					res = append(res, rig.outcome(action.ID, OutcomeSuccess))
-					back++
+					outcomes = append(outcomes, rig.outcome(action.ID, OutcomeSuccess))
+					successes++
 				}
 			}
-			actions = rig.advance(100*ms, append(res, Event{Kind: TimerFired})...)
-			if back == 1 && limit == 0 {
-				limit = float64(rig.now + 2000*ms)
+			actions = rig.advance(100*ms, append(outcomes, Event{Kind: TimerFired})...)
+			if successes == 1 && budgetEndAt == 0 {
+				budgetEndAt = float64(rig.now + 2000*ms)
 			}
-			if limit > 0 && float64(rig.now) < limit && back > 10 {
-				t.Fatalf("%s: %d calls within two seconds of the return", reason, back)
+			if budgetEndAt > 0 && float64(rig.now) < budgetEndAt && successes > 10 {
+				t.Fatalf("outcome %s: %d calls within two seconds of the recovery, want at most 10", reason, successes)
 			}
 		}
-		if back == 0 {
-			t.Errorf("%s: the return was never noticed", reason)
+		if successes == 0 {
+			t.Errorf("outcome %s: no call was sent after the recovery", reason)
 		}
 	}
 }
 
+// Rejections between successes are due to a limit: they limit the rate, and the route stays available.
 func TestRejectionsAmongSuccessesAreNoOutage(t *testing.T) {
-	rig := newRig(t, testSettings(), ep("a", "plain", "z", 1))
+	rig := newRig(t, testSettings(), liveEndpoint("a", "plain", "z", 1))
 	rig.warmUp(1, 6)
 	for i := range 30 { // every third call is rejected
 		event := rig.request("safe", 1)
@@ -92,42 +95,44 @@
 	}
 }
 
-// Incident iaf4c66: where most calls fail but some succeed, single probes waste what works.
+// Incident iaf4c66: where most calls fail but some succeed, single probe attempts waste the remaining capacity.
+// Such a route is in slow start instead.
 func TestPartialErrorsArePacedNotUnavailable(t *testing.T) {
-	rig := newRig(t, testSettings(), ep("a", "plain", "z", 1))
+	rig := newRig(t, testSettings(), liveEndpoint("a", "plain", "z", 1))
 	rig.warmUp(1, 12)
 	sent := 0
 	for i := range 60 {
 		event := rig.request("safe", 1)
 		event.Deadline = rig.now + 60_000*ms
-		var back []Event
-		for n := range rig.requests {
-			if msg := rig.sched.messages[fmt.Sprint("m", n)]; msg != nil && msg.call != nil {
-				back = append(back, rig.outcome(msg.id, []Outcome{OutcomeFailed, OutcomeFailed, OutcomeSuccess}[i%3]))
+		var events []Event
+		for number := range rig.requests {
+			if msg := rig.sched.messages[fmt.Sprint("m", number)]; msg != nil && msg.call != nil {
+				events = append(events, rig.outcome(msg.id, []Outcome{OutcomeFailed, OutcomeFailed, OutcomeSuccess}[i%3]))
 				break
 			}
 		}
-		sent += count(rig.advance(250*ms, append(back, event)...), StartAttempt)
+		sent += countActions(rig.advance(250*ms, append(events, event)...), StartAttempt)
 	}
 	if rt := rig.sched.destination(1).route; sent < 12 || rt.slowStart.until == 0 {
-		t.Fatalf("%d sends in 15 s, paced %v", sent, rt.slowStart.until > 0)
+		t.Fatalf("%d calls in 15 s, slow start %v, want at least 12 in slow start", sent, rt.slowStart.until > 0)
 	}
 }
 
-func TestOneLostCallIsNoHang(t *testing.T) {
-	rig := newRig(t, testSettings(), ep("a", "plain", "z", 1))
+// A single call without a response must not stop other calls to its route.
+func TestOneLostCallDoesNotBlockTheRoute(t *testing.T) {
+	rig := newRig(t, testSettings(), liveEndpoint("a", "plain", "z", 1))
 	rig.warmUp(1, 12)
-	rig.step(rig.request("safe", 1)) // never answered
+	rig.step(rig.request("safe", 1)) // gets no response
 	rig.advance(1500*ms, Event{Kind: TimerFired})
-	if actions := rig.step(rig.request("safe", 1)); count(actions, StartAttempt) != 1 {
-		t.Fatal("one lost call held the route back")
+	if actions := rig.step(rig.request("safe", 1)); countActions(actions, StartAttempt) != 1 {
+		t.Fatal("one lost call blocked the route")
 	}
 }
 
-// Few accepted connections look like an unavailable endpoint; answers in between tell them
-// apart.
-func TestFewConnectionsAreNoOutage(t *testing.T) {
-	rig := newRig(t, testSettings(), ep("a", "plain", "z", 1))
+// An endpoint that accepts few connections fails connects like an unavailable one. Responses in between show
+// that it is available, with a connection limit.
+func TestConnectionLimitIsNoOutage(t *testing.T) {
+	rig := newRig(t, testSettings(), liveEndpoint("a", "plain", "z", 1))
 	rig.warmUp(1, 8)
 	var events []Event
 	for range 3 {
@@ -139,72 +144,74 @@
 	endpoint := rig.sched.endpoints["a"]
 	if rt := rig.sched.destination(1).route; rt.health.consecutiveFailures != 0 || endpoint.connections.limit < 1 ||
 		endpoint.connections.limitedUntil <= rig.now {
-		t.Fatalf("failures %d, connections %d until %d", rt.health.consecutiveFailures, endpoint.connections.limit,
-			endpoint.connections.limitedUntil)
+		t.Fatalf("%d failures, connection limit %d until %d; want no failure and a limit in effect",
+			rt.health.consecutiveFailures, endpoint.connections.limit, endpoint.connections.limitedUntil)
 	}
 }
 
-// A destination with a long Retry-After counts as unavailable, and its return is paced.
+// A destination with a long Retry-After counts as unavailable, and its recovery has a slow start.
 func TestLongRetryAfterIsAnOutage(t *testing.T) {
-	rig := newRig(t, testSettings(), ep("a", "plain", "z", 1))
+	rig := newRig(t, testSettings(), liveEndpoint("a", "plain", "z", 1))
 	rig.warmUp(1, 8)
 	event := rig.request("safe", 1)
 	rig.step(event)
-	full := rig.outcome(event.ID, OutcomeRejected)
-	full.RetryAfterMs = 5000
-	rig.advance(50*ms, full)
-	if action, ok := rig.run(9000*ms, starts(event.ID)); !ok || !rig.sched.destination(1).route.health.unavailable {
-		t.Fatalf("no probe after the wait: %v", action)
+	rejection := rig.outcome(event.ID, OutcomeRejected)
+	rejection.RetryAfterMs = 5000
+	rig.advance(50*ms, rejection)
+	if action, ok := rig.runUntil(9000*ms, startsAttempt(event.ID)); !ok ||
+		!rig.sched.destination(1).route.health.unavailable {
+		t.Fatalf("no probe attempt after the Retry-After, or the route is available: %v", action)
 	}
 	rig.advance(100*ms, rig.outcome(event.ID, OutcomeSuccess))
 	if rig.sched.destination(1).route.slowStart.until <= rig.now {
-		t.Fatal("the return is not paced")
+		t.Fatal("the recovery has no slow start")
 	}
 }
 
-// A probe that its message's deadline ends tells nothing of the route, but counted as a failure:
-// four in a row kept a destination unavailable for four seconds after its return. A probe goes
-// with a message that has time left.
-func TestProbeHasTimeLeft(t *testing.T) {
-	rig := newRig(t, testSettings(), ep("a", "plain", "z", 1))
+// A probe attempt that ends at its message's deadline says nothing about the route, but counted as a failure:
+// four in a row kept a destination unavailable for four seconds after its recovery. A probe attempt must
+// therefore carry a message with time left.
+func TestProbeCarriesAMessageWithTimeLeft(t *testing.T) {
+	rig := newRig(t, testSettings(), liveEndpoint("a", "plain", "z", 1))
 	rig.warmUp(1, 5)
 	rt := rig.sched.destinationByID[1].route
 	rt.health.unavailable, rt.probe.nextAt = true, rig.now
-	late, fresh := rig.request("safe", 1), rig.request("safe", 1)
-	late.Deadline = rig.now + int64(5*rt.latency.baselineUs)
-	rig.advance(1*ms, late)
-	rig.advance(1*ms, fresh)
-	if rig.attempts[late.ID] != 0 || rig.attempts[fresh.ID] != 1 {
-		t.Fatal("tries:", rig.attempts[late.ID], rig.attempts[fresh.ID])
+	expiring, recent := rig.request("safe", 1), rig.request("safe", 1)
+	expiring.Deadline = rig.now + int64(5*rt.latency.baselineUs)
+	rig.advance(1*ms, expiring)
+	rig.advance(1*ms, recent)
+	if rig.attempts[expiring.ID] != 0 || rig.attempts[recent.ID] != 1 {
+		t.Fatal("attempts of the expiring and the recent message, want 0 and 1:", rig.attempts[expiring.ID],
+			rig.attempts[recent.ID])
 	}
 }
 
-// The answer to a call that left before the destination's Retry-After does not end the outage.
-func TestOvertakenAnswerIsNoReturn(t *testing.T) {
-	rig := newRig(t, testSettings(), ep("a", "plain", "z", 1))
+// A success of a call that was sent before the destination's Retry-After does not end the outage.
+func TestResponseSentBeforeARetryAfterIsNoRecovery(t *testing.T) {
+	rig := newRig(t, testSettings(), liveEndpoint("a", "plain", "z", 1))
 	rig.warmUp(1, 5)
-	a, b := rig.request("safe", 1), rig.request("safe", 1)
-	rig.step(a, b)
-	full := rig.outcome(a.ID, OutcomeRejected)
-	full.RetryAfterMs = 5000
-	rig.advance(20*ms, full)
-	rig.advance(20*ms, rig.outcome(b.ID, OutcomeSuccess))
+	first, second := rig.request("safe", 1), rig.request("safe", 1)
+	rig.step(first, second)
+	rejection := rig.outcome(first.ID, OutcomeRejected)
+	rejection.RetryAfterMs = 5000
+	rig.advance(20*ms, rejection)
+	rig.advance(20*ms, rig.outcome(second.ID, OutcomeSuccess))
 	rt := rig.sched.destinationByID[1].route
 	if !rt.health.unavailable {
-		t.Fatal("it counts as back while it is shut")
+		t.Fatal("the destination counts as available during its Retry-After")
 	}
 	for range 6 {
 		rig.step(rig.request("safe", 1))
 	}
-	if rig.advance(5000*ms, Event{Kind: TimerFired}); count(rig.actions, StartAttempt) != 1 {
-		t.Fatal("its messages left at once:", count(rig.actions, StartAttempt))
+	if rig.advance(5000*ms, Event{Kind: TimerFired}); countActions(rig.actions, StartAttempt) != 1 {
+		t.Fatal("calls at the end of the Retry-After, want one probe attempt:", countActions(rig.actions, StartAttempt))
 	}
 }
 
-// Where no message has a second left a probe is sent all the same, only later: otherwise the
-// return would never be found.
+// Where no message has a second left, a probe attempt is sent nevertheless, only later: otherwise the recovery
+// would never be noticed.
 func TestProbeWithShortDeadlines(t *testing.T) {
-	rig := newRig(t, testSettings(), ep("a", "plain", "z", 1))
+	rig := newRig(t, testSettings(), liveEndpoint("a", "plain", "z", 1))
 	rig.warmUp(1, 5)
 	rt := rig.sched.destinationByID[1].route
 	rt.health.unavailable, rt.probe.nextAt = true, rig.now
@@ -216,12 +223,14 @@
 			return
 		}
 	}
-	t.Fatal("no probe in 16 s")
+	t.Fatal("no probe attempt in 16 s")
 }
 
-func TestRejectionsAloneAreAnOutageOnlyAmongFew(t *testing.T) {
-	for _, n := range []int{3, 200} {
-		rig := newRig(t, settingsFor(n), ep("a", "plain", "z", 1))
+// Rejections without a success for several seconds are an outage for few senders. For many senders they are
+// normal, since each has too few calls to see a success.
+func TestRejectionsAloneAreAnOutageOnlyForFewSenders(t *testing.T) {
+	for _, senders := range []int{3, 200} {
+		rig := newRig(t, settingsForSenders(senders), liveEndpoint("a", "plain", "z", 1))
 		rt := rig.sched.destination(1).route
 		for range 4 {
 			rig.now += 1_500 * ms
@@ -231,49 +240,52 @@
 				messages: []*message{{class: rig.sched.classes["safe"]}},
 			}, &Event{Outcome: OutcomeRejected})
 		}
-		if rt.health.unavailable != (n == 3) {
-			t.Errorf("among %d senders four rejections over 4.5 s: unavailable %v", n, rt.health.unavailable)
+		if rt.health.unavailable != (senders == 3) {
+			t.Errorf("%d senders, four rejections over 4.5 s: unavailable %v", senders, rt.health.unavailable)
 		}
 	}
 }
 
+// The probe attempts of all senders together stay below the load that a recovering route accepts, so each of
+// many senders has a longer probe interval.
 func TestProbesOfManySendersShareTheSlowStartBudget(t *testing.T) {
-	gap := func(n int) int64 {
-		rig := newRig(t, settingsFor(n), ep("a", "plain", "z", 1))
+	firstInterval := func(senders int) int64 {
+		rig := newRig(t, settingsForSenders(senders), liveEndpoint("a", "plain", "z", 1))
 		rt := rig.sched.destination(1).route
 		rt.destination.arrivalRate, rt.destination.arrivalRateAt = 0.1, rig.sched.now
 		rig.sched.markUnavailable(rt)
 		return rt.probe.nextAt - rig.sched.now
 	}
-	if few, many := gap(3), gap(200); few > probeIntervalMinUs*13/10 || many < 4*probeIntervalMinUs {
-		t.Errorf("first probe after %d ms among 3 and %d ms among 200", few/ms, many/ms)
+	if few, many := firstInterval(3), firstInterval(200); few > probeIntervalMinUs*13/10 || many < 4*probeIntervalMinUs {
+		t.Errorf("first probe attempt after %d ms with 3 senders and after %d ms with 200", few/ms, many/ms)
 	}
 }
 
-// In a rolling restart endpoints were replaced one after another, and the list followed seconds
-// later: two failed connects to the lost one made the whole destination unavailable, with a slow
-// start of thirteen seconds.
+// In a rolling restart endpoints are replaced one after another, and the endpoint list follows seconds later.
+// Two failed connects to the endpoint that had gone made the whole destination unavailable, with a slow start
+// of thirteen seconds.
 func TestOneLostEndpointIsNoOutage(t *testing.T) {
-	rig := newRig(t, settingsFor(80), ep("a", "plain", "z", 1), ep("b", "plain", "z", 1))
+	rig := newRig(t, settingsForSenders(80), liveEndpoint("a", "plain", "z", 1), liveEndpoint("b", "plain", "z", 1))
 	rig.warmUp(1, 4)
 	rt := rig.sched.destination(1).route
-	lost := func() string { // the next call fails to connect
+	failConnect := func() string { // the next call fails to connect
 		t.Helper()
 		event := rig.request("safe", 1)
 		if rig.step(event); rig.attempts[event.ID] == 0 {
-			rig.run(9000*ms, starts(event.ID))
+			rig.runUntil(9000*ms, startsAttempt(event.ID))
 		}
 		rig.advance(20*ms, rig.outcome(event.ID, OutcomeConnectFailed), Event{Kind: RequestWithdrawn, ID: event.ID})
 		return rig.sentTo[event.ID]
 	}
-	first := lost()
+	first := failConnect()
 	if rt.health.unavailable || rt.health.consecutiveFailures > 0 {
-		t.Fatalf("one endpoint is gone: unavailable %v, %d failures", rt.health.unavailable, rt.health.consecutiveFailures)
+		t.Fatalf("one endpoint has failed a connect: unavailable %v, %d failures of the destination",
+			rt.health.unavailable, rt.health.consecutiveFailures)
 	}
-	if other := lost(); other == first {
-		t.Fatal("the next message went to the endpoint that is gone")
+	if second := failConnect(); second == first {
+		t.Fatal("the next message was sent to the endpoint that had failed a connect")
 	}
 	if rt.health.consecutiveFailures == 0 {
-		t.Error("both are gone, and the destination has no failure")
+		t.Error("both endpoints have failed a connect, and the destination has no failure")
 	}
 }
--- a/scheduler/enums_test.go
+++ b/scheduler/enums_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The values of the enumerations are words of the protocol and of stored data: they must not change.
+// The values of the enumerations are keywords of the protocol and of stored data: they must not change.
 func TestEnumerationValues(t *testing.T) {
 	for _, tc := range []struct{ name, got, want string }{
 		{"OutcomeSuccess", string(OutcomeSuccess), "GOOD"},
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -7,39 +7,41 @@
 	"testing"
 )
 
-// fleet steps many schedulers in virtual time against one destination that all of them share:
-// what is harmless at one sender does harm only in the sum, and the tests assert on that.
+// fleet simulates many senders in virtual time, each with its own scheduler, and one destination that they
+// share. Its tests check the sum of their calls: what one sender does may be harmless alone and overload a
+// destination if all do it.
 type fleet struct {
 	now      int64
 	settings Settings // of each sender
 	senders  []*simSender
 	queue    simEvents
-	sequence int
+	sequence int // number of scheduled events and requests so far; events at the same time occur in this order
 
-	limit              func(now int64) float64 // calls a second; nil: any number
-	maxConnections     int                     // the most that it accepts, idle ones counted; 0: any number
+	// The destination.
+	limit              func(now int64) float64 // calls per second; nil: unlimited
+	maxConnections     int                     // maximum number of open connections, idle ones included; 0: unlimited
 	serviceUs          int64                   // duration of a call
-	retryAfterMs       int64                   // of a rejection above the limit
-	closed             [2]int64                // it rejects all in between, with a Retry-After until the end
-	rejectionsUseLimit bool                    // rejected calls use up the limit
-	noReports          bool                    // answers have no load report
-	reportPeriodUs     int64                   // how often reports are renewed, microseconds; 0: always current
-	outage             [2]int64                // it is unavailable in between
-	outageOutcome      Outcome                 // how calls end then; empty: connects fail
-	class              string                  // of the messages
-	errorShare         float64                 // share of calls that end as an error, after their effect
+	retryAfterMs       int64                   // Retry-After of rejections above the limit
+	rejectsAll         [2]int64                // start and end of a time of rejections, with a Retry-After until its end
+	rejectionsUseLimit bool                    // rejected calls count towards the limit too
+	noReports          bool                    // responses have no load report
+	reportPeriodUs     int64                   // time between two updates of the load report; 0: always current
+	outage             [2]int64                // start and end of the outage
+	outageOutcome      Outcome                 // outcome of calls in the outage; empty: OutcomeConnectFailed
+	class              string                  // of the messages that addRequests adds
+	errorShare         float64                 // share of calls that end with OutcomeFailed
 	rng                *rand.Rand
 
 	tokens           float64
 	tokensAt         int64
-	reportedHeadroom float64 // share of the limit left, as reports have it
+	reportedHeadroom float64 // unused share of the limit, as the load reports have it
 	reportedAt       int64
-	connections      int // connections
-	earlyCalls       int // calls before a Retry-After had ended
-	bins             []tally
+	connections      int     // number of open connections
+	earlyCalls       int     // number of calls before the end of a Retry-After
+	bins             []tally // one for each 100 ms of the last run
 }
 
-// tally counts what reached the destination in 100 ms.
+// tally counts the calls that reached the destination.
 type tally struct {
 	calls               int
 	delivered           int
@@ -49,47 +51,52 @@
 	informed            int // calls of senders that had noticed the outage
 }
 
+// simSender is a sender of the fleet.
 type simSender struct {
-	sched           *Scheduler // nil: it is killed, and its clients' messages wait
+	sched           *Scheduler // nil: the sender has been killed, and its events wait
 	attempts        map[string]int
-	idleSince       []int64 // when its idle connections were used last
+	idleSince       []int64 // for each idle connection, the time since which it is idle
 	timerAt         int64
-	retryAfterUntil int64 // it must not call before
-	sawOutage       bool  // a call of it has failed in the outage
+	retryAfterUntil int64 // end of the Retry-After that the sender received
+	noticedOutage   bool  // one of its calls has failed in the outage
 	events          []Event
-	undelivered     int      // messages rejected or failed
-	neverSent       []string // ids of those that were never sent
+	undelivered     int      // number of messages that were rejected or failed
+	neverSent       []string // ids of those among them that were never sent
 }
 
+// simEvent is a callback that is due at a time.
 type simEvent struct {
 	at       int64
 	sequence int
-	do       func()
+	callback func()
 }
 
+// simEvents is a heap with the earliest event first.
 type simEvents []simEvent
 
-func (h simEvents) Len() int { return len(h) }
-func (h simEvents) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].sequence < h[j].sequence
+func (events simEvents) Len() int { return len(events) }
+func (events simEvents) Less(i, j int) bool {
+	return events[i].at < events[j].at || events[i].at == events[j].at && events[i].sequence < events[j].sequence
 }
-func (h simEvents) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *simEvents) Push(x any)   { *h = append(*h, x.(simEvent)) }
-func (h *simEvents) Pop() any {
-	x := (*h)[len(*h)-1]
-	*h = (*h)[:len(*h)-1]
-	return x
+func (events simEvents) Swap(i, j int) { events[i], events[j] = events[j], events[i] }
+func (events *simEvents) Push(x any)   { *events = append(*events, x.(simEvent)) }
+func (events *simEvents) Pop() any {
+	last := (*events)[len(*events)-1]
+	*events = (*events)[:len(*events)-1]
+	return last
 }
 
-func (fleet *fleet) at(at int64, do func()) {
+// schedule runs a callback at a time.
+func (fleet *fleet) schedule(at int64, callback func()) {
 	fleet.sequence++
-	heap.Push(&fleet.queue, simEvent{at, fleet.sequence, do})
+	heap.Push(&fleet.queue, simEvent{at, fleet.sequence, callback})
 }
 
+// newFleet returns a fleet of senders that have received the endpoint list.
 func newFleet(t testing.TB, senders int, seed int64) *fleet {
 	t.Helper()
 	fleet := &fleet{now: 1e9, serviceUs: 50 * ms, class: "safe", rng: rand.New(rand.NewSource(seed))}
-	settings := settingsFor(senders)
+	settings := settingsForSenders(senders)
 	settings.LoadReport.Mode = ReportInAnswers
 	settings.LoadReport.Fields = []string{"x0", "x1"}
 	settings.Calls.ConcurrentCalls = 6
@@ -106,20 +113,20 @@
 		fleet.senders = append(fleet.senders, sender)
 		fleet.deliver(sender, Event{
 			Kind: EndpointsUpdated, Update: UpdateFull,
-			Endpoints: []Endpoint{ep("a", "plain", "z", 1)},
+			Endpoints: []Endpoint{liveEndpoint("a", "plain", "z", 1)},
 		})
 	}
 	return fleet
 }
 
-// traffic hands in messages at random times, perS a second over all senders.
-func (fleet *fleet) traffic(from, to int64, perS float64, seed int64) {
+// addRequests adds messages at random times, at a mean rate of perSecond over all senders.
+func (fleet *fleet) addRequests(startAt, endAt int64, perSecond float64, seed int64) {
 	rng := rand.New(rand.NewSource(seed))
-	for at := from; at < to; at += int64(rng.ExpFloat64() * 1e6 / perS) {
-		i := rng.Intn(len(fleet.senders))
-		fleet.at(at, func() {
+	for at := startAt; at < endAt; at += int64(rng.ExpFloat64() * 1e6 / perSecond) {
+		index := rng.Intn(len(fleet.senders))
+		fleet.schedule(at, func() {
 			fleet.sequence++
-			fleet.deliver(fleet.senders[i], Event{
+			fleet.deliver(fleet.senders[index], Event{
 				Kind: RequestAccepted, ID: fmt.Sprint("m", fleet.sequence), Class: fleet.class, Destination: 1,
 				Deadline: fleet.now + 9000*ms,
 			})
@@ -127,40 +134,42 @@
 	}
 }
 
-// run plays until a time; the bins count from here.
-func (fleet *fleet) run(us int64) {
-	from := fleet.now
-	fleet.bins = make([]tally, us/(100*ms)+1)
-	fleet.tokensAt = from
-	bin := func() *tally { return &fleet.bins[(fleet.now-from)/(100*ms)] }
-	for len(fleet.queue) > 0 && fleet.queue[0].at <= from+us {
-		h := heap.Pop(&fleet.queue).(simEvent)
-		fleet.now = max(fleet.now, h.at)
-		h.do()
+// run simulates a time and restarts the counts in bins.
+func (fleet *fleet) run(durationUs int64) {
+	startAt := fleet.now
+	fleet.bins = make([]tally, durationUs/(100*ms)+1)
+	fleet.tokensAt = startAt
+	bin := func() *tally { return &fleet.bins[(fleet.now-startAt)/(100*ms)] }
+	for len(fleet.queue) > 0 && fleet.queue[0].at <= startAt+durationUs {
+		next := heap.Pop(&fleet.queue).(simEvent)
+		fleet.now = max(fleet.now, next.at)
+		next.callback()
 		for _, sender := range fleet.senders {
 			if sender.sched != nil && len(sender.events) > 0 || sender.timerAt > 0 && sender.timerAt <= fleet.now {
 				fleet.step(sender, bin)
 			}
 		}
 	}
-	fleet.now = from + us
+	fleet.now = startAt + durationUs
 }
 
+// deliver adds an event to the sender's next step, which is now.
 func (fleet *fleet) deliver(sender *simSender, event Event) {
 	sender.events = append(sender.events, event)
-	fleet.at(fleet.now, func() {})
+	fleet.schedule(fleet.now, func() {})
 }
 
+// step runs one step of a sender's scheduler and carries out its actions.
 func (fleet *fleet) step(sender *simSender, bin func() *tally) {
-	in := sender.events
+	input := sender.events
 	if sender.events = nil; sender.timerAt > 0 && sender.timerAt <= fleet.now {
-		in, sender.timerAt = append(in, Event{Kind: TimerFired}), 0
+		input, sender.timerAt = append(input, Event{Kind: TimerFired}), 0
 	}
-	for _, action := range sender.sched.Step(fleet.now, in) {
+	for _, action := range sender.sched.Step(fleet.now, input) {
 		switch action.Kind {
 		case SetTimer:
 			sender.timerAt = fleet.now + action.DelayUs
-			fleet.at(sender.timerAt, func() {})
+			fleet.schedule(sender.timerAt, func() {})
 		case CloseIdleConnections:
 			fleet.connections -= len(sender.idleSince)
 			sender.idleSince = nil
@@ -169,67 +178,69 @@
 				sender.neverSent = append(sender.neverSent, action.ID)
 			}
 		case StartAttempt:
-			n := sender.attempts[action.ID]
+			attempt := sender.attempts[action.ID]
 			sender.attempts[action.ID]++
-			fleet.call(sender, Event{Kind: AttemptFinished, ID: action.ID, Attempt: n, Endpoint: action.Endpoint},
+			fleet.call(sender, Event{Kind: AttemptFinished, ID: action.ID, Attempt: attempt, Endpoint: action.Endpoint},
 				action.TimeoutUs, bin())
 		}
 	}
 }
 
-// call is one attempt at the partner. A connection that has stood idle for five seconds is closed.
-func (fleet *fleet) call(sender *simSender, event Event, limitUs int64, b *tally) {
-	if b.calls++; fleet.now < sender.retryAfterUntil-20*ms {
+// call simulates one call at the destination and schedules its outcome. Connections that have been idle for five
+// seconds are closed.
+func (fleet *fleet) call(sender *simSender, event Event, timeoutUs int64, bin *tally) {
+	if bin.calls++; fleet.now < sender.retryAfterUntil-20*ms {
 		fleet.earlyCalls++
 	}
-	if sender.sawOutage {
-		b.informed++
+	if sender.noticedOutage {
+		bin.informed++
 	}
-	out := fleet.now >= fleet.outage[0] && fleet.now < fleet.outage[1]
-	end := func(after int64, reason Outcome, report []float64, wait int64, keep bool) {
-		event.Outcome, event.LoadReport, event.RetryAfterMs, event.Final = reason, report, wait, reason == OutcomeSuccess
-		fleet.at(fleet.now+after, func() {
-			if keep {
+	inOutage := fleet.now >= fleet.outage[0] && fleet.now < fleet.outage[1]
+	finish := func(delayUs int64, reason Outcome, loadReport []float64, retryDelayMs int64, keepConnection bool) {
+		event.Outcome, event.LoadReport, event.RetryAfterMs, event.Final =
+			reason, loadReport, retryDelayMs, reason == OutcomeSuccess
+		fleet.schedule(fleet.now+delayUs, func() {
+			if keepConnection {
 				sender.idleSince = append(sender.idleSince, fleet.now)
 			}
 			fleet.deliver(sender, event)
-			sender.sawOutage = sender.sawOutage || out && reason != OutcomeSuccess
+			sender.noticedOutage = sender.noticedOutage || inOutage && reason != OutcomeSuccess
 		})
 	}
 	for len(sender.idleSince) > 0 && fleet.now-sender.idleSince[0] > 5000*ms {
 		sender.idleSince, fleet.connections = sender.idleSince[1:], fleet.connections-1
 	}
-	if out {
-		b.failed++
+	if inOutage {
+		bin.failed++
 		fleet.connections -= len(sender.idleSince)
 		sender.idleSince = nil
 		switch fleet.outageOutcome {
 		case "":
-			end(20*ms, OutcomeConnectFailed, nil, 0, false)
+			finish(20*ms, OutcomeConnectFailed, nil, 0, false)
 		case OutcomeTimedOut:
-			end(limitUs, OutcomeTimedOut, nil, 0, false)
+			finish(timeoutUs, OutcomeTimedOut, nil, 0, false)
 		default:
-			end(fleet.serviceUs, fleet.outageOutcome, nil, 0, true)
+			finish(fleet.serviceUs, fleet.outageOutcome, nil, 0, true)
 		}
 		return
 	}
-	if n := len(sender.idleSince); n > 0 {
-		sender.idleSince = sender.idleSince[:n-1]
+	if idle := len(sender.idleSince); idle > 0 {
+		sender.idleSince = sender.idleSince[:idle-1]
 	} else if fleet.maxConnections > 0 && fleet.connections >= fleet.maxConnections {
-		b.connectionsRejected++
-		end(20*ms, OutcomeRejected, nil, 0, false)
+		bin.connectionsRejected++
+		finish(20*ms, OutcomeRejected, nil, 0, false)
 		return
 	} else {
 		fleet.connections++
 	}
 	if fleet.errorShare > 0 && fleet.rng.Float64() < fleet.errorShare {
-		b.failed++
-		end(fleet.serviceUs, OutcomeFailed, nil, 0, true)
+		bin.failed++
+		finish(fleet.serviceUs, OutcomeFailed, nil, 0, true)
 		return
 	}
 	if fleet.limit == nil {
-		b.delivered++
-		end(fleet.serviceUs, OutcomeSuccess, []float64{0, 0}, 0, true)
+		bin.delivered++
+		finish(fleet.serviceUs, OutcomeSuccess, []float64{0, 0}, 0, true)
 		return
 	}
 	limit := fleet.limit(fleet.now)
@@ -238,36 +249,36 @@
 	if fleet.now >= fleet.reportedAt+fleet.reportPeriodUs {
 		fleet.reportedHeadroom, fleet.reportedAt = max(0, fleet.tokens)/(limit/2), fleet.now
 	}
-	report, none := []float64{fleet.reportedHeadroom, limit}, []float64{0, limit}
+	loadReport, noHeadroomReport := []float64{fleet.reportedHeadroom, limit}, []float64{0, limit}
 	if fleet.noReports {
-		report, none = nil, nil
+		loadReport, noHeadroomReport = nil, nil
 	}
-	if fleet.now >= fleet.closed[0] && fleet.now < fleet.closed[1] {
-		b.rejected++
-		end(20*ms, OutcomeRejected, none, (fleet.closed[1]-fleet.now)/1000, true)
-		fleet.at(fleet.now+20*ms, func() { sender.retryAfterUntil = fleet.closed[1] + 20*ms })
+	if fleet.now >= fleet.rejectsAll[0] && fleet.now < fleet.rejectsAll[1] {
+		bin.rejected++
+		finish(20*ms, OutcomeRejected, noHeadroomReport, (fleet.rejectsAll[1]-fleet.now)/1000, true)
+		fleet.schedule(fleet.now+20*ms, func() { sender.retryAfterUntil = fleet.rejectsAll[1] + 20*ms })
 		return
 	}
 	if fleet.tokens < 1 {
-		if b.rejected++; fleet.rejectionsUseLimit {
+		if bin.rejected++; fleet.rejectionsUseLimit {
 			fleet.tokens = max(fleet.tokens-1, -limit)
 		}
-		end(20*ms, OutcomeRejected, report, fleet.retryAfterMs, true)
+		finish(20*ms, OutcomeRejected, loadReport, fleet.retryAfterMs, true)
 		return
 	}
 	fleet.tokens--
-	b.delivered++
-	end(fleet.serviceUs, OutcomeSuccess, report, 0, true)
+	bin.delivered++
+	finish(fleet.serviceUs, OutcomeSuccess, loadReport, 0, true)
 }
 
-// total adds up the bins from one second to another.
-func (fleet *fleet) total(from, to int) (total tally) {
-	for _, b := range fleet.bins[from*10 : to*10] {
-		total.calls = total.calls + b.calls
-		total.delivered = total.delivered + b.delivered
-		total.rejected = total.rejected + b.rejected
-		total.connectionsRejected = total.connectionsRejected + b.connectionsRejected
-		total.failed = total.failed + b.failed
+// total returns the sum of the bins from one second of the last run to another.
+func (fleet *fleet) total(fromSecond, toSecond int) (total tally) {
+	for _, bin := range fleet.bins[fromSecond*10 : toSecond*10] {
+		total.calls = total.calls + bin.calls
+		total.delivered = total.delivered + bin.delivered
+		total.rejected = total.rejected + bin.rejected
+		total.connectionsRejected = total.connectionsRejected + bin.connectionsRejected
+		total.failed = total.failed + bin.failed
 	}
 	return total
 }
--- a/scheduler/golden_state_test.go
+++ b/scheduler/golden_state_test.go
@@ -11,34 +11,34 @@
 	"testing"
 )
 
-// stateWorld is a world in the middle of a run, with messages pending, calls in flight and
+// stateSimulation returns a simulation in the middle of its run, with pending messages, calls in flight and
 // destinations of every kind.
-func stateWorld(t *testing.T) *goldenWorld {
+func stateSimulation(t *testing.T) *goldenSimulation {
 	t.Helper()
 	scenario := goldenScenario{
-		name: "saved", load: 1.5, limit: 15, trouble: 0.02, peerEvents: true,
-		change: func(s *Settings) { s.Senders = 5 },
+		name: "saved", load: 1.5, limit: 15, changeProbability: 0.02, peerEvents: true,
+		changeSettings: func(s *Settings) { s.Senders = 5 },
 	}
-	world := newGoldenWorld(t, scenario, goldenWriter(t, scenario.name))
-	world.run(1500)
-	return world
+	sim := newGoldenSimulation(t, scenario, goldenWriter(t, scenario.name))
+	sim.run(1500)
+	return sim
 }
 
-// learnedWorld is a world of many senders whose learned state holds limits, outages and
-// endpoints with routes of their own.
-func learnedWorld(t *testing.T) *goldenWorld {
+// learnedStateSimulation returns a simulation of one of many senders, whose learned state contains limits, outages
+// and endpoints with their own routes.
+func learnedStateSimulation(t *testing.T) *goldenSimulation {
 	t.Helper()
 	scenario := goldenScenario{
-		name: "remembered", load: 0.6, limit: 6, trouble: 0.02,
-		change: func(s *Settings) { s.Senders = 300 },
+		name: "remembered", load: 0.6, limit: 6, changeProbability: 0.02,
+		changeSettings: func(s *Settings) { s.Senders = 300 },
 	}
-	world := newGoldenWorld(t, scenario, goldenWriter(t, scenario.name))
-	world.run(1500)
-	return world
+	sim := newGoldenSimulation(t, scenario, goldenWriter(t, scenario.name))
+	sim.run(1500)
+	return sim
 }
 
-// checkGoldenJSON compares compact JSON with a golden file, which is indented for review, and returns the file in
-// compact form.
+// checkGoldenJSON compares compact JSON with a golden file, which is indented for review, and returns the compact
+// form of the file.
 func checkGoldenJSON(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	var indented bytes.Buffer
@@ -47,123 +47,119 @@
 	}
 	indented.WriteByte('\n')
 	checkGolden(t, name, indented.Bytes())
-	text, err := os.ReadFile(filepath.Join("testdata", "golden", name))
+	indentedFile, err := os.ReadFile(filepath.Join("testdata", "golden", name))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var compact bytes.Buffer
-	if err := json.Compact(&compact, text); err != nil {
+	if err := json.Compact(&compact, indentedFile); err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(compact.Bytes(), got) {
-		t.Errorf("%s: the compact form differs", name)
+		t.Errorf("%s: the compact form of the golden file differs from the result", name)
 	}
 	return compact.Bytes()
 }
 
-// strictState reads a state and rejects fields that the types do not have.
-func strictState(t *testing.T, text []byte) (state State) {
+// decodeStateStrictly decodes a state and fails the test for fields that the types do not have.
+func decodeStateStrictly(t *testing.T, text []byte) (state State) {
 	t.Helper()
-	d := json.NewDecoder(bytes.NewReader(text))
-	d.DisallowUnknownFields()
-	if err := d.Decode(&state); err != nil {
-		t.Errorf("the recorded state no longer fits the types: %v", err)
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&state); err != nil {
+		t.Errorf("the recorded state does not match the types: %v", err)
 	}
 	return state
 }
 
-// TestGoldenSaved: State gives the recorded bytes; restored, they give the same bytes again and
-// the recorded decisions.
-func TestGoldenSaved(t *testing.T) {
-	world := stateWorld(t)
-	text := checkGoldenJSON(t, "saved.json", goldenJSON(t, world.sched.State()))
-	if again := goldenJSON(t, strictState(t, text)); !bytes.Equal(again, text) {
-		t.Error("decoding and encoding the recorded state changes it")
-	}
-	world.handOver(text)
-	if again := goldenJSON(t, world.sched.State()); !bytes.Equal(again, text) {
-		t.Errorf("saved after loading\n%s\nwant\n%s", again, text)
-	}
-	sum := world.run(1000)
-	checkGolden(t, "saved.txt", fmt.Appendf(nil, "%d %s\n", world.actions, sum))
+// State must return the recorded bytes. A scheduler restored from them must return the same bytes and make the
+// recorded decisions.
+func TestGoldenState(t *testing.T) {
+	sim := stateSimulation(t)
+	text := checkGoldenJSON(t, "saved.json", goldenJSON(t, sim.sched.State()))
+	if result := goldenJSON(t, decodeStateStrictly(t, text)); !bytes.Equal(result, text) {
+		t.Error("the recorded state changes when it is decoded and encoded")
+	}
+	sim.hotRestart(text)
+	if result := goldenJSON(t, sim.sched.State()); !bytes.Equal(result, text) {
+		t.Errorf("state after the restart\n%s\nwant\n%s", result, text)
+	}
+	sum := sim.run(1000)
+	checkGolden(t, "saved.txt", fmt.Appendf(nil, "%d %s\n", sim.actions, sum))
 }
 
-// TestGoldenSavedFewerClasses: restored under settings without one of its classes, a state
-// leaves out the requests of that class.
-func TestGoldenSavedFewerClasses(t *testing.T) {
-	world := stateWorld(t)
-	state := world.sched.State()
+// A state that is restored with settings that lack one of its classes loses the requests of that class only.
+func TestGoldenStateWithFewerClasses(t *testing.T) {
+	sim := stateSimulation(t)
+	state := sim.sched.State()
 	removed := state.Messages[0].Class
-	world.settings.Classes = slices.DeleteFunc(slices.Clone(world.settings.Classes),
+	sim.settings.Classes = slices.DeleteFunc(slices.Clone(sim.settings.Classes),
 		func(class Class) bool { return class.Name == removed })
-	world.handOver(goldenJSON(t, state))
-	checkGoldenJSON(t, "saved-fewer.json", goldenJSON(t, world.sched.State()))
+	sim.hotRestart(goldenJSON(t, state))
+	checkGoldenJSON(t, "saved-fewer.json", goldenJSON(t, sim.sched.State()))
 }
 
-// TestGoldenRemembered: LearnedState gives the recorded bytes; restored, they give the recorded
-// decisions.
-func TestGoldenRemembered(t *testing.T) {
-	world := learnedWorld(t)
-	text := checkGoldenJSON(t, "remembered.json", goldenJSON(t, world.sched.LearnedState(20)))
-	if again := goldenJSON(t, strictState(t, text)); !bytes.Equal(again, text) {
-		t.Error("decoding and encoding the recorded state changes it")
-	}
-	checkGoldenJSON(t, "remembered-three.json", goldenJSON(t, world.sched.LearnedState(3)))
-	moved := goldenState(t, text)
-	moved.ShiftTimes(-7000 * ms)
-	checkGoldenJSON(t, "remembered-moved.json", goldenJSON(t, moved))
-	world.restart(text)
-	sum := world.run(1000)
-	checkGolden(t, "remembered.txt", fmt.Appendf(nil, "%d %s\n", world.actions, sum))
+// LearnedState must return the recorded bytes, and a scheduler restored from them must make the recorded decisions.
+func TestGoldenLearnedState(t *testing.T) {
+	sim := learnedStateSimulation(t)
+	text := checkGoldenJSON(t, "remembered.json", goldenJSON(t, sim.sched.LearnedState(20)))
+	if encoded := goldenJSON(t, decodeStateStrictly(t, text)); !bytes.Equal(encoded, text) {
+		t.Error("the recorded state changes when it is decoded and encoded")
+	}
+	checkGoldenJSON(t, "remembered-three.json", goldenJSON(t, sim.sched.LearnedState(3)))
+	shifted := goldenState(t, text)
+	shifted.ShiftTimes(-7000 * ms)
+	checkGoldenJSON(t, "remembered-moved.json", goldenJSON(t, shifted))
+	sim.restart(text)
+	sum := sim.run(1000)
+	checkGolden(t, "remembered.txt", fmt.Appendf(nil, "%d %s\n", sim.actions, sum))
 }
 
-// TestGoldenRememberedEarly: an incarnation that ends soon after its start passes on the learned
-// state that it had.
-func TestGoldenRememberedEarly(t *testing.T) {
-	world := learnedWorld(t)
-	world.restart(goldenJSON(t, world.sched.LearnedState(20)))
-	world.run(2)
-	text := checkGoldenJSON(t, "remembered-early.json", goldenJSON(t, world.sched.LearnedState(20)))
+// An incarnation that ends soon after its start must pass on the learned state that it received.
+func TestGoldenLearnedStateOfAShortIncarnation(t *testing.T) {
+	sim := learnedStateSimulation(t)
+	sim.restart(goldenJSON(t, sim.sched.LearnedState(20)))
+	sim.run(2)
+	text := checkGoldenJSON(t, "remembered-early.json", goldenJSON(t, sim.sched.LearnedState(20)))
 	if !bytes.Contains(text, []byte(`"First":`)) {
-		t.Error("no route has a time before which it must not be called")
+		t.Error("no route has an earliest time of its first call")
 	}
-	at := goldenState(t, text) // restored at once, while such a time lies ahead
-	for i := range at.Destinations {
-		at.Destinations[i].Endpoints = nil
+	state := goldenState(t, text) // restored at once, before these times
+	for i := range state.Destinations {
+		state.Destinations[i].Endpoints = nil
 	}
-	next := world.newSchedulerOf()
-	if err := next.RestoreLearnedState(at, world.now); err != nil {
+	successor := sim.newScheduler()
+	if err := successor.RestoreLearnedState(state, sim.now); err != nil {
 		t.Fatal(err)
 	}
-	checkGoldenJSON(t, "remembered-at-once.json", goldenJSON(t, next.LearnedState(20)))
-	world.restart(text)
-	sum := world.run(500)
-	checkGolden(t, "remembered-early.txt", fmt.Appendf(nil, "%d %s\n", world.actions, sum))
+	checkGoldenJSON(t, "remembered-at-once.json", goldenJSON(t, successor.LearnedState(20)))
+	sim.restart(text)
+	sum := sim.run(500)
+	checkGolden(t, "remembered-early.txt", fmt.Appendf(nil, "%d %s\n", sim.actions, sum))
 }
 
-// TestGoldenRememberedUnmet: an incarnation that ends before its first list passes on the
-// learned state of endpoints. It has one endpoint of each destination, since the order of
-// several that are equally urgent is not fixed: they come out of a map.
-func TestGoldenRememberedUnmet(t *testing.T) {
-	world := learnedWorld(t)
-	state := world.sched.LearnedState(20)
+// An incarnation that ends before it receives an endpoint list must pass on the learned state of endpoints. The
+// state has one endpoint of each destination, since the order of several with the same priority depends on the
+// iteration order of a map.
+func TestGoldenLearnedStateBeforeTheFirstList(t *testing.T) {
+	sim := learnedStateSimulation(t)
+	state := sim.sched.LearnedState(20)
 	for i := range state.Destinations {
 		state.Destinations[i].Endpoints = state.Destinations[i].Endpoints[:min(1, len(state.Destinations[i].Endpoints))]
 	}
-	world.sched = world.newSchedulerOf()
-	if err := world.sched.RestoreLearnedState(state, world.now+300*ms); err != nil {
+	sim.sched = sim.newScheduler()
+	if err := sim.sched.RestoreLearnedState(state, sim.now+300*ms); err != nil {
 		t.Fatal(err)
 	}
-	checkGoldenJSON(t, "remembered-unmet.json", goldenJSON(t, world.sched.LearnedState(20)))
+	checkGoldenJSON(t, "remembered-unmet.json", goldenJSON(t, sim.sched.LearnedState(20)))
 }
 
-// TestGoldenErrors records the texts of the errors that New, RestoreState and RestoreLearnedState
-// return.
+// The errors of New, RestoreState and RestoreLearnedState must have the recorded texts.
 func TestGoldenErrors(t *testing.T) {
 	var lines strings.Builder
-	note := func(what string, err error) { fmt.Fprintf(&lines, "%s: %v\n", what, err) }
+	addLine := func(name string, err error) { fmt.Fprintf(&lines, "%s: %v\n", name, err) }
 	for _, tc := range []struct {
-		what  string
+		name  string
 		spoil func(*Settings)
 	}{
 		{"no class", func(s *Settings) { s.Classes = nil }},
@@ -189,11 +185,11 @@
 		settings := goldenSettings()
 		tc.spoil(&settings)
 		_, err := New(settings, 1)
-		note("new, "+tc.what, err)
+		addLine("new, "+tc.name, err)
 	}
-	saved, remembered := stateWorld(t).sched.State(), learnedWorld(t).sched.LearnedState(20)
+	saved, learned := stateSimulation(t).sched.State(), learnedStateSimulation(t).sched.LearnedState(20)
 	for _, tc := range []struct {
-		what  string
+		name  string
 		spoil func(*State)
 	}{
 		{"form", func(state *State) { state.Format++ }},
@@ -207,10 +203,11 @@
 	} {
 		state := goldenState(t, goldenJSON(t, saved))
 		tc.spoil(&state)
-		note("load, "+tc.what, errorOf(t, func(sched *Scheduler) error { return sched.RestoreState(state, 2e9) }))
+		addLine("load, "+tc.name,
+			errorOnNewScheduler(t, func(sched *Scheduler) error { return sched.RestoreState(state, 2e9) }))
 	}
 	for _, tc := range []struct {
-		what  string
+		name  string
 		spoil func(*State)
 	}{
 		{"form", func(state *State) { state.Format++ }},
@@ -218,15 +215,16 @@
 		{"route", func(state *State) { state.Destinations[0].Route.Floats = nil }},
 		{"no fault", func(*State) {}},
 	} {
-		state := goldenState(t, goldenJSON(t, remembered))
+		state := goldenState(t, goldenJSON(t, learned))
 		tc.spoil(&state)
-		note("recall, "+tc.what, errorOf(t, func(sched *Scheduler) error { return sched.RestoreLearnedState(state, 2e9) }))
+		addLine("recall, "+tc.name,
+			errorOnNewScheduler(t, func(sched *Scheduler) error { return sched.RestoreLearnedState(state, 2e9) }))
 	}
 	checkGolden(t, "errors.txt", []byte(lines.String()))
 }
 
-// errorOf is the error of an action on a new scheduler.
-func errorOf(t *testing.T, do func(*Scheduler) error) error {
+// errorOnNewScheduler returns the error of an operation on a new scheduler.
+func errorOnNewScheduler(t *testing.T, operation func(*Scheduler) error) error {
 	t.Helper()
 	settings := goldenSettings()
 	settings.Senders = 5
@@ -234,5 +232,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return do(sched)
+	return operation(sched)
 }
--- a/scheduler/golden_test.go
+++ b/scheduler/golden_test.go
@@ -11,13 +11,14 @@
 	"testing"
 )
 
-// The golden tests fix the behaviour of this package as it was recorded, so that a change which must not alter it can
-// be checked. After an intended change of behaviour record them anew, and review the difference:
+// The golden tests compare the behavior of this package with a recorded one. They show that a refactoring does not
+// change it. After an intended change of behavior, record the golden files again and review the difference:
 //
 //	go test ./scheduler -run TestGolden -update-golden
 //
-// The hashes depend on floating-point results. They were recorded on amd64; an architecture with fused multiply-add
-// may differ. With -golden-log DIR the text behind each hash is written to a file in DIR, for comparison line by line.
+// The hashes depend on floating-point results. They were recorded on amd64; on an architecture with fused
+// multiply-add they may differ. With -golden-log DIR, the text of each hash is written to a file in DIR, for
+// comparison line by line.
 var (
 	updateGolden = flag.Bool("update-golden", false, "record the golden files anew")
 	goldenLog    = flag.String("golden-log", "", "write the text of each scenario to this directory")
@@ -25,86 +26,98 @@
 
 // goldenScenario is one simulated run of a scheduler.
 type goldenScenario struct {
-	name          string
-	steps         int
-	change        func(*Settings) // changes to goldenSettings
-	load          float64         // mean number of requests per step
-	limit         float64         // calls per second that each destination accepts; 0: any number
-	trouble       float64         // chance per step that a destination changes its condition
-	handoverEvery int             // hot restart every so many steps; 0: never
-	restartEvery  int             // restart with learned state every so many steps; 0: never
-	peerEvents    bool            // events from other senders occur
-	shutdownEvery int             // a ShutdownStarted event every so many steps; 0: never
+	name              string
+	steps             int
+	changeSettings    func(*Settings) // changes to goldenSettings
+	load              float64         // mean number of requests per step
+	limit             float64         // calls per second that each destination accepts; 0: unlimited
+	changeProbability float64         // probability per step that a destination changes its condition
+	handoverEvery     int             // number of steps between hot restarts; 0: never
+	restartEvery      int             // number of steps between restarts with learned state; 0: never
+	peerEvents        bool            // there are events from other senders
+	shutdownEvery     int             // number of steps between ShutdownStarted events; 0: never
 }
 
+// goldenScenarios returns the scenarios of TestGoldenBehaviour. Their names are also the seeds.
 func goldenScenarios() []goldenScenario {
 	large := func(s *Settings) { s.Senders, s.Limits.MaxMessages = 300, 40 }
 	five := func(s *Settings) { s.Senders = 5 }
 	none := func(*Settings) {}
 	return []goldenScenario{
-		{name: "alone-steady", steps: 4000, change: none, load: 0.6},
-		{name: "alone-limited", steps: 4000, change: none, load: 1.2, limit: 12, trouble: 0.002},
-		{name: "alone-troubled", steps: 5000, change: none, load: 0.8, trouble: 0.02},
+		{name: "alone-steady", steps: 4000, changeSettings: none, load: 0.6},
+		{name: "alone-limited", steps: 4000, changeSettings: none, load: 1.2, limit: 12, changeProbability: 0.002},
+		{name: "alone-troubled", steps: 5000, changeSettings: none, load: 0.8, changeProbability: 0.02},
 		{
-			name: "alone-overload", steps: 4000, load: 4, limit: 20, trouble: 0.01,
-			change: func(s *Settings) {
+			name: "alone-overload", steps: 4000, load: 4, limit: 20, changeProbability: 0.01,
+			changeSettings: func(s *Settings) {
 				s.Limits.MaxMessages, s.Calls.ValueDecay, s.Rules.OverloadWindowUs = 30, DecayHalving, 0
 			},
 		},
 		{
-			name: "five-on-request", steps: 4000, load: 0.8, limit: 30, trouble: 0.01, peerEvents: true,
-			change: func(s *Settings) { s.Senders, s.Discovery, s.Rules.MaxPollIntervalUs = 5, DiscoveryOnRequest, 2000*ms },
+			name: "five-on-request", steps: 4000, load: 0.8, limit: 30, changeProbability: 0.01, peerEvents: true,
+			changeSettings: func(s *Settings) {
+				s.Senders, s.Discovery, s.Rules.MaxPollIntervalUs = 5, DiscoveryOnRequest, 2000*ms
+			},
 		},
-		{name: "five-neighbours", steps: 5000, change: five, load: 1, limit: 20, trouble: 0.01, peerEvents: true},
 		{
-			name: "five-handover", steps: 4000, change: five, load: 1, limit: 20, trouble: 0.01, handoverEvery: 400,
-			shutdownEvery: 1500,
+			name: "five-neighbours", steps: 5000, changeSettings: five, load: 1, limit: 20, changeProbability: 0.01,
+			peerEvents: true,
 		},
 		{
-			name: "five-restart", steps: 4000, change: five, load: 0.8, limit: 20, trouble: 0.01, restartEvery: 500,
-			shutdownEvery: 490,
+			name: "five-handover", steps: 4000, changeSettings: five, load: 1, limit: 20, changeProbability: 0.01,
+			handoverEvery: 400, shutdownEvery: 1500,
 		},
-		{name: "large-limited", steps: 5000, change: large, load: 0.5, limit: 4, trouble: 0.003},
-		{name: "large-troubled", steps: 5000, change: large, load: 1.5, limit: 10, trouble: 0.02, peerEvents: true},
 		{
-			name: "large-on-request", steps: 4000, load: 0.4, limit: 10, trouble: 0.01, handoverEvery: 700,
-			change: func(s *Settings) { large(s); s.Discovery, s.Rules.MaxPollIntervalUs = DiscoveryOnRequest, 3000*ms },
+			name: "five-restart", steps: 4000, changeSettings: five, load: 0.8, limit: 20, changeProbability: 0.01,
+			restartEvery: 500, shutdownEvery: 490,
 		},
+		{name: "large-limited", steps: 5000, changeSettings: large, load: 0.5, limit: 4, changeProbability: 0.003},
 		{
-			name: "large-restart", steps: 5000, change: large, load: 0.4, limit: 6, trouble: 0.01, restartEvery: 600,
+			name: "large-troubled", steps: 5000, changeSettings: large, load: 1.5, limit: 10, changeProbability: 0.02,
 			peerEvents: true,
 		},
-		{name: "large-restart-often", steps: 3000, change: large, load: 0.4, limit: 6, trouble: 0.01, restartEvery: 25},
 		{
-			name: "large-hints", steps: 4000, load: 0.6, limit: 8, trouble: 0.01, restartEvery: 900,
-			change: func(s *Settings) { large(s); s.CapacityHints, s.Limits.CanCancel = HintsRough, false },
+			name: "large-on-request", steps: 4000, load: 0.4, limit: 10, changeProbability: 0.01, handoverEvery: 700,
+			changeSettings: func(s *Settings) { large(s); s.Discovery, s.Rules.MaxPollIntervalUs = DiscoveryOnRequest, 3000*ms },
+		},
+		{
+			name: "large-restart", steps: 5000, changeSettings: large, load: 0.4, limit: 6, changeProbability: 0.01,
+			restartEvery: 600, peerEvents: true,
+		},
+		{
+			name: "large-restart-often", steps: 3000, changeSettings: large, load: 0.4, limit: 6, changeProbability: 0.01,
+			restartEvery: 25,
+		},
+		{
+			name: "large-hints", steps: 4000, load: 0.6, limit: 8, changeProbability: 0.01, restartEvery: 900,
+			changeSettings: func(s *Settings) { large(s); s.CapacityHints, s.Limits.CanCancel = HintsRough, false },
 		},
 		{
-			name: "large-no-caps", steps: 3000, load: 1.5, limit: 8, trouble: 0.01,
-			change: func(s *Settings) {
+			name: "large-no-caps", steps: 3000, load: 1.5, limit: 8, changeProbability: 0.01,
+			changeSettings: func(s *Settings) {
 				s.Senders, s.Limits.MaxMessages, s.Limits.MaxAttempts, s.Rules.KeyQuarantineUs,
 					s.Classes[2].PriorityWeight = 300, 0, 0, 0, 0
 			},
 		},
 		{
 			name: "large-refused", steps: 3000, load: 0.3, limit: 1.02,
-			change: func(s *Settings) {
+			changeSettings: func(s *Settings) {
 				large(s)
 				s.LoadReport.Mode, s.LoadReport.Fields, s.CapacityHints = ReportNone, nil, HintsRough
 			},
 		},
 		{
-			name: "alone-silent-reports", steps: 4000, load: 1, limit: 10, trouble: 0.015, restartEvery: 1300,
+			name: "alone-silent-reports", steps: 4000, load: 1, limit: 10, changeProbability: 0.015, restartEvery: 1300,
 			handoverEvery: 800,
-			change: func(s *Settings) {
+			changeSettings: func(s *Settings) {
 				s.LoadReport.Mode, s.LoadReport.Fields, s.CapacityHints = ReportNone, nil, HintsExact
 			},
 		},
 	}
 }
 
-// goldenSettings has classes of every idempotency, destinations with a shared limit, with limits
-// of the endpoints and with batches.
+// goldenSettings returns settings with classes of every idempotency and machine types with a shared limit, with
+// limits of the endpoints and with batches.
 func goldenSettings() Settings {
 	settings := testSettings()
 	settings.Classes = append(settings.Classes,
@@ -148,7 +161,7 @@
 	return state
 }
 
-// checkGolden compares text with a golden file, or records it.
+// checkGolden compares a result with a golden file, or with -update-golden writes it to the file.
 func checkGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -170,19 +183,19 @@
 	}
 }
 
-// reportDifference tells the first few lines in which two texts differ.
+// reportDifference reports the first eight lines in which two texts differ.
 func reportDifference(t *testing.T, path string, got, want []string) {
 	t.Helper()
 	t.Errorf("%s: %d lines, want %d", path, len(got), len(want))
-	for i, n := 0, 0; i < max(len(got), len(want)) && n < 8; i++ {
-		if a, b := elementOrZero(got, i), elementOrZero(want, i); a != b {
-			t.Errorf("%s:%d: got %q, want %q", path, i+1, a, b)
-			n++
+	for i, reported := 0, 0; i < max(len(got), len(want)) && reported < 8; i++ {
+		if gotLine, wantLine := elementOrZero(got, i), elementOrZero(want, i); gotLine != wantLine {
+			t.Errorf("%s:%d: got %q, want %q", path, i+1, gotLine, wantLine)
+			reported++
 		}
 	}
 }
 
-// goldenWriter is where the text of a scenario goes besides its hash.
+// goldenWriter returns the writer for the text of a scenario; see goldenLog.
 func goldenWriter(t *testing.T, name string) io.Writer {
 	t.Helper()
 	if *goldenLog == "" {
@@ -196,13 +209,13 @@
 	return file
 }
 
-// TestGoldenBehaviour plays the scenarios and compares the hash of all actions with the recorded one.
+// The actions of the scheduler in each scenario must have the recorded hash.
 func TestGoldenBehaviour(t *testing.T) {
 	var lines strings.Builder
 	for _, scenario := range goldenScenarios() {
-		world := newGoldenWorld(t, scenario, goldenWriter(t, scenario.name))
-		sum := world.run(scenario.steps)
-		fmt.Fprintf(&lines, "%s %d %d %s\n", scenario.name, scenario.steps, world.actions, sum)
+		sim := newGoldenSimulation(t, scenario, goldenWriter(t, scenario.name))
+		sum := sim.run(scenario.steps)
+		fmt.Fprintf(&lines, "%s %d %d %s\n", scenario.name, scenario.steps, sim.actions, sum)
 	}
 	checkGolden(t, "behaviour.txt", []byte(lines.String()))
 }
--- a/scheduler/goldenservers_test.go
+++ b/scheduler/goldenservers_test.go
@@ -4,49 +4,51 @@
 	"slices"
 )
 
-// serverCondition is how a simulated destination answers.
+// serverCondition is the condition of a simulated destination. It determines the outcomes of calls.
 type serverCondition int
 
+// The conditions of a destination. conditionCount is their number.
 const (
-	healthy serverCondition = iota
-	closed                  // rejects everything with a Retry-After
+	healthy   serverCondition = iota
+	rejecting                 // rejects everything with a Retry-After
 	unreachable
-	hanging // no answer in time
-	failing // most calls fail after they may have run
+	unresponsive // no response in time
+	failing      // most calls fail after they may have run
 	resetting
 	slow
-	conditions
+	conditionCount
 )
 
-// outcomes delivers what is due, in order of time.
-func (world *goldenWorld) outcomes() {
-	slices.SortStableFunc(world.pending, func(a, b scheduledEvent) int { return int(a.at - b.at) })
-	for len(world.pending) > 0 && world.pending[0].at <= world.now {
-		event := world.pending[0].event
-		world.pending = world.pending[1:]
+// deliverDue delivers the events that are due, in order of time.
+func (sim *goldenSimulation) deliverDue() {
+	slices.SortStableFunc(sim.scheduled, func(a, b scheduledEvent) int { return int(a.at - b.at) })
+	for len(sim.scheduled) > 0 && sim.scheduled[0].at <= sim.now {
+		event := sim.scheduled[0].event
+		sim.scheduled = sim.scheduled[1:]
 		if event.Final {
-			world.forget(event.ID)
+			sim.removeRequest(event.ID)
 		}
 		if event.Kind == AttemptFinished {
-			world.mayRun(event)
+			sim.recordFirstRun(event)
 		}
-		world.deliver(event)
-		if event.Kind == AttemptFinished && world.chance(0.01) { // delivered twice
-			world.deliver(event)
+		sim.deliver(event)
+		if event.Kind == AttemptFinished && sim.chance(0.01) { // a duplicate
+			sim.deliver(event)
 		}
 	}
 }
 
-// mayRun notes the first attempt that may have run.
-func (world *goldenWorld) mayRun(event Event) {
+// recordFirstRun records the first attempt of a request that may have run.
+func (sim *goldenSimulation) recordFirstRun(event Event) {
 	notRun := event.Outcome == OutcomeRejected || event.Outcome == OutcomeConnectFailed || event.Outcome == OutcomeNotSent
-	if world.firstRunAt[event.ID] == 0 && !notRun {
-		world.firstRunAt[event.ID], world.firstRunZone[event.ID] = world.now-event.RttUs, world.zone(event.Endpoint)
+	if sim.firstRunAt[event.ID] == 0 && !notRun {
+		sim.firstRunAt[event.ID], sim.firstRunZone[event.ID] = sim.now-event.RttUs, sim.zone(event.Endpoint)
 	}
 }
 
-func (world *goldenWorld) zone(addr string) string {
-	for _, listed := range world.endpoints {
+// zone returns the zone of an endpoint, or "" for an unknown address.
+func (sim *goldenSimulation) zone(addr string) string {
+	for _, listed := range sim.endpoints {
 		if listed.Addr == addr {
 			return listed.Zone
 		}
@@ -54,40 +56,41 @@
 	return ""
 }
 
-// act carries out one action.
-func (world *goldenWorld) act(action Action) {
+// apply carries out one action of the scheduler.
+func (sim *goldenSimulation) apply(action Action) {
 	switch action.Kind {
 	case StartAttempt:
-		world.attempt(action)
+		sim.startAttempt(action)
 	case Reject, Fail:
-		world.forget(action.ID)
+		sim.removeRequest(action.ID)
 	case SetTimer:
-		world.timerAt = world.now + action.DelayUs
+		sim.timerAt = sim.now + action.DelayUs
 	case CancelAttempt:
-		world.canceled(action)
+		sim.cancelAttempt(action)
 	case WatchEndpoints:
-		if world.watching = world.chance(0.6); world.watching {
-			world.due(30*ms, world.listEvent(UpdateFull))
+		if sim.watching = sim.chance(0.6); sim.watching {
+			sim.schedule(30*ms, sim.listEvent(UpdateFull))
 		} else {
-			world.due(30*ms, Event{Kind: EndpointsUpdated, Update: UpdateBroken})
+			sim.schedule(30*ms, Event{Kind: EndpointsUpdated, Update: UpdateBroken})
 		}
 	case WriteLog, CloseIdleConnections:
 	}
 }
 
-func (world *goldenWorld) due(after int64, event Event) {
-	world.pending = append(world.pending, scheduledEvent{world.now + after, event})
+// schedule delivers an event to the scheduler after a delay.
+func (sim *goldenSimulation) schedule(delayUs int64, event Event) {
+	sim.scheduled = append(sim.scheduled, scheduledEvent{sim.now + delayUs, event})
 }
 
-// canceled ends an attempt early, unless its answer comes first.
-func (world *goldenWorld) canceled(action Action) {
-	for i, o := range world.pending {
-		if o.event.Kind == AttemptFinished && o.event.ID == action.ID && o.event.Attempt == action.Attempt &&
-			world.chance(0.8) {
-			world.pending[i] = scheduledEvent{
-				world.now + 2*ms,
+// cancelAttempt ends an attempt early, unless its response arrives first.
+func (sim *goldenSimulation) cancelAttempt(action Action) {
+	for i, due := range sim.scheduled {
+		if due.event.Kind == AttemptFinished && due.event.ID == action.ID && due.event.Attempt == action.Attempt &&
+			sim.chance(0.8) {
+			sim.scheduled[i] = scheduledEvent{
+				sim.now + 2*ms,
 				Event{
-					Kind: AttemptFinished, ID: action.ID, Attempt: action.Attempt, Endpoint: o.event.Endpoint,
+					Kind: AttemptFinished, ID: action.ID, Attempt: action.Attempt, Endpoint: due.event.Endpoint,
 					Outcome: OutcomeCanceled,
 				},
 			}
@@ -96,75 +99,77 @@
 	}
 }
 
-// attempt draws how an attempt ends.
-func (world *goldenWorld) attempt(action Action) {
-	n := world.attempts[action.ID]
-	world.attempts[action.ID]++
-	event := Event{Kind: AttemptFinished, ID: action.ID, Attempt: n, Endpoint: action.Endpoint}
-	i := slices.IndexFunc(world.endpoints, func(listed Endpoint) bool { return listed.Addr == action.Endpoint })
-	d := world.endpoints[i].Destination
-	after := 20*ms + world.rng.Int63n(80*ms)
-	switch world.conditions[d] {
-	case closed:
-		event.Outcome, event.RetryAfterMs = OutcomeRejected, world.rng.Int63n(6000)
+// startAttempt draws the outcome of an attempt at random, by the condition of its destination.
+func (sim *goldenSimulation) startAttempt(action Action) {
+	attempt := sim.attempts[action.ID]
+	sim.attempts[action.ID]++
+	event := Event{Kind: AttemptFinished, ID: action.ID, Attempt: attempt, Endpoint: action.Endpoint}
+	i := slices.IndexFunc(sim.endpoints, func(listed Endpoint) bool { return listed.Addr == action.Endpoint })
+	destination := sim.endpoints[i].Destination
+	latencyUs := 20*ms + sim.rng.Int63n(80*ms)
+	switch sim.conditions[destination] {
+	case rejecting:
+		event.Outcome, event.RetryAfterMs = OutcomeRejected, sim.rng.Int63n(6000)
 	case unreachable:
 		event.Outcome = OutcomeConnectFailed
-	case hanging:
-		event.Outcome, after = OutcomeTimedOut, action.TimeoutUs
+	case unresponsive:
+		event.Outcome, latencyUs = OutcomeTimedOut, action.TimeoutUs
 	case failing:
-		event.Outcome = []Outcome{OutcomeFailed, OutcomeFailed, OutcomeSuccess}[world.rng.Intn(3)]
+		event.Outcome = []Outcome{OutcomeFailed, OutcomeFailed, OutcomeSuccess}[sim.rng.Intn(3)]
 	case resetting:
-		event.Outcome = []Outcome{OutcomeReset, OutcomeReset, OutcomeNotSent, OutcomeSuccess}[world.rng.Intn(4)]
-		event.RetryAfterMs = int64(world.rng.Intn(2))
+		event.Outcome = []Outcome{OutcomeReset, OutcomeReset, OutcomeNotSent, OutcomeSuccess}[sim.rng.Intn(4)]
+		event.RetryAfterMs = int64(sim.rng.Intn(2))
 	case slow:
-		event.Outcome, after = OutcomeSuccess, min(action.TimeoutUs, 8*after)
+		event.Outcome, latencyUs = OutcomeSuccess, min(action.TimeoutUs, 8*latencyUs)
 	default:
-		event.Outcome = world.accept(d)
+		event.Outcome = sim.admit(destination)
 	}
-	if world.chance(0.02) {
+	if sim.chance(0.02) {
 		event.Outcome = []Outcome{
 			OutcomeFailed, OutcomeRejected, OutcomeTimedOut, OutcomeConnectFailed, OutcomeReset,
 			OutcomeNotSent,
-		}[world.rng.Intn(6)]
+		}[sim.rng.Intn(6)]
 	}
 	if event.Outcome == OutcomeTimedOut {
-		after = action.TimeoutUs
+		latencyUs = action.TimeoutUs
 	}
-	world.finish(action, event, d, after)
+	sim.scheduleOutcome(action, event, destination, latencyUs)
 }
 
-// finish schedules the outcome of an attempt, with its report, and before it the start of a stream.
-func (world *goldenWorld) finish(action Action, event Event, d, after int64) {
-	event.RttUs, event.Final = after, event.Outcome == OutcomeSuccess
-	if event.Outcome == OutcomeRejected && event.RetryAfterMs == 0 && world.chance(0.3) {
-		event.RetryAfterMs = world.rng.Int63n(900)
+// scheduleOutcome schedules the outcome of an attempt with its load report and, for a stream, the start of the
+// response before it.
+func (sim *goldenSimulation) scheduleOutcome(action Action, event Event, destination, latencyUs int64) {
+	event.RttUs, event.Final = latencyUs, event.Outcome == OutcomeSuccess
+	if event.Outcome == OutcomeRejected && event.RetryAfterMs == 0 && sim.chance(0.3) {
+		event.RetryAfterMs = sim.rng.Int63n(900)
 	}
-	reports := world.settings.LoadReport.Mode == ReportInAnswers && world.scenario.limit > 0 && !world.noReports
-	if reports && (event.Outcome == OutcomeSuccess || event.Outcome == OutcomeRejected && world.chance(0.8)) {
+	reports := sim.settings.LoadReport.Mode == ReportInAnswers && sim.scenario.limit > 0 && !sim.noReports
+	if reports && (event.Outcome == OutcomeSuccess || event.Outcome == OutcomeRejected && sim.chance(0.8)) {
 		event.LoadReport = []float64{
-			max(0, world.tokens[d]/world.scenario.limit),
-			world.scenario.limit * float64(world.settings.Senders),
+			max(0, sim.tokens[destination]/sim.scenario.limit),
+			sim.scenario.limit * float64(sim.settings.Senders),
 		}
 	}
-	k := slices.IndexFunc(world.accepted, func(x Event) bool { return x.ID == action.ID })
-	if k >= 0 && world.accepted[k].Class == "stream" && event.Outcome != OutcomeConnectFailed &&
+	index := slices.IndexFunc(sim.accepted, func(request Event) bool { return request.ID == action.ID })
+	if index >= 0 && sim.accepted[index].Class == "stream" && event.Outcome != OutcomeConnectFailed &&
 		event.Outcome != OutcomeRejected {
-		world.due(after/2, Event{Kind: ResponseStarted, ID: action.ID, Attempt: event.Attempt, Endpoint: action.Endpoint})
+		sim.schedule(latencyUs/2,
+			Event{Kind: ResponseStarted, ID: action.ID, Attempt: event.Attempt, Endpoint: action.Endpoint})
 	}
-	world.due(after, event)
+	sim.schedule(latencyUs, event)
 }
 
-// accept admits a call while the destination's limit allows it.
-func (world *goldenWorld) accept(d int64) Outcome {
-	if world.scenario.limit == 0 {
+// admit returns the outcome of a call to a healthy destination: a rejection if its limit is used up.
+func (sim *goldenSimulation) admit(destination int64) Outcome {
+	if sim.scenario.limit == 0 {
 		return OutcomeSuccess
 	}
-	refill := world.scenario.limit * float64(world.now-world.tokensAt[d]) / 1e6
-	world.tokens[d] = min(world.scenario.limit, world.tokens[d]+refill)
-	world.tokensAt[d] = world.now
-	if world.tokens[d] < 1 {
+	refill := sim.scenario.limit * float64(sim.now-sim.tokensAt[destination]) / 1e6
+	sim.tokens[destination] = min(sim.scenario.limit, sim.tokens[destination]+refill)
+	sim.tokensAt[destination] = sim.now
+	if sim.tokens[destination] < 1 {
 		return OutcomeRejected
 	}
-	world.tokens[d]--
+	sim.tokens[destination]--
 	return OutcomeSuccess
 }
--- a/scheduler/goldenworld_test.go
+++ b/scheduler/goldenworld_test.go
@@ -11,9 +11,9 @@
 	"testing"
 )
 
-// goldenWorld simulates clients, destinations and the registry around one scheduler. All choices
-// come from one seeded source.
-type goldenWorld struct {
+// goldenSimulation simulates the clients, the destinations and the registry of one scheduler. All random choices
+// derive from one seed.
+type goldenSimulation struct {
 	t            testing.TB
 	scenario     goldenScenario
 	settings     Settings
@@ -21,24 +21,24 @@
 	rng          *rand.Rand
 	now          int64
 	step         int
-	requests     int
-	timerAt      int64
-	pending      []scheduledEvent
-	accepted     []Event          // as they arrived, oldest first
-	attempts     map[string]int   // sent, by request
-	firstRunAt   map[string]int64 // when the first attempt left that may have run
-	firstRunZone map[string]string
+	requestCount int
+	timerAt      int64             // 0: no timer is set
+	scheduled    []scheduledEvent  // to be delivered later
+	accepted     []Event           // requests without a final answer, oldest first
+	attempts     map[string]int    // number of attempts, by request
+	firstRunAt   map[string]int64  // send time of the first attempt that may have run, by request
+	firstRunZone map[string]string // zone of that attempt's endpoint
 	endpoints    []Endpoint
 	conditions   []serverCondition // by destination
 	tokens       []float64         // by destination
 	tokensAt     []int64           // by destination
-	events       []Event
-	watching     bool
-	noReports    bool // answers have no load report
+	events       []Event           // of the next step
+	watching     bool              // a watch of the endpoint list is open
+	noReports    bool              // responses have no load report
 
-	sum     hash.Hash
-	out     io.Writer
-	actions int
+	digest  hash.Hash // of the trace
+	trace   io.Writer // gets the actions and the results of queries as text
+	actions int       // number of actions so far
 }
 
 // scheduledEvent is an event that is due at a time.
@@ -47,264 +47,271 @@
 	event Event
 }
 
+// goldenDestinations is the number of destinations.
 const goldenDestinations = 4
 
-func newGoldenWorld(t testing.TB, scenario goldenScenario, log io.Writer) *goldenWorld {
+// newGoldenSimulation returns a simulation of a scenario, whose name determines the seed. log gets a copy of the
+// trace.
+func newGoldenSimulation(t testing.TB, scenario goldenScenario, log io.Writer) *goldenSimulation {
 	t.Helper()
-	world := &goldenWorld{
+	sim := &goldenSimulation{
 		t: t, scenario: scenario, settings: goldenSettings(), now: 1e9, attempts: map[string]int{},
 		firstRunAt:   map[string]int64{},
 		firstRunZone: map[string]string{}, conditions: make([]serverCondition, goldenDestinations),
 		tokens:   make([]float64, goldenDestinations),
-		tokensAt: make([]int64, goldenDestinations), sum: sha256.New(),
+		tokensAt: make([]int64, goldenDestinations), digest: sha256.New(),
 	}
-	world.out = io.MultiWriter(world.sum, log)
-	scenario.change(&world.settings)
+	sim.trace = io.MultiWriter(sim.digest, log)
+	scenario.changeSettings(&sim.settings)
 	seed := int64(0)
 	for _, letter := range scenario.name {
 		seed = seed*31 + int64(letter)
 	}
-	world.rng = rand.New(rand.NewSource(seed))
-	world.sched = world.newSchedulerOf()
-	kinds := []string{"plain", "apart", "batch", "plain"}
+	sim.rng = rand.New(rand.NewSource(seed))
+	sim.sched = sim.newScheduler()
+	machineTypes := []string{"plain", "apart", "batch", "plain"}
 	for i := range 3 * goldenDestinations {
-		d := i % goldenDestinations
-		world.endpoints = append(world.endpoints, Endpoint{
-			Addr: fmt.Sprintf("e%02d", i), Zone: world.settings.Zones[i/goldenDestinations%2], MachineType: kinds[d],
-			Destination: int64(d), State: StatusLive, CapacityHint: 5,
+		destination := i % goldenDestinations
+		sim.endpoints = append(sim.endpoints, Endpoint{
+			Addr: fmt.Sprintf("e%02d", i), Zone: sim.settings.Zones[i/goldenDestinations%2],
+			MachineType: machineTypes[destination],
+			Destination: int64(destination), State: StatusLive, CapacityHint: 5,
 		})
 	}
-	if world.settings.Discovery == DiscoveryPushed {
-		world.deliver(world.listEvent(UpdateFull))
+	if sim.settings.Discovery == DiscoveryPushed {
+		sim.deliver(sim.listEvent(UpdateFull))
 	} else {
-		world.deliver(world.listEvent(UpdateStale))
+		sim.deliver(sim.listEvent(UpdateStale))
 	}
-	return world
+	return sim
 }
 
-func (world *goldenWorld) newSchedulerOf() *Scheduler {
-	world.t.Helper()
-	sched, err := New(world.settings, world.rng.Int63())
+func (sim *goldenSimulation) newScheduler() *Scheduler {
+	sim.t.Helper()
+	sched, err := New(sim.settings, sim.rng.Int63())
 	if err != nil {
-		world.t.Fatal(err)
+		sim.t.Fatal(err)
 	}
 	return sched
 }
 
-func (world *goldenWorld) deliver(event Event) { world.events = append(world.events, event) }
+// deliver adds an event to the next step.
+func (sim *goldenSimulation) deliver(event Event) { sim.events = append(sim.events, event) }
 
-func (world *goldenWorld) chance(p float64) bool { return world.rng.Float64() < p }
+// chance returns true with the given probability.
+func (sim *goldenSimulation) chance(probability float64) bool { return sim.rng.Float64() < probability }
 
-func (world *goldenWorld) listEvent(update UpdateKind) Event {
-	return Event{Kind: EndpointsUpdated, Update: update, Endpoints: slices.Clone(world.endpoints)}
+func (sim *goldenSimulation) listEvent(update UpdateKind) Event {
+	return Event{Kind: EndpointsUpdated, Update: update, Endpoints: slices.Clone(sim.endpoints)}
 }
 
-// run plays steps and returns the hash so far.
-func (world *goldenWorld) run(steps int) string {
+// run simulates a number of steps and returns the hash of the trace so far.
+func (sim *goldenSimulation) run(steps int) string {
 	for range steps {
-		world.advance()
+		sim.advance()
 	}
-	return fmt.Sprintf("%x", world.sum.Sum(nil))
+	return fmt.Sprintf("%x", sim.digest.Sum(nil))
 }
 
-// advance plays one step: what happened since the last one, then the relay's decisions.
-func (world *goldenWorld) advance() {
-	world.step++
-	world.now += 1*ms + world.rng.Int63n(60*ms)
-	if world.chance(0.002) {
-		world.now += world.rng.Int63n(20_000 * ms) // a time without events
-	}
-	world.lifecycle()
-	world.arrivals()
-	world.endpointList()
-	world.peersAndTrouble()
-	world.outcomes()
-	if world.timerAt > 0 && world.now >= world.timerAt {
-		world.timerAt = 0
-		world.deliver(Event{Kind: TimerFired})
-	}
-	in := world.events
-	world.events = nil
-	fmt.Fprintf(world.out, "step %d at %d\n", world.step, world.now)
-	for _, action := range world.sched.Step(world.now, in) {
-		fmt.Fprintln(world.out, describe(action))
-		world.actions++
-		world.act(action)
-	}
-	if world.step%50 == 0 {
-		world.queries()
+// advance simulates one step: the events since the last one, and then the scheduler's actions.
+func (sim *goldenSimulation) advance() {
+	sim.step++
+	sim.now += 1*ms + sim.rng.Int63n(60*ms)
+	if sim.chance(0.002) {
+		sim.now += sim.rng.Int63n(20_000 * ms) // a time without events
+	}
+	sim.restartIfDue()
+	sim.addRequests()
+	sim.changeEndpointList()
+	sim.changeConditions()
+	sim.deliverDue()
+	if sim.timerAt > 0 && sim.now >= sim.timerAt {
+		sim.timerAt = 0
+		sim.deliver(Event{Kind: TimerFired})
+	}
+	input := sim.events
+	sim.events = nil
+	fmt.Fprintf(sim.trace, "step %d at %d\n", sim.step, sim.now)
+	for _, action := range sim.sched.Step(sim.now, input) {
+		fmt.Fprintln(sim.trace, describeAction(action))
+		sim.actions++
+		sim.apply(action)
+	}
+	if sim.step%50 == 0 {
+		sim.traceQueries()
 	}
 }
 
-// queries writes what the scheduler answers to questions about its state.
-func (world *goldenWorld) queries() {
-	for _, health := range world.sched.Health(world.now) {
-		fmt.Fprintf(world.out, "health %d %t %t %t %d %d\n", health.Destination, health.Unavailable,
+// traceQueries writes the results of the scheduler's methods that report on its state.
+func (sim *goldenSimulation) traceQueries() {
+	for _, health := range sim.sched.Health(sim.now) {
+		fmt.Fprintf(sim.trace, "health %d %t %t %t %d %d\n", health.Destination, health.Unavailable,
 			health.Recovering, health.HasPending,
 			health.RetryAfterUs, health.RecoveringUs)
 	}
-	for d := range int64(goldenDestinations) {
-		fmt.Fprintf(world.out, "want %d\n", world.sched.Demand(world.now, d))
+	for destination := range int64(goldenDestinations) {
+		fmt.Fprintf(sim.trace, "want %d\n", sim.sched.Demand(sim.now, destination))
 	}
-	for _, listed := range world.endpoints {
-		fmt.Fprintf(world.out, "avoids %t\n", world.sched.IsUnavailable(listed.Addr))
+	for _, listed := range sim.endpoints {
+		fmt.Fprintf(sim.trace, "avoids %t\n", sim.sched.IsUnavailable(listed.Addr))
 	}
-	attempts := world.sched.InFlight()
-	slices.SortFunc(attempts, func(action, b Action) int { return strings.Compare(action.ID, b.ID) })
+	attempts := sim.sched.InFlight()
+	slices.SortFunc(attempts, func(action, other Action) int { return strings.Compare(action.ID, other.ID) })
 	for _, action := range attempts {
-		fmt.Fprintf(world.out, "out %s holds %t\n", describe(action), world.sched.HasMessage(action.ID))
+		fmt.Fprintf(sim.trace, "out %s holds %t\n", describeAction(action), sim.sched.HasMessage(action.ID))
 	}
-	fmt.Fprintf(world.out, "worth %d came %v\n", world.sched.Fingerprint(), world.sched.ArrivalRate(world.now))
+	fmt.Fprintf(sim.trace, "worth %d came %v\n", sim.sched.Fingerprint(), sim.sched.ArrivalRate(sim.now))
 }
 
-// lifecycle hands the state over to a successor, restarts, or announces a shutdown.
-func (world *goldenWorld) lifecycle() {
-	every := func(n int) bool { return n > 0 && world.step%n == 0 }
-	if every(world.scenario.shutdownEvery) {
-		world.deliver(Event{Kind: ShutdownStarted, Deadline: world.now + 2000*ms})
+// restartIfDue announces a shutdown, does a hot restart or does a restart in the steps that the scenario sets.
+func (sim *goldenSimulation) restartIfDue() {
+	every := func(steps int) bool { return steps > 0 && sim.step%steps == 0 }
+	if every(sim.scenario.shutdownEvery) {
+		sim.deliver(Event{Kind: ShutdownStarted, Deadline: sim.now + 2000*ms})
 	}
-	if every(world.scenario.handoverEvery) {
-		world.handOver(goldenJSON(world.t, world.sched.State()))
+	if every(sim.scenario.handoverEvery) {
+		sim.hotRestart(goldenJSON(sim.t, sim.sched.State()))
 	}
-	if every(world.scenario.restartEvery) {
-		world.restart(goldenJSON(world.t, world.sched.LearnedState(20)))
+	if every(sim.scenario.restartEvery) {
+		sim.restart(goldenJSON(sim.t, sim.sched.LearnedState(20)))
 	}
 }
 
-// handOver lets a new scheduler go on with a state; what is in flight stays so.
-func (world *goldenWorld) handOver(text []byte) {
-	world.t.Helper()
-	world.sched = world.newSchedulerOf()
-	if err := world.sched.RestoreState(goldenState(world.t, text), world.now); err != nil {
-		world.t.Fatal(err)
+// hotRestart replaces the scheduler by one with its complete state. Attempts in flight continue.
+func (sim *goldenSimulation) hotRestart(savedState []byte) {
+	sim.t.Helper()
+	sim.sched = sim.newScheduler()
+	if err := sim.sched.RestoreState(goldenState(sim.t, savedState), sim.now); err != nil {
+		sim.t.Fatal(err)
 	}
 }
 
-// restart lets a new scheduler go on with the learned state of an earlier one, or at times
-// without; what was in flight is lost, and accepted messages without an answer come again.
-func (world *goldenWorld) restart(text []byte) {
-	world.t.Helper()
-	state := goldenState(world.t, text)
-	away := world.rng.Int63n(5000 * ms)
-	if world.chance(0.5) {
-		away /= 20
-	}
-	state.ShiftTimes(away / 2)
-	world.now += away
-	world.sched, world.timerAt = world.newSchedulerOf(), 0
-	if world.chance(0.3) {
-		world.noReports = !world.noReports
-	}
-	if world.chance(0.8) {
-		if err := world.sched.RestoreLearnedState(state, world.now); err != nil {
-			world.t.Fatal(err)
+// restart replaces the scheduler, after a downtime, by one that usually gets a learned state. Attempts in flight
+// are lost, and the requests without a final answer are restored.
+func (sim *goldenSimulation) restart(savedState []byte) {
+	sim.t.Helper()
+	state := goldenState(sim.t, savedState)
+	downtimeUs := sim.rng.Int63n(5000 * ms)
+	if sim.chance(0.5) {
+		downtimeUs /= 20
+	}
+	state.ShiftTimes(downtimeUs / 2)
+	sim.now += downtimeUs
+	sim.sched, sim.timerAt = sim.newScheduler(), 0
+	if sim.chance(0.3) {
+		sim.noReports = !sim.noReports
+	}
+	if sim.chance(0.8) {
+		if err := sim.sched.RestoreLearnedState(state, sim.now); err != nil {
+			sim.t.Fatal(err)
 		}
 	}
-	for _, o := range world.pending {
-		if o.event.Kind == AttemptFinished {
-			world.mayRun(o.event)
+	for _, due := range sim.scheduled {
+		if due.event.Kind == AttemptFinished {
+			sim.recordFirstRun(due.event)
 		}
 	}
-	world.pending, world.watching = nil, false
-	world.deliver(world.listEvent(UpdateFull))
-	for _, event := range world.accepted {
+	sim.scheduled, sim.watching = nil, false
+	sim.deliver(sim.listEvent(UpdateFull))
+	for _, event := range sim.accepted {
 		event.Restored = true
-		event.Attempts = world.attempts[event.ID]
-		event.FirstRunUs = world.firstRunAt[event.ID]
-		event.Zone = world.firstRunZone[event.ID]
-		world.deliver(event)
+		event.Attempts = sim.attempts[event.ID]
+		event.FirstRunUs = sim.firstRunAt[event.ID]
+		event.Zone = sim.firstRunZone[event.ID]
+		sim.deliver(event)
 	}
 }
 
-func (world *goldenWorld) arrivals() {
-	for n := world.scenario.load * 2 * world.rng.Float64(); n > 0; n-- {
-		if !world.chance(n) {
+// addRequests adds requests at random, and withdraws one from time to time.
+func (sim *goldenSimulation) addRequests() {
+	for remaining := sim.scenario.load * 2 * sim.rng.Float64(); remaining > 0; remaining-- {
+		if !sim.chance(remaining) {
 			continue
 		}
-		world.requests++
-		class := world.settings.Classes[world.rng.Intn(len(world.settings.Classes))]
+		sim.requestCount++
+		class := sim.settings.Classes[sim.rng.Intn(len(sim.settings.Classes))]
 		event := Event{
-			Kind: RequestAccepted, ID: fmt.Sprint("m", world.requests), Class: class.Name,
-			Destination: world.rng.Int63n(goldenDestinations),
-			Deadline:    world.now + class.DeadlineUs, WorkUs: world.rng.Int63n(300 * ms),
+			Kind: RequestAccepted, ID: fmt.Sprint("m", sim.requestCount), Class: class.Name,
+			Destination: sim.rng.Int63n(goldenDestinations),
+			Deadline:    sim.now + class.DeadlineUs, WorkUs: sim.rng.Int63n(300 * ms),
 		}
-		if world.chance(0.3) {
+		if sim.chance(0.3) {
 			event.Tenant = "alpha"
 		}
-		if event.HasKey = class.OrderedByKey || world.chance(0.2); event.HasKey {
-			event.Key = world.rng.Int63n(300)
+		if event.HasKey = class.OrderedByKey || sim.chance(0.2); event.HasKey {
+			event.Key = sim.rng.Int63n(300)
 		}
-		if world.chance(0.002) {
+		if sim.chance(0.002) {
 			event.Class = "unknown"
 		}
-		world.accepted = append(world.accepted, event)
-		world.deliver(event)
+		sim.accepted = append(sim.accepted, event)
+		sim.deliver(event)
 	}
-	if len(world.accepted) > 0 && world.chance(0.01) {
-		event := world.accepted[world.rng.Intn(len(world.accepted))]
-		world.forget(event.ID)
-		world.deliver(Event{Kind: RequestWithdrawn, ID: event.ID})
+	if len(sim.accepted) > 0 && sim.chance(0.01) {
+		event := sim.accepted[sim.rng.Intn(len(sim.accepted))]
+		sim.removeRequest(event.ID)
+		sim.deliver(Event{Kind: RequestWithdrawn, ID: event.ID})
 	}
 }
 
-// forget drops a request that has its final answer.
-func (world *goldenWorld) forget(id string) {
-	world.accepted = slices.DeleteFunc(world.accepted, func(event Event) bool { return event.ID == id })
+// removeRequest removes a request that has its final answer.
+func (sim *goldenSimulation) removeRequest(id string) {
+	sim.accepted = slices.DeleteFunc(sim.accepted, func(event Event) bool { return event.ID == id })
 }
 
-// endpointList changes the list now and then, and delivers the change.
-func (world *goldenWorld) endpointList() {
-	if world.chance(0.005) && world.settings.Discovery == DiscoveryOnRequest {
-		world.watching = false
-		world.deliver(Event{Kind: EndpointsUpdated, Update: UpdateBroken})
+// changeEndpointList changes the endpoint list from time to time, and delivers the change in one of several ways.
+func (sim *goldenSimulation) changeEndpointList() {
+	if sim.chance(0.005) && sim.settings.Discovery == DiscoveryOnRequest {
+		sim.watching = false
+		sim.deliver(Event{Kind: EndpointsUpdated, Update: UpdateBroken})
 	}
-	if !world.chance(0.01) {
+	if !sim.chance(0.01) {
 		return
 	}
-	x := &world.endpoints[world.rng.Intn(len(world.endpoints))]
-	switch world.rng.Intn(8) {
+	listed := &sim.endpoints[sim.rng.Intn(len(sim.endpoints))]
+	switch sim.rng.Intn(8) {
 	case 0, 1:
-		x.State = []EndpointStatus{StatusDraining, StatusDead}[world.rng.Intn(2)]
+		listed.State = []EndpointStatus{StatusDraining, StatusDead}[sim.rng.Intn(2)]
 	case 2:
-		x.Destination = world.rng.Int63n(goldenDestinations)
+		listed.Destination = sim.rng.Int63n(goldenDestinations)
 	case 3:
-		x.CapacityHint = float64(world.rng.Intn(30))
+		listed.CapacityHint = float64(sim.rng.Intn(30))
 	default:
-		x.State, x.SlowStart = StatusLive, world.chance(0.3)
-	}
-	switch k := world.rng.Intn(6); {
-	case world.settings.Discovery == DiscoveryOnRequest && !world.watching:
-	case k < 3:
-		world.deliver(Event{Kind: EndpointsUpdated, Update: UpdatePatch, Endpoints: []Endpoint{*x}})
-	case k == 3:
-		world.deliver(world.listEvent(UpdateStale))
-	case k == 4: // without one of them
-		event := world.listEvent(UpdateFull)
+		listed.State, listed.SlowStart = StatusLive, sim.chance(0.3)
+	}
+	switch choice := sim.rng.Intn(6); {
+	case sim.settings.Discovery == DiscoveryOnRequest && !sim.watching:
+	case choice < 3:
+		sim.deliver(Event{Kind: EndpointsUpdated, Update: UpdatePatch, Endpoints: []Endpoint{*listed}})
+	case choice == 3:
+		sim.deliver(sim.listEvent(UpdateStale))
+	case choice == 4: // without one of the endpoints
+		event := sim.listEvent(UpdateFull)
 		event.Endpoints = slices.Delete(event.Endpoints, 3, 4)
-		world.deliver(event)
+		sim.deliver(event)
 	default:
-		world.deliver(world.listEvent(UpdateFull))
+		sim.deliver(sim.listEvent(UpdateFull))
 	}
-	x.SlowStart = false
+	listed.SlowStart = false
 }
 
-// peersAndTrouble delivers events of other senders and unused ones, and changes the conditions
-// of the destinations.
-func (world *goldenWorld) peersAndTrouble() {
-	if world.chance(world.scenario.trouble) {
+// changeConditions changes the conditions of the destinations, and delivers events from other senders and events
+// that the scheduler does not use.
+func (sim *goldenSimulation) changeConditions() {
+	if sim.chance(sim.scenario.changeProbability) {
 		condition := healthy
-		if world.chance(0.5) {
-			condition = serverCondition(world.rng.Intn(int(conditions)))
+		if sim.chance(0.5) {
+			condition = serverCondition(sim.rng.Intn(int(conditionCount)))
 		}
-		world.conditions[world.rng.Intn(goldenDestinations)] = condition
+		sim.conditions[sim.rng.Intn(goldenDestinations)] = condition
 	}
-	if !world.scenario.peerEvents || !world.chance(0.03) {
+	if !sim.scenario.peerEvents || !sim.chance(0.03) {
 		return
 	}
-	event := Event{Destination: world.rng.Int63n(goldenDestinations), Deadline: world.now + world.rng.Int63n(4000*ms)}
-	switch world.rng.Intn(6) {
+	event := Event{Destination: sim.rng.Int63n(goldenDestinations), Deadline: sim.now + sim.rng.Int63n(4000*ms)}
+	switch sim.rng.Intn(6) {
 	case 0:
-		event.Kind, event.Quota, event.EvenQuota = QuotaAssigned, world.rng.Int63n(20_000), world.rng.Int63n(8000)
+		event.Kind, event.Quota, event.EvenQuota = QuotaAssigned, sim.rng.Int63n(20_000), sim.rng.Int63n(8000)
 	case 1:
 		event.Kind = RetryAfterShared
 	case 2, 3:
@@ -312,13 +319,14 @@
 	case 4:
 		event.Kind = RecoveryObserved
 	default:
-		event.Kind = []EventKind{HealthChecked, PeerMessage}[world.rng.Intn(2)]
+		event.Kind = []EventKind{HealthChecked, PeerMessage}[sim.rng.Intn(2)]
 	}
-	world.deliver(event)
+	sim.deliver(event)
 }
 
-// describe is an action as one line of text, without any name of a Go identifier.
-func describe(action Action) string {
+// describeAction returns an action as one line of text, which does not contain names of Go identifiers: renaming
+// them must not change the golden files.
+func describeAction(action Action) string {
 	return fmt.Sprintf("%d id=%q n=%d addr=%q limit=%d wait=%d delay=%d mark=%d text=%q on=%t",
 		action.Kind, action.ID, action.Attempt, action.Endpoint, action.TimeoutUs, action.RetryAfterUs,
 		action.DelayUs, action.TimerID, action.Text, action.On)
--- a/scheduler/invariants_test.go
+++ b/scheduler/invariants_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// sentAttempt and messageRecord are what the checker keeps of a message.
+// sentAttempt is the checker's record of an attempt.
 type sentAttempt struct {
 	endpoint   string
 	sentAt     int64
@@ -16,23 +16,25 @@
 	mayHaveRun bool
 }
 
+// messageRecord is the checker's record of a message.
 type messageRecord struct {
 	request     Event
 	attempts    []sentAttempt
-	ended       bool
-	withdrawnAt int64 // when the client withdrew: an answer in that step is ignored
+	ended       bool  // it has its final answer or was withdrawn
+	withdrawnAt int64 // time of the withdrawal: a final answer in that step is ignored
 }
 
-// checker asserts the rules on every action; it drives the scheduler and models no servers.
+// checker checks every action of a scheduler against the rules that hold under all circumstances. It keeps its
+// own records of the messages and shares no state with the scheduler.
 type checker struct {
 	settings         Settings
 	classes          map[string]Class
-	records          map[string]*messageRecord
-	endpoints        map[string]Endpoint
-	retryAfterUntil  map[string]int64 // by route name
-	keyOrder         map[int64][]string
-	quarantinedUntil map[int64]int64
-	quarantineOwner  map[int64]string
+	records          map[string]*messageRecord // by message id
+	endpoints        map[string]Endpoint       // by address
+	retryAfterUntil  map[string]int64          // by route name
+	keyOrder         map[int64][]string        // ids of the messages of each key, in the order of acceptance
+	quarantinedUntil map[int64]int64           // by key
+	quarantineOwner  map[int64]string          // by key, the message with the ambiguous outcome
 }
 
 func newChecker(settings Settings) *checker {
@@ -52,103 +54,107 @@
 	return check
 }
 
-// accept notes a message that is handed in.
-func (c *checker) accept(event Event) {
-	c.records[event.ID] = &messageRecord{request: event}
-	if event.HasKey && c.classes[event.Class].OrderedByKey {
-		c.keyOrder[event.Key] = append(c.keyOrder[event.Key], event.ID)
+// recordRequest records an accepted message.
+func (check *checker) recordRequest(event Event) {
+	check.records[event.ID] = &messageRecord{request: event}
+	if event.HasKey && check.classes[event.Class].OrderedByKey {
+		check.keyOrder[event.Key] = append(check.keyOrder[event.Key], event.ID)
 	}
 }
 
-// finish notes the outcome of an attempt.
-func (c *checker) finish(now int64, outcome randomOutcome) *messageRecord {
-	record := c.records[outcome.id]
-	sent := &record.attempts[outcome.attempt]
-	sent.inFlight = false
-	sent.mayHaveRun = outcome.reason != OutcomeRejected && outcome.reason != OutcomeConnectFailed &&
+// recordOutcome records the outcome of an attempt.
+func (check *checker) recordOutcome(now int64, outcome randomOutcome) *messageRecord {
+	record := check.records[outcome.id]
+	finished := &record.attempts[outcome.attempt]
+	finished.inFlight = false
+	finished.mayHaveRun = outcome.reason != OutcomeRejected && outcome.reason != OutcomeConnectFailed &&
 		outcome.reason != OutcomeNotSent
 	if outcome.reason == OutcomeRejected && outcome.retryAfterMs > 0 {
-		route := c.route(sent.endpoint)
-		c.retryAfterUntil[route] = max(c.retryAfterUntil[route], now+outcome.retryAfterMs*1000)
+		route := check.route(finished.endpoint)
+		check.retryAfterUntil[route] = max(check.retryAfterUntil[route], now+outcome.retryAfterMs*1000)
 	}
 	ambiguous := outcome.reason == OutcomeTimedOut || outcome.reason == OutcomeReset || outcome.reason == OutcomeCanceled
-	if c.classes[record.request.Class].OrderedByKey && record.request.HasKey && ambiguous {
-		c.quarantinedUntil[record.request.Key] = now + c.settings.Rules.KeyQuarantineUs
-		c.quarantineOwner[record.request.Key] = outcome.id
+	if check.classes[record.request.Class].OrderedByKey && record.request.HasKey && ambiguous {
+		check.quarantinedUntil[record.request.Key] = now + check.settings.Rules.KeyQuarantineUs
+		check.quarantineOwner[record.request.Key] = outcome.id
 	}
 	record.ended = record.ended || outcome.reason == OutcomeSuccess
 	return record
 }
 
-func (c *checker) route(addr string) string {
-	listed := c.endpoints[addr]
-	if c.settings.Calls.EndpointLimits[slices.Index(c.settings.MachineTypes, listed.MachineType)] {
+// route returns a name of the route to an endpoint: the address if it has its own limit, or else the destination.
+func (check *checker) route(addr string) string {
+	listed := check.endpoints[addr]
+	if check.settings.Calls.EndpointLimits[slices.Index(check.settings.MachineTypes, listed.MachineType)] {
 		return addr
 	}
 	return fmt.Sprint(listed.Destination)
 }
 
-func (c *checker) action(now int64, action Action) error {
-	record := c.records[action.ID]
+// checkAction records an action and returns an error if it breaks a rule.
+func (check *checker) checkAction(now int64, action Action) error {
+	record := check.records[action.ID]
 	switch action.Kind {
 	case StartAttempt:
 		if record == nil || record.ended {
-			return fmt.Errorf("sent %s after its end", action.ID)
+			return fmt.Errorf("message %s: sent though unknown or ended", action.ID)
 		}
-		listed, class := c.endpoints[action.Endpoint], c.classes[record.request.Class]
+		listed, class := check.endpoints[action.Endpoint], check.classes[record.request.Class]
 		switch {
 		case listed.Destination != record.request.Destination:
-			return fmt.Errorf("%s sent to another destination", action.ID)
+			return fmt.Errorf("message %s: sent to another destination", action.ID)
 		case listed.State != StatusLive:
-			return fmt.Errorf("%s sent to %s, which is %s", action.ID, action.Endpoint, listed.State)
-		case now < c.retryAfterUntil[c.route(action.Endpoint)]:
-			return fmt.Errorf("%s sent %d us before a Retry-After ends", action.ID,
-				c.retryAfterUntil[c.route(action.Endpoint)]-now)
-		case len(record.attempts) >= c.settings.Limits.MaxAttempts:
-			return fmt.Errorf("%s: too many attempts", action.ID)
+			return fmt.Errorf("message %s: sent to endpoint %s, whose status is %s", action.ID, action.Endpoint, listed.State)
+		case now < check.retryAfterUntil[check.route(action.Endpoint)]:
+			return fmt.Errorf("message %s: sent %d us before the end of a Retry-After", action.ID,
+				check.retryAfterUntil[check.route(action.Endpoint)]-now)
+		case len(record.attempts) >= check.settings.Limits.MaxAttempts:
+			return fmt.Errorf("message %s: too many attempts", action.ID)
 		}
-		for _, t := range record.attempts {
-			if t.inFlight {
-				return fmt.Errorf("%s: two attempts in outcome", action.ID)
+		for _, attempt := range record.attempts {
+			if attempt.inFlight {
+				return fmt.Errorf("message %s: two attempts in flight", action.ID)
 			}
 		}
-		if i := slices.IndexFunc(record.attempts, func(t sentAttempt) bool { return t.mayHaveRun }); i >= 0 {
-			first := record.attempts[i]
+		if index := slices.IndexFunc(record.attempts,
+			func(attempt sentAttempt) bool { return attempt.mayHaveRun }); index >= 0 {
+			first := record.attempts[index]
 			if class.Idempotency == NotIdempotent {
-				return fmt.Errorf("%s: unsafe and repeated", action.ID)
+				return fmt.Errorf("message %s: unsafe, and sent again though it may have run", action.ID)
 			}
 			if class.Idempotency == IdempotentByKey && (now > first.sentAt+class.KeyWindowUs ||
-				class.KeyScope != KeyScopeAll && c.endpoints[first.endpoint].Zone != listed.Zone) {
-				return fmt.Errorf("%s: by key and repeated outside its window or zone", action.ID)
+				class.KeyScope != KeyScopeAll && check.endpoints[first.endpoint].Zone != listed.Zone) {
+				return fmt.Errorf("message %s: sent again outside its idempotency window or zone", action.ID)
 			}
 		}
 		if class.OrderedByKey && record.request.HasKey {
-			k := record.request.Key
-			for _, id := range c.keyOrder[k] {
+			key := record.request.Key
+			for _, id := range check.keyOrder[key] {
 				if id == action.ID {
 					break
 				}
-				before := c.records[id]
-				if !before.ended || slices.ContainsFunc(before.attempts, func(t sentAttempt) bool { return t.inFlight }) {
-					return fmt.Errorf("%s: sent before %s of its key was over", action.ID, id)
+				before := check.records[id]
+				if !before.ended || slices.ContainsFunc(before.attempts,
+					func(attempt sentAttempt) bool { return attempt.inFlight }) {
+					return fmt.Errorf("message %s: sent before the end of message %s of the same key", action.ID, id)
 				}
 			}
-			if now < c.quarantinedUntil[k] && c.quarantineOwner[k] != action.ID {
-				return fmt.Errorf("%s: its key is quarantined", action.ID)
+			if now < check.quarantinedUntil[key] && check.quarantineOwner[key] != action.ID {
+				return fmt.Errorf("message %s: sent though its key is in quarantine", action.ID)
 			}
 		}
 		record.attempts = append(record.attempts, sentAttempt{endpoint: action.Endpoint, sentAt: now, inFlight: true})
 	case Reject, Fail:
 		if record == nil || record.ended && record.withdrawnAt != now {
-			return fmt.Errorf("%s ended twice", action.ID)
+			return fmt.Errorf("message %s: got a second final answer, or is unknown", action.ID)
 		}
 		record.ended = true
-		class := c.classes[record.request.Class]
+		class := check.classes[record.request.Class]
 		if action.Kind == Reject && (class.Idempotency == NotIdempotent || class.Idempotency == IdempotentByKey &&
 			class.KeyScope != KeyScopeAll) {
-			for _, t := range record.attempts {
-				if t.mayHaveRun || t.inFlight {
-					return fmt.Errorf("%s rejected though it may have run", action.ID)
+			for _, attempt := range record.attempts {
+				if attempt.mayHaveRun || attempt.inFlight {
+					return fmt.Errorf("message %s: rejected though it may have run", action.ID)
 				}
 			}
 		}
@@ -156,18 +162,18 @@
 	return nil
 }
 
-// randomRun is one seeded run of random events and outcomes.
+// randomRun drives one scheduler with random events and outcomes and checks its actions.
 type randomRun struct {
-	rng       *rand.Rand
-	settings  Settings
-	sched     *Scheduler
-	check     *checker
-	now       int64
-	endpoints []Endpoint
-	condition map[int64]int // of each destination
-	inFlight  []randomOutcome
-	open      []string // messages without a final answer
-	events    []Event  // of the next step
+	rng        *rand.Rand
+	settings   Settings
+	sched      *Scheduler
+	check      *checker
+	now        int64
+	endpoints  []Endpoint
+	condition  map[int64]int // by destination; see drawOutcome
+	inFlight   []randomOutcome
+	unanswered []string // ids of the messages without a final answer
+	events     []Event  // of the next step
 }
 
 // randomOutcome is the outcome that an attempt in flight will have.
@@ -179,29 +185,30 @@
 	retryAfterMs int64
 }
 
-// playRandomRun plays a run of 1,500 steps; plant changes the scheduler first.
-func playRandomRun(seed int64, plant func(*Scheduler)) error {
+// runRandomEvents runs 1,500 steps, after injectFault has changed the scheduler. It returns the first error.
+func runRandomEvents(seed int64, injectFault func(*Scheduler)) error {
 	run, err := newRandomRun(seed)
 	if err != nil {
 		return err
 	}
-	plant(run.sched)
-	for round := range 1500 {
+	injectFault(run.sched)
+	for stepIndex := range 1500 {
 		if err := run.step(); err != nil {
-			return fmt.Errorf("seed %d round %d: %w", seed, round, err)
+			return fmt.Errorf("seed %d, step %d: %w", seed, stepIndex, err)
 		}
 		run.now += 5 * ms * int64(1+run.rng.Intn(6))
 		run.events = nil
 		run.finishAttempts()
-		if round < 1000 {
-			run.addRequests(round)
+		if stepIndex < 1000 {
+			run.addRequests(stepIndex)
 		}
-		run.addTrouble()
+		run.addDisturbance()
 		run.events = append(run.events, Event{Kind: TimerFired})
 	}
 	return nil
 }
 
+// randomSettings returns settings with random classes, limits and numbers of senders.
 func randomSettings(rng *rand.Rand) Settings {
 	settings := testSettings()
 	settings.MachineTypes = []string{"plain", "apart", "batch"}
@@ -222,6 +229,7 @@
 	return settings
 }
 
+// newRandomRun returns a run with ten endpoints of three destinations.
 func newRandomRun(seed int64) (*randomRun, error) {
 	rng := rand.New(rand.NewSource(seed))
 	settings := randomSettings(rng)
@@ -238,7 +246,7 @@
 		condition: map[int64]int{},
 	}
 	for i := range 10 {
-		listed := ep(fmt.Sprint("e", i), settings.MachineTypes[i%3], settings.Zones[rng.Intn(2)], int64(i%3))
+		listed := liveEndpoint(fmt.Sprint("e", i), settings.MachineTypes[i%3], settings.Zones[rng.Intn(2)], int64(i%3))
 		listed.CapacityHint = []float64{0, 1, 1e9, 30}[rng.Intn(4)]
 		run.endpoints = append(run.endpoints, listed)
 		run.check.endpoints[listed.Addr] = listed
@@ -247,17 +255,17 @@
 	return run, nil
 }
 
-// step plays one step of the scheduler and checks its actions.
+// step runs one step of the scheduler, checks its actions, and checks that no message is overdue.
 func (run *randomRun) step() error {
 	for _, event := range run.events {
 		if event.Kind == RequestAccepted {
-			run.check.accept(event)
-			run.open = append(run.open, event.ID)
+			run.check.recordRequest(event)
+			run.unanswered = append(run.unanswered, event.ID)
 		}
 	}
 	calls := map[string][]int{} // indexes in inFlight, by endpoint
 	for _, action := range run.sched.Step(run.now, run.events) {
-		if err := run.check.action(run.now, action); err != nil {
+		if err := run.check.checkAction(run.now, action); err != nil {
 			return err
 		}
 		switch action.Kind {
@@ -268,17 +276,18 @@
 			run.inFlight = append(run.inFlight, run.drawOutcome(action))
 		}
 	}
-	run.joinBatches(calls)
-	for _, id := range run.open {
+	run.alignBatchOutcomes(calls)
+	for _, id := range run.unanswered {
 		record := run.check.records[id]
 		if !record.ended && run.now > record.request.Deadline+run.settings.Rules.AnswerMarginUs {
-			return fmt.Errorf("%s got no answer in time", id)
+			return fmt.Errorf("message %s: no final answer in time", id)
 		}
 	}
-	run.open = slices.DeleteFunc(run.open, func(id string) bool { return run.check.records[id].ended })
+	run.unanswered = slices.DeleteFunc(run.unanswered, func(id string) bool { return run.check.records[id].ended })
 	return nil
 }
 
+// cancel ends an attempt in flight now, with OutcomeCanceled.
 func (run *randomRun) cancel(action Action) {
 	for i := range run.inFlight {
 		if run.inFlight[i].id == action.ID && run.inFlight[i].attempt == action.Attempt {
@@ -287,13 +296,14 @@
 	}
 }
 
-// drawOutcome draws how an attempt ends. Outages of destinations overlap.
+// drawOutcome draws the outcome of an attempt at random. The condition of its destination may determine it:
+// 1 rejects all calls, 2 does not respond, 3 fails connects, and 4 responds slowly.
 func (run *randomRun) drawOutcome(action Action) randomOutcome {
 	reasons := []Outcome{
 		OutcomeSuccess, OutcomeSuccess, OutcomeSuccess, OutcomeSuccess, OutcomeRejected,
 		OutcomeFailed, OutcomeTimedOut, OutcomeConnectFailed, OutcomeReset, OutcomeNotSent,
 	}
-	next := randomOutcome{
+	drawn := randomOutcome{
 		id:      action.ID,
 		attempt: len(run.check.records[action.ID].attempts) - 1,
 		at:      run.now + int64(20+run.rng.Intn(400))*ms,
@@ -301,25 +311,26 @@
 	}
 	switch run.condition[run.check.endpoints[action.Endpoint].Destination] {
 	case 1:
-		next.reason = OutcomeRejected
+		drawn.reason = OutcomeRejected
 	case 2:
-		next.at, next.reason = run.now+action.TimeoutUs, OutcomeTimedOut
+		drawn.at, drawn.reason = run.now+action.TimeoutUs, OutcomeTimedOut
 	case 3:
-		next.reason = OutcomeConnectFailed
+		drawn.reason = OutcomeConnectFailed
 	case 4:
-		next.at += 1500 * ms
+		drawn.at += 1500 * ms
 	}
-	if next.at > run.now+action.TimeoutUs {
-		next.at, next.reason = run.now+action.TimeoutUs, OutcomeTimedOut
+	if drawn.at > run.now+action.TimeoutUs {
+		drawn.at, drawn.reason = run.now+action.TimeoutUs, OutcomeTimedOut
 	}
-	if next.reason == OutcomeRejected && run.rng.Intn(2) == 0 {
-		next.retryAfterMs = int64(1 + run.rng.Intn(3000))
+	if drawn.reason == OutcomeRejected && run.rng.Intn(2) == 0 {
+		drawn.retryAfterMs = int64(1 + run.rng.Intn(3000))
 	}
-	return next
+	return drawn
 }
 
-// joinBatches gives the messages of one call the same outcome.
-func (run *randomRun) joinBatches(calls map[string][]int) {
+// alignBatchOutcomes gives all messages of one call the same outcome. calls has their indexes in inFlight, by
+// endpoint.
+func (run *randomRun) alignBatchOutcomes(calls map[string][]int) {
 	for addr, indexes := range calls {
 		if run.check.endpoints[addr].MachineType != "batch" {
 			continue
@@ -333,35 +344,36 @@
 
 // finishAttempts delivers the outcomes that are due.
 func (run *randomRun) finishAttempts() {
-	kept := run.inFlight[:0]
+	remaining := run.inFlight[:0]
 	for _, due := range run.inFlight {
 		if due.at > run.now {
-			kept = append(kept, due)
+			remaining = append(remaining, due)
 			continue
 		}
-		record := run.check.finish(run.now, due)
+		record := run.check.recordOutcome(run.now, due)
 		report := [][]float64{nil, {0.9, 8}, {0, 8}, {-1}, {math.NaN(), math.Inf(1)}}[run.rng.Intn(5)]
 		run.events = append(run.events, Event{
 			Kind: AttemptFinished, ID: due.id, Attempt: due.attempt, Endpoint: record.attempts[due.attempt].endpoint,
 			Outcome: due.reason, RetryAfterMs: due.retryAfterMs, Final: record.ended, LoadReport: report,
 		})
 	}
-	run.inFlight = kept
+	run.inFlight = remaining
 }
 
-func (run *randomRun) addRequests(round int) {
+// addRequests adds up to two requests with random classes, destinations and keys.
+func (run *randomRun) addRequests(stepIndex int) {
 	for range run.rng.Intn(3) {
 		class := run.settings.Classes[run.rng.Intn(3)]
 		run.events = append(run.events, Event{
-			Kind: RequestAccepted, ID: fmt.Sprint("r", round, "-", len(run.events)), Class: class.Name,
+			Kind: RequestAccepted, ID: fmt.Sprint("r", stepIndex, "-", len(run.events)), Class: class.Name,
 			Destination: int64(run.rng.Intn(4)), Deadline: run.now + class.DeadlineUs, Key: int64(run.rng.Intn(5)),
 			HasKey: run.rng.Intn(2) == 0,
 		})
 	}
 }
 
-// addTrouble changes a destination's condition or the endpoint list, or withdraws a message, now and then.
-func (run *randomRun) addTrouble() {
+// addDisturbance changes a destination's condition or the endpoint list, or withdraws a message, from time to time.
+func (run *randomRun) addDisturbance() {
 	switch run.rng.Intn(60) {
 	case 0:
 		run.condition[int64(run.rng.Intn(3))] = run.rng.Intn(5)
@@ -374,26 +386,27 @@
 		run.events = append(run.events, Event{Kind: EndpointsUpdated, Update: UpdateBroken},
 			Event{Kind: RequestWithdrawn, ID: "nobody"})
 	case 3:
-		if len(run.open) > 0 {
-			id := run.open[run.rng.Intn(len(run.open))]
+		if len(run.unanswered) > 0 {
+			id := run.unanswered[run.rng.Intn(len(run.unanswered))]
 			run.check.records[id].ended, run.check.records[id].withdrawnAt = true, run.now
 			run.events = append(run.events, Event{Kind: RequestWithdrawn, ID: id})
 		}
 	}
 }
 
-// TestInvariantsUnderRandomEvents plays fixed seeds through every kind of event and outcome.
+// No sequence of events and outcomes may lead to an action that breaks a rule of the checker. The seeds are fixed.
 func TestInvariantsUnderRandomEvents(t *testing.T) {
 	for seed := range int64(60) {
-		if err := playRandomRun(seed, func(*Scheduler) {}); err != nil {
+		if err := runRandomEvents(seed, func(*Scheduler) {}); err != nil {
 			t.Error(err)
 		}
 	}
 }
 
-// TestCheckerCatchesPlantedFaults shows that the checker can fail: each fault must be found.
-func TestCheckerCatchesPlantedFaults(t *testing.T) {
-	for name, plant := range map[string]func(*Scheduler){
+// The checker must detect each of these faults of a scheduler; otherwise TestInvariantsUnderRandomEvents proves
+// nothing.
+func TestCheckerDetectsInjectedFaults(t *testing.T) {
+	for name, injectFault := range map[string]func(*Scheduler){
 		"unsafe taken for safe": func(sched *Scheduler) { sched.classes["once"].unsafe = false },
 		"window forgotten":      func(sched *Scheduler) { sched.classes["key"].KeyWindowUs *= 4 },
 		"order forgotten": func(sched *Scheduler) {
@@ -404,17 +417,19 @@
 	} {
 		found := false
 		for seed := int64(0); seed < 400 && !found; seed++ {
-			found = playRandomRun(seed, plant) != nil
+			found = runRandomEvents(seed, injectFault) != nil
 		}
 		if !found {
-			t.Errorf("%s: not caught", name)
+			t.Errorf("fault %q: not detected", name)
 		}
 	}
 }
 
+// The actions depend on the events and the seed only, and not on the iteration order of maps or on the clock.
 func TestSameEventsSameActions(t *testing.T) {
 	trace := func() string {
-		rig := newRig(t, testSettings(), ep("a", "plain", "z", 1), ep("b", "apart", "y", 2), ep("c", "apart", "z", 2))
+		rig := newRig(t, testSettings(), liveEndpoint("a", "plain", "z", 1), liveEndpoint("b", "apart", "y", 2),
+			liveEndpoint("c", "apart", "z", 2))
 		text := ""
 		for i := range 200 {
 			event := rig.request([]string{"safe", "key", "once"}[i%3], int64(1+i%2))
@@ -430,6 +445,6 @@
 		return text
 	}
 	if first, second := trace(), trace(); first != second {
-		t.Fatal("the same events gave other actions")
+		t.Fatal("the same events and seed led to different actions")
 	}
 }
--- a/scheduler/massrestart_test.go
+++ b/scheduler/massrestart_test.go
@@ -12,233 +12,244 @@
 	"pgregory.net/rapid"
 )
 
-// restartScenario is a run in virtual time: senders share one destination with a limit; a share
-// of them is killed and restarts after a while with what its clients brought meanwhile.
+// restartScenario is a simulated run in virtual time. Senders share one destination with a limit. After ten
+// seconds a share of them is killed, and later restarts with the messages that its clients have submitted in
+// between.
 type restartScenario struct {
-	Senders       int
-	KilledShare   float64 // share
-	AwayUs        int64
-	ExtraRestarts int     // further kills, each 300 ms after a restart
-	Waves         int     // a second apart
-	Limit         float64 // calls a second for each sender
-	Demand        float64 // of the limit
-	LimitShare    float64 // share of the limit that is left at the restart
-	NoReports     bool    // answers have no load report
-	Outage        bool    // the destination is unavailable from 2 s before the kill to the restart
-	// it rejects all, with a Retry-After, from a second before the kill to two after the restart
-	Closed    bool
-	Inflation float64 // learned limits and rates are so many times too high
-	Seed      int64
+	Senders        int
+	KilledShare    float64 // share of the senders that are killed
+	DowntimeUs     int64   // from the kill to the first restart
+	ExtraRestarts  int     // number of restarts that end with another kill 300 ms later
+	Waves          int     // number of groups that restart one second apart
+	LimitPerSender float64 // calls per second, for each sender
+	DemandShare    float64 // arrival rate of messages, relative to the limit
+	LimitShare     float64 // share of the limit that remains after the restart
+	NoReports      bool    // responses have no load report
+	Outage         bool    // the destination is unavailable from 2 s before the kill to the restart
+	// the destination rejects all calls, with a Retry-After, from 1 s before the kill to 2 s after the restart
+	RejectsAll bool
+	Inflation  float64 // factor on the learned limits and rates, to make them wrong
+	Seed       int64
 }
 
-// restartResult is what happened in the ten seconds from the first restart on.
+// restartResult is the result of the ten seconds after the first restart.
 type restartResult struct {
 	tally
-	mostInHalfSecond int     // calls in half a second
-	earlyCalls       int     // calls before a Retry-After had ended
-	slowStartExcess  float64 // most calls in two seconds, against what slow start allows
-	unfinished       int     // messages without a final answer at the end
+	maxCallsInHalfSecond int     // maximum number of calls in half a second
+	earlyCalls           int     // number of calls before the end of a Retry-After
+	slowStartExcess      float64 // maximum number of calls in 2 s, relative to the slow-start budget and its variation
+	unfinished           int     // number of messages without a final answer at the end of the run
 }
 
-// play plays it; change is applied to the learned state of each restarted sender, if there is any.
-func (scenario restartScenario) play(t testing.TB, believes bool, change func(*State)) (result restartResult) {
+// simulate runs the scenario, with or without learned state. changeState, unless it is nil, is applied to the
+// learned state of each restarted sender.
+func (scenario restartScenario) simulate(
+	t testing.TB, useLearnedState bool, changeState func(*State),
+) (result restartResult) {
 	fleet := newFleet(t, scenario.Senders, scenario.Seed)
-	limit := scenario.Limit * float64(scenario.Senders)
+	limit := scenario.LimitPerSender * float64(scenario.Senders)
 	start := fleet.now
-	killAt := start + 10_000*ms
-	backAt := killAt + scenario.AwayUs
+	stoppedAt := start + 10_000*ms
+	restartedAt := stoppedAt + scenario.DowntimeUs
 	fleet.noReports, fleet.retryAfterMs = scenario.NoReports, 200
 	fleet.limit = func(now int64) float64 {
-		if now >= backAt {
+		if now >= restartedAt {
 			return limit * scenario.LimitShare
 		}
 		return limit
 	}
 	if scenario.Outage {
-		fleet.outage = [2]int64{killAt - 2000*ms, backAt}
+		fleet.outage = [2]int64{stoppedAt - 2000*ms, restartedAt}
 	}
-	if scenario.Closed {
-		fleet.closed = [2]int64{killAt - 1000*ms, backAt + 2000*ms}
+	if scenario.RejectsAll {
+		fleet.rejectsAll = [2]int64{stoppedAt - 1000*ms, restartedAt + 2000*ms}
 	}
-	fleet.traffic(start, backAt+10_000*ms, scenario.Demand*limit, scenario.Seed+2)
-	fleet.run(killAt - start)
+	fleet.addRequests(start, restartedAt+10_000*ms, scenario.DemandShare*limit, scenario.Seed+2)
+	fleet.run(stoppedAt - start)
 	killed := max(1, int(scenario.KilledShare*float64(scenario.Senders)))
 	saved := make([]State, killed)
-	down := func() {
+	kill := func() {
 		for i, sender := range fleet.senders[:killed] {
 			if sender.sched == nil {
 				continue
 			}
-			if believes {
+			if useLearnedState {
 				saved[i] = sender.sched.LearnedState(100)
 			}
 			fleet.connections -= len(sender.idleSince)
 			fleet.senders[i] = &simSender{retryAfterUntil: sender.retryAfterUntil}
 		}
 	}
-	up := func(from, to int) {
-		for i, sender := range fleet.senders[from:to] {
-			sched, err := New(fleet.settings, 77_000*(scenario.Seed+1)+int64(from+i)+fleet.now)
+	restart := func(firstIndex, endIndex int) {
+		for i, sender := range fleet.senders[firstIndex:endIndex] {
+			sched, err := New(fleet.settings, 77_000*(scenario.Seed+1)+int64(firstIndex+i)+fleet.now)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if believes {
-				state := saved[from+i]
-				if fleet.now <= backAt+int64(scenario.Waves)*1000*ms && scenario.ExtraRestarts == 0 ||
-					fleet.now == backAt { // the first time
+			if useLearnedState {
+				state := saved[firstIndex+i]
+				if fleet.now <= restartedAt+int64(scenario.Waves)*1000*ms && scenario.ExtraRestarts == 0 ||
+					fleet.now == restartedAt { // the first restart
 					inflateState(&state, scenario.Inflation)
 				}
-				if change != nil {
-					change(&state)
+				if changeState != nil {
+					changeState(&state)
 				}
 				if err := sched.RestoreLearnedState(state, fleet.now); err != nil {
 					t.Fatal(err)
 				}
 			}
-			in := append([]Event{{
+			input := append([]Event{{
 				Kind: EndpointsUpdated, Update: UpdateFull,
-				Endpoints: []Endpoint{ep("a", "plain", "z", 1)},
+				Endpoints: []Endpoint{liveEndpoint("a", "plain", "z", 1)},
 			}}, sender.events...)
-			fleet.senders[from+i] = &simSender{sched: sched, attempts: map[string]int{}, retryAfterUntil: sender.retryAfterUntil}
-			for _, event := range in {
-				fleet.deliver(fleet.senders[from+i], event)
+			fleet.senders[firstIndex+i] = &simSender{
+				sched: sched, attempts: map[string]int{}, retryAfterUntil: sender.retryAfterUntil,
+			}
+			for _, event := range input {
+				fleet.deliver(fleet.senders[firstIndex+i], event)
 			}
 		}
 	}
-	down()
-	fleet.run(scenario.AwayUs)
-	for k := range scenario.ExtraRestarts {
-		fleet.at(backAt+int64(k)*400*ms, func() { up(0, killed) })
-		fleet.at(backAt+int64(k)*400*ms+300*ms, down)
+	kill()
+	fleet.run(scenario.DowntimeUs)
+	for index := range scenario.ExtraRestarts {
+		fleet.schedule(restartedAt+int64(index)*400*ms, func() { restart(0, killed) })
+		fleet.schedule(restartedAt+int64(index)*400*ms+300*ms, kill)
 	}
-	late := int64(scenario.ExtraRestarts) * 400 * ms
-	for w := range scenario.Waves {
-		fleet.at(backAt+late+int64(w)*1000*ms, func() { up(killed*w/scenario.Waves, killed*(w+1)/scenario.Waves) })
+	extraUs := int64(scenario.ExtraRestarts) * 400 * ms
+	for wave := range scenario.Waves {
+		fleet.schedule(restartedAt+extraUs+int64(wave)*1000*ms,
+			func() { restart(killed*wave/scenario.Waves, killed*(wave+1)/scenario.Waves) })
 	}
 	fleet.run(10_000 * ms)
 	result.tally, result.earlyCalls = fleet.total(0, 10), fleet.earlyCalls
-	two := 0
-	for k := range fleet.bins {
-		half := 0
-		for _, b := range fleet.bins[max(0, k-4) : k+1] {
-			half += b.calls
+	callsInTwoSeconds := 0
+	for index := range fleet.bins {
+		callsInHalfSecond := 0
+		for _, bin := range fleet.bins[max(0, index-4) : index+1] {
+			callsInHalfSecond += bin.calls
 		}
-		result.mostInHalfSecond = max(result.mostInHalfSecond, half)
-		two += fleet.bins[k].calls
-		if k >= 20 {
-			two -= fleet.bins[k-20].calls
+		result.maxCallsInHalfSecond = max(result.maxCallsInHalfSecond, callsInHalfSecond)
+		callsInTwoSeconds += fleet.bins[index].calls
+		if index >= 20 {
+			callsInTwoSeconds -= fleet.bins[index-20].calls
 		}
-		over := float64(min(k+1, 20)) / 10
-		s := fleet.settings.Rules
-		warm := s.SlowStartInitialShare + (1-s.SlowStartInitialShare)*(float64(k+1)/10-over/2)/(float64(s.SlowStartUs)/1e6)
-		n := s.OverloadMultiple * limit * scenario.LimitShare * 1.2 * warm * 2 // its capacity is a fifth above its limit
-		result.slowStartExcess = max(result.slowStartExcess, float64(two)/(n+3*math.Sqrt(n)+3))
+		windowSeconds := float64(min(index+1, 20)) / 10
+		rules := fleet.settings.Rules
+		acceptedShare := rules.SlowStartInitialShare +
+			(1-rules.SlowStartInitialShare)*(float64(index+1)/10-windowSeconds/2)/(float64(rules.SlowStartUs)/1e6)
+		// The capacity is a fifth above the limit.
+		budget := rules.OverloadMultiple * limit * scenario.LimitShare * 1.2 * acceptedShare * 2
+		result.slowStartExcess = max(result.slowStartExcess, float64(callsInTwoSeconds)/(budget+3*math.Sqrt(budget)+3))
 	}
-	fleet.run(12_000 * ms) // the deadlines of all messages are over
+	fleet.run(12_000 * ms) // until after the deadlines of all messages
 	for _, sender := range fleet.senders {
-		for _, x := range sender.sched.messages {
-			result.unfinished += int(boolToFloat(!x.ended))
+		for _, msg := range sender.sched.messages {
+			result.unfinished += int(boolToFloat(!msg.ended))
 		}
 	}
 	return result
 }
 
-// inflateState multiplies the learned limits and rates. The arrival rate is the sender's own and
-// decays.
-func inflateState(state *State, times float64) {
+// inflateState multiplies the learned limits and rates by a factor. It leaves out the arrival rate, which the
+// sender measures itself and which decays.
+func inflateState(state *State, factor float64) {
 	for i := range state.Destinations {
-		d := &state.Destinations[i]
+		dest := &state.Destinations[i]
 		rt := newRoute("", nil)
-		rt.restore(d.Route)
-		rt.bucket.rate = rt.bucket.rate * times
-		rt.bucket.rateMark = rt.bucket.rateMark * times
-		rt.throughput.successRate = rt.throughput.successRate * times
-		rt.throughput.peakSuccessRate = rt.throughput.peakSuccessRate * times
-		d.Route = rt.state()
-		d.Route.AdvertisedLimit[1] *= times
+		rt.restore(dest.Route)
+		rt.bucket.rate = rt.bucket.rate * factor
+		rt.bucket.rateMark = rt.bucket.rateMark * factor
+		rt.throughput.successRate = rt.throughput.successRate * factor
+		rt.throughput.peakSuccessRate = rt.throughput.peakSuccessRate * factor
+		dest.Route = rt.state()
+		dest.Route.AdvertisedLimit[1] *= factor
 	}
 }
 
-// Seven in ten of many senders are killed at once and restart three seconds later, with what
-// their clients brought meanwhile; the limit is 0.7 calls a second for each sender, or one that
-// is not advertised. With learned state the busiest half second has at most seven tenths of the
-// calls that it has without, and at most one call in a hundred is rejected.
-// BRACKENDALE_SIZES=300,1000 plays other numbers.
+// A mass restart: seven in ten of many senders are killed at once and restart three seconds later, with the
+// messages that their clients have submitted in between. The limit is 0.7 calls per second for each sender, or
+// 2.5 and not advertised. With learned state the maximum number of calls in half a second must be at most seven
+// tenths of that without, and at most one call in a hundred may be rejected. BRACKENDALE_SIZES=300,1000 runs the
+// test with these numbers of senders instead.
 func TestMassRestartInVirtualTime(t *testing.T) {
-	games := []restartScenario{{Senders: 24, Limit: 2.5, NoReports: true}, {Senders: 80, Limit: 0.7}}
+	scenarios := []restartScenario{{Senders: 24, LimitPerSender: 2.5, NoReports: true}, {Senders: 80, LimitPerSender: 0.7}}
 	if list := os.Getenv("BRACKENDALE_SIZES"); list != "" {
-		games = nil
-		for _, word := range strings.Split(list, ",") {
-			n, err := strconv.Atoi(word)
+		scenarios = nil
+		for _, field := range strings.Split(list, ",") {
+			senders, err := strconv.Atoi(field)
 			if err != nil {
 				t.Fatal(err)
 			}
-			games = append(games, restartScenario{Senders: n, Limit: 0.7})
+			scenarios = append(scenarios, restartScenario{Senders: senders, LimitPerSender: 0.7})
 		}
 	}
-	for _, scenario := range games {
+	for _, scenario := range scenarios {
 		scenario.KilledShare = 0.7
-		scenario.AwayUs = 3000 * ms
+		scenario.DowntimeUs = 3000 * ms
 		scenario.Waves = 1
-		scenario.Demand = 0.8
+		scenario.DemandShare = 0.8
 		scenario.LimitShare = 1
 		scenario.Inflation = 1
 		scenario.Seed = 3
-		without, now := scenario.play(t, false, nil), scenario.play(t, true, nil)
-		share := func(result restartResult) float64 { return float64(result.rejected) / float64(max(1, result.calls)) }
-		t.Logf("%d senders, limit %.0f in half a second, advertised: %v: at most %d calls, "+
-			"with learned state %d; rejected %.3f, with learned state %.3f", scenario.Senders,
-			scenario.Limit*float64(scenario.Senders)/2, !scenario.NoReports, without.mostInHalfSecond,
-			now.mostInHalfSecond, share(without), share(now))
-		if float64(now.mostInHalfSecond) > 0.7*float64(without.mostInHalfSecond) || share(now) > 0.01 ||
-			share(without) < 0.04 {
-			t.Errorf("%d senders: learned state is of no use", scenario.Senders)
+		without, with := scenario.simulate(t, false, nil), scenario.simulate(t, true, nil)
+		rejectedShare := func(result restartResult) float64 {
+			return float64(result.rejected) / float64(max(1, result.calls))
+		}
+		t.Logf("%d senders, limit %.0f in half a second, advertised: %v; maximum %d calls without learned state, "+
+			"%d with it; share of rejected calls %.3f without, %.3f with it", scenario.Senders,
+			scenario.LimitPerSender*float64(scenario.Senders)/2, !scenario.NoReports, without.maxCallsInHalfSecond,
+			with.maxCallsInHalfSecond, rejectedShare(without), rejectedShare(with))
+		if float64(with.maxCallsInHalfSecond) > 0.7*float64(without.maxCallsInHalfSecond) || rejectedShare(with) > 0.01 ||
+			rejectedShare(without) < 0.04 {
+			t.Errorf("%d senders: learned state does not reduce the calls or rejections enough", scenario.Senders)
 		}
 	}
 }
 
-// In any scenario a Retry-After is kept over restarts, a destination in slow start is not
-// overloaded, each message gets its final answer, and a sender with learned state, be it ten
-// times wrong, does not do much worse than one without.
+// In any scenario a Retry-After applies across restarts, a destination in slow start is not overloaded, and each
+// message gets its final answer. Senders with learned state, even if it is wrong by a factor of ten, do not
+// deliver much less than senders without. BRACKENDALE_SEED sets the seed.
 func TestRestartsOfAnyKind(t *testing.T) {
 	if err := flag.Set("rapid.seed", cmp.Or(os.Getenv("BRACKENDALE_SEED"), "1")); err != nil {
 		t.Fatal(err)
 	}
 	rapid.Check(t, func(rt *rapid.T) {
 		scenario := drawScenario(rt)
-		without, now := scenario.play(t, false, nil), scenario.play(t, true, nil)
-		if now.earlyCalls > 0 {
-			rt.Errorf("%d calls before a Retry-After had ended", now.earlyCalls)
+		without, with := scenario.simulate(t, false, nil), scenario.simulate(t, true, nil)
+		if with.earlyCalls > 0 {
+			rt.Errorf("%d calls before the end of a Retry-After", with.earlyCalls)
 		}
-		if most := map[bool]float64{false: 1, true: 1.5}[scenario.Inflation > 1]; scenario.Outage &&
-			now.slowStartExcess > max(most, without.slowStartExcess) {
-			rt.Errorf("%.2f times the calls that a destination in slow start takes, %.2f without learned state",
-				now.slowStartExcess, without.slowStartExcess)
+		if maxExcess := map[bool]float64{false: 1, true: 1.5}[scenario.Inflation > 1]; scenario.Outage &&
+			with.slowStartExcess > max(maxExcess, without.slowStartExcess) {
+			rt.Errorf("%.2f times the slow-start budget, %.2f times without learned state",
+				with.slowStartExcess, without.slowStartExcess)
 		}
-		if now.unfinished > 0 {
-			rt.Errorf("%d messages without an end", now.unfinished)
+		if with.unfinished > 0 {
+			rt.Errorf("%d messages without a final answer", with.unfinished)
 		}
 		if scenario.Outage { // without learned state the senders overload a destination in slow start
 			return
 		}
-		least, more := without.delivered*7/10-10, now.calls/10+15
+		minDelivered, maxMoreRejected := without.delivered*7/10-10, with.calls/10+15
 		if scenario.Inflation != 1 {
-			least, more = without.delivered/2-10, now.calls/4+15
+			minDelivered, maxMoreRejected = without.delivered/2-10, with.calls/4+15
 		}
-		if scenario.Closed { // for so long that it counts as unavailable
-			least = without.delivered/3 - 10
+		if scenario.RejectsAll { // its Retry-After is so long that it counts as unavailable
+			minDelivered = without.delivered/3 - 10
 		}
-		if now.delivered < least || now.rejected > without.rejected+more {
-			rt.Errorf("%d delivered and %d of %d rejected, %d and %d of %d without learned state", now.delivered,
-				now.rejected, now.calls,
+		if with.delivered < minDelivered || with.rejected > without.rejected+maxMoreRejected {
+			rt.Errorf("%d delivered, %d of %d calls rejected; without learned state %d and %d of %d", with.delivered,
+				with.rejected, with.calls,
 				without.delivered, without.rejected, without.calls)
 		}
 	})
 }
 
-// The scenarios above notice learned state that lacks a Retry-After or an outage.
-func TestBrokenLearnedStateIsCaught(t *testing.T) {
-	each := func(change func(rt *route)) func(*State) {
+// The checks above must detect learned state that lacks a Retry-After or an outage.
+func TestScenariosDetectBrokenLearnedState(t *testing.T) {
+	changeRoutes := func(change func(rt *route)) func(*State) {
 		return func(state *State) {
 			for i := range state.Destinations {
 				rt := newRoute("", nil)
@@ -249,40 +260,43 @@
 		}
 	}
 	scenario := restartScenario{
-		Senders: 60, KilledShare: 0.97, AwayUs: 1000 * ms, Waves: 1, Limit: 1, Demand: 1, LimitShare: 1, Inflation: 1,
-		Seed: 1, Closed: true,
+		Senders: 60, KilledShare: 0.97, DowntimeUs: 1000 * ms, Waves: 1, LimitPerSender: 1, DemandShare: 1,
+		LimitShare: 1, Inflation: 1, Seed: 1, RejectsAll: true,
 	}
-	if n := scenario.play(t, true, each(func(rt *route) {
+	if calls := scenario.simulate(t, true, changeRoutes(func(rt *route) {
 		rt.retryAfterUntil, rt.health.unavailable = 0,
 			false
-	})).earlyCalls; n == 0 {
-		t.Error("a forgotten wait was not seen")
+	})).earlyCalls; calls == 0 {
+		t.Error("learned state without its Retry-After was not detected")
 	}
-	if n := scenario.play(t, true, nil).earlyCalls; n != 0 {
-		t.Error("calls before a Retry-After had ended:", n)
+	if calls := scenario.simulate(t, true, nil).earlyCalls; calls != 0 {
+		t.Error("calls before the end of a Retry-After, with complete learned state:", calls)
 	}
-	scenario.Closed, scenario.Outage, scenario.NoReports = false, true, true
-	forgetful, with := scenario.play(t, true, each(func(rt *route) {
+	scenario.RejectsAll, scenario.Outage, scenario.NoReports = false, true, true
+	broken, intact := scenario.simulate(t, true, changeRoutes(func(rt *route) {
 		rt.health.unavailable, rt.throughput.successRate, rt.bucket.limited, rt.latency.samples = false, 0, false, 0
 		rt.lastSendAt, rt.lastOutcomeAt, rt.health.lastFailureAt = 0, 0, 0
-	})).slowStartExcess, scenario.play(t, true, nil).slowStartExcess
-	if with > 1 || forgetful <= 1 {
-		t.Errorf("%.2f times what a destination in slow start takes, and %.2f where the outage is forgotten", with, forgetful)
+	})).slowStartExcess, scenario.simulate(t, true, nil).slowStartExcess
+	if intact > 1 || broken <= 1 {
+		t.Errorf("%.2f times the slow-start budget with learned state, %.2f times where it lacks the outage", intact, broken)
 	}
 }
 
-// drawScenario draws any scenario of the kind.
+// drawScenario draws a random scenario.
 func drawScenario(t *rapid.T) restartScenario {
 	return restartScenario{
-		Senders:       rapid.SampledFrom([]int{6, 24, 60}).Draw(t, "senders"),
-		KilledShare:   rapid.SampledFrom([]float64{0.43, 0.7, 0.97}).Draw(t, "killed"),
-		AwayUs:        rapid.Int64Range(50, 8000).Draw(t, "away ms") * ms,
-		ExtraRestarts: rapid.SampledFrom([]int{0, 0, 1, 10}).Draw(t, "times"),
-		Waves:         rapid.IntRange(1, 3).Draw(t, "waves"), Limit: rapid.SampledFrom([]float64{0.4, 1, 3}).Draw(t, "limit"),
-		Demand:     rapid.Float64Range(0.3, 1.2).Draw(t, "demand"),
-		LimitShare: rapid.SampledFrom([]float64{1, 1, 0.5}).Draw(t, "lowered"),
-		NoReports:  rapid.Bool().Draw(t, "mute"), Outage: rapid.Bool().Draw(t, "out"), Closed: rapid.Bool().Draw(t, "shut"),
-		Inflation: rapid.SampledFrom([]float64{1, 1, 0.1, 10}).Draw(t, "lie"),
-		Seed:      rapid.Int64Range(1, 1000).Draw(t, "seed"),
+		Senders:        rapid.SampledFrom([]int{6, 24, 60}).Draw(t, "senders"),
+		KilledShare:    rapid.SampledFrom([]float64{0.43, 0.7, 0.97}).Draw(t, "killed"),
+		DowntimeUs:     rapid.Int64Range(50, 8000).Draw(t, "away ms") * ms,
+		ExtraRestarts:  rapid.SampledFrom([]int{0, 0, 1, 10}).Draw(t, "times"),
+		Waves:          rapid.IntRange(1, 3).Draw(t, "waves"),
+		LimitPerSender: rapid.SampledFrom([]float64{0.4, 1, 3}).Draw(t, "limit"),
+		DemandShare:    rapid.Float64Range(0.3, 1.2).Draw(t, "demand"),
+		LimitShare:     rapid.SampledFrom([]float64{1, 1, 0.5}).Draw(t, "lowered"),
+		NoReports:      rapid.Bool().Draw(t, "mute"),
+		Outage:         rapid.Bool().Draw(t, "out"),
+		RejectsAll:     rapid.Bool().Draw(t, "shut"),
+		Inflation:      rapid.SampledFrom([]float64{1, 1, 0.1, 10}).Draw(t, "lie"),
+		Seed:           rapid.Int64Range(1, 1000).Draw(t, "seed"),
 	}
 }
--- a/scheduler/outcome_test.go
+++ b/scheduler/outcome_test.go
@@ -5,66 +5,68 @@
 	"testing"
 )
 
-// TestResetOnIdleConnection: the age at which idle connections are lost is learned for all
-// endpoints from the first reset, which is no failure of the destination.
+// The first reset of an idle connection determines, for all endpoints, the idle time after which connections are
+// closed. It does not count as a failure of the destination. Without further resets the limit expires.
 func TestResetOnIdleConnection(t *testing.T) {
-	rig := newRig(t, settingsFor(4), ep("a", "plain", "z", 1), ep("b", "plain", "z", 2))
-	for _, d := range []int64{1, 2} {
-		rig.warmUp(d, 1)
+	rig := newRig(t, settingsForSenders(4), liveEndpoint("a", "plain", "z", 1), liveEndpoint("b", "plain", "z", 2))
+	for _, id := range []int64{1, 2} {
+		rig.warmUp(id, 1)
 	}
 	event := rig.request("safe", 1)
 	rig.advance(2000*ms, event)
 	actions := rig.advance(60*ms, rig.outcome(event.ID, OutcomeReset))
 	rt := rig.sched.destination(1).route
-	if count(actions, CloseIdleConnections) != 1 || rt.health.consecutiveFailures != 0 || rt.health.failureShare != 0 {
-		t.Fatalf("failures %d, failure share %.2f, %d closed", rt.health.consecutiveFailures, rt.health.failureShare,
-			count(actions, CloseIdleConnections))
+	if countActions(actions, CloseIdleConnections) != 1 || rt.health.consecutiveFailures != 0 ||
+		rt.health.failureShare != 0 {
+		t.Fatalf("%d failures, failure share %.2f, %d CloseIdleConnections actions; want 0, 0 and 1",
+			rt.health.consecutiveFailures, rt.health.failureShare, countActions(actions, CloseIdleConnections))
 	}
-	if _, again := rig.run(1000*ms, starts(event.ID)); !again {
+	if _, retried := rig.runUntil(1000*ms, startsAttempt(event.ID)); !retried {
 		t.Fatal("the message was not sent again")
 	}
 	rig.advance(100*ms, rig.outcome(event.ID, OutcomeReset)) // on a new connection it is a failure
 	if rt.health.consecutiveFailures != 1 {
-		t.Fatalf("%d failures after a reset of a new connection", rt.health.consecutiveFailures)
+		t.Fatalf("%d failures after a reset of a new connection, want 1", rt.health.consecutiveFailures)
 	}
-	flight := rig.request("safe", 2)
-	if actions := rig.advance(1000*ms, flight); count(actions, CloseIdleConnections) != 1 || rig.attempts[flight.ID] != 1 {
-		t.Fatal("the other endpoint's old connection was used")
+	other := rig.request("safe", 2)
+	if actions := rig.advance(1000*ms, other); countActions(actions, CloseIdleConnections) != 1 ||
+		rig.attempts[other.ID] != 1 {
+		t.Fatal("the idle connection to the other endpoint was reused")
 	}
-	rig.advance(100*ms, rig.outcome(flight.ID, OutcomeSuccess))
-	for range 5 { // in use, and then long without such a loss
+	rig.advance(100*ms, rig.outcome(other.ID, OutcomeSuccess))
+	for range 5 { // in use for a long time without such a loss
 		rig.advance(9000 * ms)
-		flight = rig.request("safe", 2)
-		rig.step(flight)
-		rig.advance(100*ms, rig.outcome(flight.ID, OutcomeSuccess))
+		other = rig.request("safe", 2)
+		rig.step(other)
+		rig.advance(100*ms, rig.outcome(other.ID, OutcomeSuccess))
 	}
-	flight = rig.request("safe", 2)
-	if actions := rig.advance(3000*ms, flight); count(actions, CloseIdleConnections) != 0 {
-		t.Fatal("what was learned is never given up")
+	other = rig.request("safe", 2)
+	if actions := rig.advance(3000*ms, other); countActions(actions, CloseIdleConnections) != 0 {
+		t.Fatal("the learned idle time did not expire")
 	}
 }
 
-// TestSpreadAfterRejectionsIsLearned: where retries after rejections are rejected again the next
-// come later, where they succeed sooner; what is learned at one destination counts for its
-// machine type.
+// The spread of retries after rejections grows if such retries are rejected again, and shrinks if they succeed. What
+// is learned at one destination applies to its machine type.
 func TestSpreadAfterRejectionsIsLearned(t *testing.T) {
-	mean := func(answer Outcome) float64 {
+	meanDelayUs := func(retryOutcome Outcome) float64 {
 		sum := 0.0
 		for seed := range int64(30) {
-			rig := newSeededRig(t, settingsFor(200), seed, ep("a", "plain", "z", 1), ep("b", "plain", "z", 2))
+			rig := newSeededRig(t, settingsForSenders(200), seed, liveEndpoint("a", "plain", "z", 1),
+				liveEndpoint("b", "plain", "z", 2))
 			for i := range 12 {
 				event := rig.request("safe", 1)
 				event.Deadline += 3600_000 * ms
-				if _, ok := rig.run(100*ms, starts(event.ID)); !ok {
+				if _, ok := rig.runUntil(100*ms, startsAttempt(event.ID)); !ok {
 					rig.step(event)
 				}
 				for range 2 {
 					if rig.attempts[event.ID] == 0 || rig.sched.messages[event.ID].call == nil {
-						rig.run(600_000*ms, starts(event.ID))
+						rig.runUntil(600_000*ms, startsAttempt(event.ID))
 					}
 					reason := OutcomeRejected
 					if i%2 == 1 {
-						reason = answer
+						reason = retryOutcome
 					}
 					if rig.advance(100*ms, rig.outcome(event.ID, reason)); rig.sched.messages[event.ID] == nil {
 						break
@@ -80,46 +82,49 @@
 		}
 		return sum
 	}
-	if good, full := mean(OutcomeSuccess), mean(OutcomeRejected); good*2 > full {
-		t.Errorf("%.0f ms after successes, %.0f ms after rejections", good/1000, full/1000)
+	if afterSuccesses, afterRejections := meanDelayUs(OutcomeSuccess),
+		meanDelayUs(OutcomeRejected); afterSuccesses*2 > afterRejections {
+		t.Errorf("mean retry delay %.0f ms where retries succeeded, %.0f ms where they were rejected",
+			afterSuccesses/1000, afterRejections/1000)
 	}
 }
 
-// TestLeastRateFollowsTheCapacityHint: among many senders the least rate is this sender's part
-// of the capacity, less where retries after rejections were rejected again.
-func TestLeastRateFollowsTheCapacityHint(t *testing.T) {
-	for ease, want := range map[float64]float64{0.5: 0.2, 4: 0.05} {
-		settings := settingsFor(200)
+// With many senders the minimum rate is this sender's share of the capacity, and lower where retries after
+// rejections were rejected again.
+func TestMinRateFollowsTheCapacityHint(t *testing.T) {
+	for spreadFactor, want := range map[float64]float64{0.5: 0.2, 4: 0.05} {
+		settings := settingsForSenders(200)
 		settings.CapacityHints = HintsExact
-		a := ep("a", "plain", "z", 1)
-		a.CapacityHint = 40
-		rig := newRig(t, settings, a)
+		listed := liveEndpoint("a", "plain", "z", 1)
+		listed.CapacityHint = 40
+		rig := newRig(t, settings, listed)
 		rt := rig.sched.destination(1).route
-		rig.sched.retrySpread["plain"] = ease
+		rig.sched.retrySpread["plain"] = spreadFactor
 		for range 12 {
 			rig.sched.now++
 			rig.sched.decreaseRate(rt, &call{route: rt, endpoint: rig.sched.endpoints["a"], sentAt: rig.sched.now})
 		}
 		if rt.bucket.rate < want*0.85 || rt.bucket.rate > want*1.15 {
-			t.Errorf("ease %v: least rate %.3f, want %.3f within a tenth", ease, rt.bucket.rate, want)
+			t.Errorf("retry spread factor %v: minimum rate %.3f, want about %.3f", spreadFactor, rt.bucket.rate, want)
 		}
 	}
 }
 
-// TestOneClassFailsAtOneEndpoint: the failures count for that class there, and decay.
+// If all messages of one class fail at one endpoint, only that class avoids the endpoint, the route stays available,
+// and the class tries the endpoint again after some time.
 func TestOneClassFailsAtOneEndpoint(t *testing.T) {
-	rig := newRig(t, testSettings(), ep("a", "plain", "z", 1), ep("b", "plain", "z", 1))
+	rig := newRig(t, testSettings(), liveEndpoint("a", "plain", "z", 1), liveEndpoint("b", "plain", "z", 1))
 	rig.warmUp(1, 4)
-	at := map[string]int{}
+	attempts := map[string]int{}
 	send := func(class string) {
 		event := rig.request(class, 1)
 		rig.advance(300*ms, event)
 		for rig.sched.messages[event.ID] != nil {
 			if rig.sched.messages[event.ID].call == nil {
-				rig.run(10_000*ms, starts(event.ID))
+				rig.runUntil(10_000*ms, startsAttempt(event.ID))
 				continue
 			}
-			at[class+" at "+rig.sentTo[event.ID]]++
+			attempts[class+" at "+rig.sentTo[event.ID]]++
 			reason := OutcomeSuccess
 			if class == "safe" && rig.sentTo[event.ID] == "a" {
 				reason = OutcomeFailed
@@ -132,53 +137,55 @@
 		send("key")
 	}
 	rt := rig.sched.destination(1).route
-	if at["safe at a"] > 6 || at["safe at b"] < 20 || at["key at a"] == 0 || rt.health.unavailable ||
+	if attempts["safe at a"] > 6 || attempts["safe at b"] < 20 || attempts["key at a"] == 0 || rt.health.unavailable ||
 		rt.health.failureShare > failureShareUnsafe {
-		t.Fatalf("%v, route unavailable %v, failure share %.2f", at, rt.health.unavailable, rt.health.failureShare)
+		t.Fatalf("attempts %v, route unavailable %v, failure share %.2f", attempts, rt.health.unavailable,
+			rt.health.failureShare)
 	}
 	rig.advance(30_000 * ms)
-	x, y := rig.request("safe", 1), rig.request("safe", 1)
-	if rig.step(x, y); rig.sentTo[x.ID] == rig.sentTo[y.ID] {
-		t.Fatal("an endpoint is avoided for ever")
+	first, second := rig.request("safe", 1), rig.request("safe", 1)
+	if rig.step(first, second); rig.sentTo[first.ID] == rig.sentTo[second.ID] {
+		t.Fatal("the class still avoids the endpoint after 30 s")
 	}
 }
 
-// TestRejectionsCountAsLongAsRetriesAreSpread: a limit that rejected calls use up recovers only
-// if all senders together try less often than it allows.
+// A limit that counts rejected calls too recovers only if all senders together retry less often than it allows.
+// Rejections must therefore spread retries for as long as the spread lasts, even beyond 20 s.
 func TestRejectionsCountAsLongAsRetriesAreSpread(t *testing.T) {
-	settings := settingsFor(200)
+	settings := settingsForSenders(200)
 	settings.CapacityHints = HintsExact
-	a := ep("a", "plain", "z", 1)
-	a.CapacityHint = 4
-	tried := 0
+	listed := liveEndpoint("a", "plain", "z", 1)
+	listed.CapacityHint = 4
+	retried := 0
 	for seed := range int64(100) {
-		rig := newSeededRig(t, settings, seed, a)
+		rig := newSeededRig(t, settings, seed, listed)
 		rt := rig.sched.destination(1).route
 		rig.sched.retrySpread["plain"] = 16
 		rt.health.consecutiveFailures, rt.health.consecutiveRejections, rt.health.lastFailureAt = 5, 5, rig.now-25_000*ms
 		event := rig.request("safe", 1)
 		rig.step(event)
-		rig.run(10_000*ms, func(Action) bool { return false })
-		tried += rig.attempts[event.ID]
+		rig.runUntil(10_000*ms, func(Action) bool { return false })
+		retried += rig.attempts[event.ID]
 	}
-	if tried > 20 {
-		t.Errorf("%d of 100 tried within 10 s", tried)
+	if retried > 20 {
+		t.Errorf("%d of 100 senders retried within 10 s, want at most 20", retried)
 	}
 }
 
-// TestFirstOfAKeyHasTheShortestDelay: of the messages of a key only the first can be sent, so it
-// has the shortest of the random delays, on arrival and after a rejection.
+// Only the first message of a key can be sent, so it must have the shortest of the random retry delays, both on
+// arrival and after a rejection.
 func TestFirstOfAKeyHasTheShortestDelay(t *testing.T) {
-	settings := settingsFor(200)
+	settings := settingsForSenders(200)
 	settings.Classes[2].OrderedByKey = true
-	rig := newRig(t, settings, ep("a", "plain", "z", 1))
+	rig := newRig(t, settings, liveEndpoint("a", "plain", "z", 1))
 	rt := rig.sched.destination(1).route
-	ordered := func(when string) {
+	checkOrder := func(situation string) {
 		t.Helper()
-		q := rig.sched.keyQueues[1].messages
-		for i := range q[1:] {
-			if q[i].notBefore > q[i+1].notBefore {
-				t.Fatalf("%s: message %d waits until %d, the next until %d", when, i, q[i].notBefore, q[i+1].notBefore)
+		queue := rig.sched.keyQueues[1].messages
+		for i := range queue[1:] {
+			if queue[i].notBefore > queue[i+1].notBefore {
+				t.Fatalf("%s: message %d is delayed until %d, the next until %d", situation, i, queue[i].notBefore,
+					queue[i+1].notBefore)
 			}
 		}
 	}
@@ -191,17 +198,17 @@
 		}
 		rig.step(event)
 	}
-	ordered("on arrival")
-	if _, ok := rig.run(20_000*ms, starts(first.ID)); !ok {
-		t.Fatal("the first was not sent")
+	checkOrder("on arrival")
+	if _, ok := rig.runUntil(20_000*ms, startsAttempt(first.ID)); !ok {
+		t.Fatal("the key's first message was not sent")
 	}
 	rig.advance(50*ms, rig.outcome(first.ID, OutcomeRejected))
-	ordered("after a refusal")
+	checkOrder("after a refusal")
 }
 
-// TestReportsInAnswers: x1 replaces a capacity hint that the list lacks; a rejection with
-// headroom left means a full queue, which few senders leave to the endpoint and many must not;
-// absurd values are ignored.
+// The limit x1 of a load report replaces a missing capacity hint of the list. A rejection although the report shows
+// headroom (x0) is due to a full queue of the endpoint: few senders then keep their rate, many must reduce it.
+// Invalid values are ignored.
 func TestReportsInAnswers(t *testing.T) {
 	for name, tc := range map[string]struct {
 		senders int
@@ -218,50 +225,49 @@
 		"negative":        {200, []float64{-1, -40}, 0, true},
 		"not numbers":     {200, []float64{math.NaN(), math.Inf(1)}, 0, true},
 	} {
-		settings := settingsFor(tc.senders)
+		settings := settingsForSenders(tc.senders)
 		settings.LoadReport.Mode = ReportInAnswers
 		settings.LoadReport.Fields = []string{"x0", "x1"}
-		rig := newRig(t, settings, ep("a", "plain", "z", 1))
+		rig := newRig(t, settings, liveEndpoint("a", "plain", "z", 1))
 		event := rig.request("safe", 1)
 		if rig.step(event); rig.attempts[event.ID] == 0 {
-			rig.run(9000*ms, starts(event.ID))
+			rig.runUntil(9000*ms, startsAttempt(event.ID))
 		}
-		o := rig.outcome(event.ID, OutcomeRejected)
-		o.LoadReport = tc.report
-		rig.advance(50*ms, o)
+		rejection := rig.outcome(event.ID, OutcomeRejected)
+		rejection.LoadReport = tc.report
+		rig.advance(50*ms, rejection)
 		if rt := rig.sched.destination(1).route; rt.capacityHint != tc.hint || rt.bucket.decreasedAt != 0 != tc.cut {
-			t.Errorf("%s: hint %v, want %v; decreased %v, want %v", name, rt.capacityHint, tc.hint,
+			t.Errorf("%s: capacity hint %v, want %v; rate decreased %v, want %v", name, rt.capacityHint, tc.hint,
 				rt.bucket.decreasedAt != 0, tc.cut)
 		}
 	}
 }
 
-// TestSilenceOfOneClassAtOneEndpoint: an overdue or canceled call keeps its class away from the
-// endpoint, whatever other classes get there.
-func TestSilenceOfOneClassAtOneEndpoint(t *testing.T) {
-	rig := newRig(t, testSettings(), ep("a", "plain", "z", 1), ep("b", "plain", "z", 1))
+// After an overdue or canceled call its class avoids the endpoint, even while other classes succeed there.
+func TestOverdueCallOfOneClassAtOneEndpoint(t *testing.T) {
+	rig := newRig(t, testSettings(), liveEndpoint("a", "plain", "z", 1), liveEndpoint("b", "plain", "z", 1))
 	rig.warmUp(1, 6)
 	serve := func(class string) string {
 		event := rig.request(class, 1)
 		rig.step(event)
 		if rig.attempts[event.ID] == 0 {
-			rig.run(5000*ms, starts(event.ID))
+			rig.runUntil(5000*ms, startsAttempt(event.ID))
 		}
 		rig.advance(50*ms, rig.outcome(event.ID, OutcomeSuccess))
 		return rig.sentTo[event.ID]
 	}
 	first := rig.request("once", 1)
 	rig.step(first)
-	silent := rig.sentTo[first.ID]
+	unresponsive := rig.sentTo[first.ID]
 	for range 20 {
 		rig.advance(50 * ms)
 		serve("safe")
 	}
-	if at := serve("once"); at == silent {
-		t.Error("the next message of the class went where the last is overdue")
+	if addr := serve("once"); addr == unresponsive {
+		t.Error("the class's next message was sent to the endpoint where its call is overdue")
 	}
 	rig.advance(50*ms, rig.outcome(first.ID, OutcomeCanceled))
-	if at := serve("once"); at == silent {
-		t.Error("the next message of the class went where the last was called off")
+	if addr := serve("once"); addr == unresponsive {
+		t.Error("the class's next message was sent to the endpoint where its call was canceled")
 	}
 }
--- a/scheduler/peers_test.go
+++ b/scheduler/peers_test.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-// A quota binds whatever the token bucket allows, until its end; after it the even quota does.
-// Without one nothing changes.
+// An assigned quota limits the calls until its deadline, whatever the token bucket allows; after it the even quota
+// does. Without a quota there is no such limit.
 func TestQuota(t *testing.T) {
-	sent := func(rig *rig, us int64, first ...Event) (n int) {
-		for end := rig.now + us; rig.now < end; {
+	sent := func(rig *rig, durationUs int64, first ...Event) (n int) {
+		for endAt := rig.now + durationUs; rig.now < endAt; {
 			events := first
 			first = nil
 			for _, action := range rig.actions {
@@ -22,81 +22,81 @@
 		}
 		return n
 	}
-	rig := newRig(t, testSettings(), ep("a", "plain", "z", 1))
+	rig := newRig(t, testSettings(), liveEndpoint("a", "plain", "z", 1))
 	rig.warmUp(1, 12)
 	if n := sent(rig, 4000*ms); n < 200 {
-		t.Fatalf("%d calls in 4 s with no share", n)
+		t.Fatalf("%d calls in 4 s without a quota, want at least 200", n)
 	}
 	if n := sent(rig, 4000*ms, Event{
 		Kind: QuotaAssigned, Destination: 1, Quota: 20_000, EvenQuota: 5_000,
 		Deadline: rig.now + 4000*ms,
 	}); n < 78 || n > 88 {
-		t.Errorf("%d calls in 4 s with a share of 20 a second", n)
+		t.Errorf("%d calls in 4 s with a quota of 20 per second, want 78 to 88", n)
 	}
 	if n := sent(rig, 4000*ms); n < 19 || n > 23 {
-		t.Errorf("%d calls in 4 s with an even part of 5 a second", n)
+		t.Errorf("%d calls in 4 s with an even quota of 5 per second, want 19 to 23", n)
 	}
-	if w := rig.sched.Demand(rig.now, 1); w < 20_000 {
-		t.Errorf("wants %d", w)
+	if demand := rig.sched.Demand(rig.now, 1); demand < 20_000 {
+		t.Errorf("demand %d calls per 1,000 s, want at least 20,000", demand)
 	}
 }
 
-// While another sender probes an unavailable destination this one does not. It does when the
-// delegation ends, and soon after the other has had an answer; its own probe starts the slow
-// start. A shared Retry-After counts to its end.
+// While another sender probes an unavailable destination, this one does not. It probes when the delegation ends, and
+// soon after the destination has responded to the other sender; a success of its own probe attempt starts the slow
+// start. A Retry-After that another sender has received applies until its end.
 func TestDelegatedProbe(t *testing.T) {
-	down := func() (*rig, Event) {
-		rig := newRig(t, testSettings(), ep("a", "plain", "z", 1))
+	unavailableRig := func() (*rig, Event) {
+		rig := newRig(t, testSettings(), liveEndpoint("a", "plain", "z", 1))
 		rig.warmUp(1, 12)
 		event := rig.request("safe", 1)
 		event.Deadline = rig.now + 120_000*ms
 		rig.step(event)
 		for range 200 {
-			var res []Event
+			var outcomes []Event
 			for _, action := range rig.actions {
 				if action.Kind == StartAttempt {
-					res = append(res, rig.outcome(action.ID, OutcomeConnectFailed))
+					outcomes = append(outcomes, rig.outcome(action.ID, OutcomeConnectFailed))
 				}
 			}
-			rig.advance(50*ms, append(res, Event{Kind: TimerFired})...)
+			rig.advance(50*ms, append(outcomes, Event{Kind: TimerFired})...)
 		}
-		if h := rig.sched.Health(rig.now); len(h) != 1 || !h[0].Unavailable || !h[0].HasPending {
-			t.Fatalf("not unavailable: %+v", h)
+		if report := rig.sched.Health(rig.now); len(report) != 1 || !report[0].Unavailable || !report[0].HasPending {
+			t.Fatalf("the destination is not reported as unavailable with pending messages: %+v", report)
 		}
 		if rig.sched.messages[event.ID].call != nil {
 			rig.advance(ms, rig.outcome(event.ID, OutcomeConnectFailed))
 		}
 		return rig, event
 	}
-	rig, event := down()
+	rig, event := unavailableRig()
 	rig.step(Event{Kind: ProbeDelegated, Destination: 1, Deadline: rig.now + 5000*ms})
-	if _, ok := rig.run(4900*ms, starts(event.ID)); ok {
-		t.Error("probed while another probes")
+	if _, ok := rig.runUntil(4900*ms, startsAttempt(event.ID)); ok {
+		t.Error("a probe attempt was sent while another sender probes")
 	}
-	if _, ok := rig.run(5000*ms, starts(event.ID)); !ok {
-		t.Error("never tried after the delegation has ended")
+	if _, ok := rig.runUntil(5000*ms, startsAttempt(event.ID)); !ok {
+		t.Error("no probe attempt after the end of the delegation")
 	}
-	rig, event = down()
+	rig, event = unavailableRig()
 	rig.step(Event{Kind: ProbeDelegated, Destination: 1, Deadline: rig.now + 50_000*ms})
 	rig.step(Event{Kind: RecoveryObserved, Destination: 1})
-	if _, ok := rig.run(1000*ms, starts(event.ID)); !ok {
-		t.Fatal("not tried after it has answered another")
+	if _, ok := rig.runUntil(1000*ms, startsAttempt(event.ID)); !ok {
+		t.Fatal("no probe attempt after the destination had responded to another sender")
 	}
 	rig.advance(50*ms, rig.outcome(event.ID, OutcomeSuccess))
-	if h := rig.sched.Health(rig.now); len(h) != 1 || !h[0].Recovering {
-		t.Errorf("its return is not paced: %+v", h)
+	if report := rig.sched.Health(rig.now); len(report) != 1 || !report[0].Recovering {
+		t.Errorf("the recovery has no slow start: %+v", report)
 	}
-	rig = newRig(t, testSettings(), ep("a", "plain", "z", 1))
+	rig = newRig(t, testSettings(), liveEndpoint("a", "plain", "z", 1))
 	rig.step(Event{Kind: RetryAfterShared, Destination: 1, Deadline: rig.now + 3000*ms})
 	event = rig.request("safe", 1)
 	event.Deadline = rig.now + 60_000*ms
 	if rig.step(event); rig.attempts[event.ID] != 0 {
-		t.Error("sent in another's Retry-After")
+		t.Error("a message was sent at once, in another sender's Retry-After")
 	}
-	if _, ok := rig.run(2900*ms, starts(event.ID)); ok {
-		t.Error("sent in another's Retry-After")
+	if _, ok := rig.runUntil(2900*ms, startsAttempt(event.ID)); ok {
+		t.Error("a message was sent in another sender's Retry-After")
 	}
-	if _, ok := rig.run(1000*ms, starts(event.ID)); !ok {
-		t.Error("never sent after it")
+	if _, ok := rig.runUntil(1000*ms, startsAttempt(event.ID)); !ok {
+		t.Error("the message was not sent after the other sender's Retry-After")
 	}
 }
--- a/scheduler/restart_test.go
+++ b/scheduler/restart_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// After a restart what may not be sent again ends at once; the rest goes on, with its attempts
-// counted and inside its idempotency window.
-func TestArrivalAfterRestart(t *testing.T) {
+// A message that is restored after a restart and may not be sent again gets its final answer at once. The others are
+// sent again, within their idempotency window and with their earlier attempts counted.
+func TestRestoredMessagesAreSentAgainOnlyIfAllowed(t *testing.T) {
 	for _, tc := range []struct {
-		name, class string
-		attempts    int
-		ran         int64 // how long ago the first attempt left that may have run; 0: none did
-		end         bool
-		kind        ActionKind
+		name, class   string
+		attempts      int
+		firstRunAgoUs int64 // time since the first attempt that may have run; 0: none
+		ends          bool
+		kind          ActionKind
 	}{
 		{"an unsafe message that may have run fails", "once", 1, 100 * ms, true, Fail},
 		{"an unsafe message that never ran goes on", "once", 3, 0, false, StartAttempt},
@@ -23,13 +23,13 @@
 		{"a safe one goes on", "safe", 7, 5000 * ms, false, StartAttempt},
 		{"eight attempts are all", "safe", 8, 5000 * ms, true, Reject},
 	} {
-		rig := newRig(t, testSettings(), ep("a", "plain", "z", 1))
+		rig := newRig(t, testSettings(), liveEndpoint("a", "plain", "z", 1))
 		event := Event{
 			Kind: RequestAccepted, ID: "m", Class: tc.class, Destination: 1, Deadline: rig.now + 6000*ms, Attempts: tc.attempts,
 			Zone: "z",
 		}
-		if tc.ran > 0 {
-			event.FirstRunUs = rig.now - tc.ran
+		if tc.firstRunAgoUs > 0 {
+			event.FirstRunUs = rig.now - tc.firstRunAgoUs
 		}
 		var got []ActionKind
 		for _, action := range rig.step(event) {
@@ -38,17 +38,18 @@
 			}
 		}
 		if len(got) != 1 || got[0] != tc.kind {
-			t.Errorf("%s: got %v", tc.name, got)
+			t.Errorf("%s: wrong actions for the message, of the kinds %v", tc.name, got)
 		}
-		if tc.end && (rig.sched.acceptedCount != 0 || len(rig.sched.messages) != 0) {
-			t.Errorf("%s: still known", tc.name)
+		if tc.ends && (rig.sched.acceptedCount != 0 || len(rig.sched.messages) != 0) {
+			t.Errorf("%s: the scheduler still has the ended message", tc.name)
 		}
 	}
 }
 
-// Attempts are numbered on from the last incarnation: an outcome must find its message.
-func TestNumbersGoOnAfterRestart(t *testing.T) {
-	rig := newRig(t, testSettings(), ep("a", "plain", "z", 1))
+// The attempt numbers of a restored message continue those of the previous incarnation; otherwise its outcome would be
+// ignored.
+func TestAttemptNumbersContinueAfterRestart(t *testing.T) {
+	rig := newRig(t, testSettings(), liveEndpoint("a", "plain", "z", 1))
 	rig.step(Event{
 		Kind: RequestAccepted, ID: "m", Class: "safe", Destination: 1, Deadline: rig.now + 6000*ms,
 		Attempts: 2,
@@ -58,18 +59,19 @@
 		Final: true,
 	})
 	if rig.sched.callsInFlight != 0 || rig.sched.acceptedCount != 0 {
-		t.Fatalf("%d calls and %d messages are still taken", rig.sched.callsInFlight, rig.sched.acceptedCount)
+		t.Fatalf("%d calls in flight and %d messages without a final answer after the outcome, want none",
+			rig.sched.callsInFlight, rig.sched.acceptedCount)
 	}
 }
 
-// A call that the sender's own end cuts off may have run, which fails an unsafe message: before
-// a shutdown only what should end in time may start.
-func TestNothingStartsThatCannotEnd(t *testing.T) {
-	rig := newRig(t, testSettings(), ep("a", "plain", "z", 1))
-	arrive := func(id, class string) []Action {
+// A call that is in flight when the sender stops may have run, which fails an unsafe message. Before a shutdown only
+// attempts that should end in time may start.
+func TestNoAttemptStartsThatCannotEndBeforeShutdown(t *testing.T) {
+	rig := newRig(t, testSettings(), liveEndpoint("a", "plain", "z", 1))
+	accept := func(id, class string) []Action {
 		return rig.step(Event{Kind: RequestAccepted, ID: id, Class: class, Destination: 1, Deadline: rig.now + 9000*ms})
 	}
-	arrive("first", "safe")
+	accept("first", "safe")
 	rig.advance(200*ms, Event{Kind: AttemptFinished, ID: "first", Endpoint: "a", Outcome: OutcomeSuccess, Final: true})
 	rig.step(Event{Kind: ShutdownStarted, Deadline: rig.now + 400*ms})
 	sent := func(actions []Action) (n int) {
@@ -78,39 +80,39 @@
 		}
 		return n
 	}
-	if sent(arrive("charge", "once")) != 0 || sent(arrive("short", "safe")) != 1 {
-		t.Fatal("an unsafe message of up to 400 ms must wait, a call of 200 ms may start")
+	if sent(accept("charge", "once")) != 0 || sent(accept("short", "safe")) != 1 {
+		t.Fatal("400 ms before the shutdown an unsafe message was sent, or a message with an expected 200 ms was not")
 	}
 	rig.now += 300 * ms
 	rig.step(Event{Kind: AttemptFinished, ID: "short", Endpoint: "a", Outcome: OutcomeSuccess, Final: true})
-	if sent(arrive("late", "safe")) != 0 {
-		t.Fatal("a call started that cannot end")
+	if sent(accept("late", "safe")) != 0 {
+		t.Fatal("an attempt started that cannot end before the shutdown")
 	}
 }
 
-// The Retry-After of an answer that delivers binds like that of a rejection.
-func TestRetryAfterOfADelivery(t *testing.T) {
-	rig := newRig(t, testSettings(), ep("a", "plain", "z", 1))
+// The Retry-After of a success applies like that of a rejection.
+func TestRetryAfterOfASuccess(t *testing.T) {
+	rig := newRig(t, testSettings(), liveEndpoint("a", "plain", "z", 1))
 	rig.step(Event{Kind: RequestAccepted, ID: "m", Class: "safe", Destination: 1, Deadline: rig.now + 6000*ms})
 	rig.advance(100*ms, Event{
 		Kind: AttemptFinished, ID: "m", Endpoint: "a", Outcome: OutcomeSuccess, Final: true,
 		RetryAfterMs: 700,
 	})
 	rig.step(Event{Kind: RequestAccepted, ID: "n", Class: "safe", Destination: 1, Deadline: rig.now + 6000*ms})
-	since := rig.now
-	if _, ok := rig.run(3000*ms, func(action Action) bool { return action.Kind == StartAttempt }); !ok ||
-		rig.now < since+700*ms {
-		t.Fatalf("sent %v, %d ms after the Retry-After", ok, (rig.now-since)/1000)
+	receivedAt := rig.now
+	if _, ok := rig.runUntil(3000*ms, func(action Action) bool { return action.Kind == StartAttempt }); !ok ||
+		rig.now < receivedAt+700*ms {
+		t.Fatalf("sent: %v, %d ms after a Retry-After of 700 ms", ok, (rig.now-receivedAt)/1000)
 	}
 }
 
-// A new incarnation knows no success: a destination in slow start got one call in an overload
-// window until its messages had expired. Restored messages do not count in the arrival rate or
-// in a tenant's quota.
+// A new incarnation has seen no success yet. Without an estimate of the capacity, a destination in slow start got one
+// call per overload window until its messages had expired. The estimate follows the arrival rate. Restored messages
+// count neither towards the arrival rate nor towards a tenant's quota.
 func TestSlowStartAfterRestart(t *testing.T) {
 	settings := testSettings()
 	settings.Tenants = []Tenant{{Name: "t", QuotaPerSecond: 1}}
-	rig := newRig(t, settings, ep("a", "plain", "z", 1))
+	rig := newRig(t, settings, liveEndpoint("a", "plain", "z", 1))
 	for range 50 {
 		event := rig.request("safe", 1)
 		event.Restored, event.Tenant = true, "t"
@@ -118,31 +120,32 @@
 	}
 	rt := rig.sched.destinationByID[1].route
 	if rig.sched.arrivalRate(rt) != 0 || rig.sched.messages["m50"].priorityWeight != 1 {
-		t.Fatal("pace", rig.sched.arrivalRate(rt), "worth", rig.sched.messages["m50"].priorityWeight)
+		t.Fatal("with restored messages only: arrival rate, want 0:", rig.sched.arrivalRate(rt),
+			"priority weight, want 1:", rig.sched.messages["m50"].priorityWeight)
 	}
-	least := rig.sched.slowStartRate(rt)
+	before := rig.sched.slowStartRate(rt)
 	for range 40 {
 		rig.advance(250*ms, rig.request("safe", 1))
 	}
-	got := rig.sched.slowStartRate(rt)
-	most := 4.4 * settings.Rules.SlowStartInitialShare * settings.Rules.OverloadMultiple
-	if got <= least || got > most {
-		t.Fatalf("%.2f calls a second, at least %.2f, at most %.2f", got, least, most)
+	after := rig.sched.slowStartRate(rt)
+	limit := 4.4 * settings.Rules.SlowStartInitialShare * settings.Rules.OverloadMultiple
+	if after <= before || after > limit {
+		t.Fatalf("slow-start rate %.2f calls per second, want more than %.2f and at most %.2f", after, before, limit)
 	}
 }
 
-// A destination that is unavailable when an incarnation starts is probed again soon: paced by an
-// arrival rate that was not known yet, the next call came only after several seconds.
-func TestUnavailableAtStart(t *testing.T) {
+// A destination that is unavailable when an incarnation starts must be probed again soon. The probe interval depended
+// on an arrival rate that was not known yet, and the next probe attempt came only after several seconds.
+func TestDestinationUnavailableAtStartIsProbedSoon(t *testing.T) {
 	settings := testSettings()
 	settings.Senders = 2
-	rig := newRig(t, settings, ep("a", "plain", "z", 1))
+	rig := newRig(t, settings, liveEndpoint("a", "plain", "z", 1))
 	for range 10 {
 		event := rig.request("safe", 1)
 		event.Restored = true
 		rig.step(event)
 	}
-	fails := func(action Action) bool {
+	failConnect := func(action Action) bool {
 		if action.Kind == StartAttempt {
 			rig.advance(1*ms, rig.outcome(action.ID, OutcomeConnectFailed))
 		}
@@ -157,59 +160,58 @@
 		}
 	}
 	rt := rig.sched.destinationByID[1].route
-	if rig.run(100*ms, fails); !rt.health.unavailable || rt.probe.nextAt-rig.now > 2*probeIntervalMinUs {
-		t.Fatal("down:", rt.health.unavailable, "next probe in us:", rt.probe.nextAt-rig.now, "paced until",
-			rt.slowStart.nextCallAt-rig.now)
+	if rig.runUntil(100*ms, failConnect); !rt.health.unavailable || rt.probe.nextAt-rig.now > 2*probeIntervalMinUs {
+		t.Fatal("unavailable:", rt.health.unavailable, "time to the next probe attempt in us:", rt.probe.nextAt-rig.now,
+			"time to the next call of a slow start in us:", rt.slowStart.nextCallAt-rig.now)
 	}
 }
 
-// Messages restored without an attempt and with half of their time left are sent wherever the
-// destination can take them all, whatever arrives beside them and whether or not their class may
-// be repeated: with one sender and with many, with the queue full or not.
+// Restored messages that have had no attempt, with half of their time left, must be sent if the destination can accept
+// them all: for any class and number of senders, while new messages arrive, and with a full queue or not.
 func TestRestoredMessagesAreSent(t *testing.T) {
 	for _, senders := range []int{1, 3, 30, 300} {
 		for _, class := range []string{"safe", "key", "once"} {
 			for _, pending := range []int{5, 25, 49} {
-				for _, limit := range []float64{0, 1, 4} { // none, or a multiple of twice what it takes to send all
-					// 383 of 750 and 577 of 1,470 come to the end of their time:
+				for _, limit := range []float64{0, 1, 4} { // 0: no limit; else a multiple of twice the rate that all need
+					// Here 383 of 750 and 577 of 1,470 messages reach their deadline unsent:
 					// docs/measurements/acceptance.md
 					if senders == 30 && limit == 1 {
 						continue
 					}
 					fleet := newFleet(t, senders, 5)
 					fleet.class, fleet.noReports, fleet.retryAfterMs = class, true, 300
-					left := fleet.halfDeadline(class)
+					remainingUs := fleet.halfDeadline(class)
 					if limit > 0 {
-						all := float64(senders) * (float64(pending)/(float64(left)/1e6) + 2)
-						fleet.limit = func(int64) float64 { return 2 * limit * all }
+						rateForAll := float64(senders) * (float64(pending)/(float64(remainingUs)/1e6) + 2)
+						fleet.limit = func(int64) float64 { return 2 * limit * rateForAll }
 					}
-					n := 0
+					restored := 0
 					for i, sender := range fleet.senders {
-						for k := range pending {
-							n++
+						for number := range pending {
+							restored++
 							fleet.deliver(sender, Event{
-								Kind: RequestAccepted, Restored: true, ID: fmt.Sprint("held", i, "-", k), Class: class, Destination: 1,
-								Deadline: fleet.now + left,
+								Kind: RequestAccepted, Restored: true, ID: fmt.Sprint("held", i, "-", number), Class: class, Destination: 1,
+								Deadline: fleet.now + remainingUs,
 							})
 						}
 					}
-					fleet.traffic(fleet.now, fleet.now+8_000*ms, 2*float64(senders), 6)
+					fleet.addRequests(fleet.now, fleet.now+8_000*ms, 2*float64(senders), 6)
 					fleet.run(30_000 * ms)
-					lost := 0
+					neverSentCount := 0
 					for _, sender := range fleet.senders {
 						for _, id := range sender.neverSent {
 							if strings.HasPrefix(id, "held") {
-								lost++
+								neverSentCount++
 							}
 						}
 					}
-					most := n / 4 // the operators accept half
+					maxNeverSent := restored / 4 // the requirement allows half
 					if limit == 0 {
-						most = n / 10 // a full queue sheds some for what arrives
+						maxNeverSent = restored / 10 // a full queue sheds some for new messages
 					}
-					if lost > most {
-						t.Errorf("%d senders, %s, %d pending, limit %v: %d of %d were given up with no call", senders, class, pending,
-							limit, lost, n)
+					if neverSentCount > maxNeverSent {
+						t.Errorf("%d senders, class %s, %d pending each, limit %v: %d of %d restored messages were never sent", senders,
+							class, pending, limit, neverSentCount, restored)
 					}
 				}
 			}
@@ -217,23 +219,23 @@
 	}
 }
 
-// halfDeadline is half of a class's deadline, in microseconds.
+// halfDeadline returns half of a class's deadline, in microseconds.
 func (fleet *fleet) halfDeadline(class string) int64 {
-	for _, l := range fleet.settings.Classes {
-		if l.Name == class {
-			return l.DeadlineUs / 2
+	for _, configured := range fleet.settings.Classes {
+		if configured.Name == class {
+			return configured.DeadlineUs / 2
 		}
 	}
 	panic(class)
 }
 
-// Where endpoints have limits of their own, each gets its part of the backlog rate: together
-// they get that of one shared route.
+// Where endpoints have their own limits, each route gets its share of the backlog rate. The sum must be that of one
+// shared route.
 func TestBacklogRateIsDividedOnce(t *testing.T) {
-	pace := func(kind string, n int) (sum float64) {
+	totalRate := func(machineType string, count int) (sum float64) {
 		var list []Endpoint
-		for i := range n {
-			list = append(list, ep(fmt.Sprint("e", i), kind, "z", 1))
+		for i := range count {
+			list = append(list, liveEndpoint(fmt.Sprint("e", i), machineType, "z", 1))
 		}
 		rig := newRig(t, testSettings(), list...)
 		rig.sched.now = rig.now
@@ -253,7 +255,8 @@
 		}
 		return sum
 	}
-	if one, four := pace("plain", 4), pace("apart", 4); one < 4 || four < one*0.99 || four > one*1.01 {
-		t.Errorf("shared %.2f a second, apart %.2f in the sum", one, four)
+	if shared, separate := totalRate("plain", 4), totalRate("apart", 4); shared < 4 || separate < shared*0.99 ||
+		separate > shared*1.01 {
+		t.Errorf("backlog rate %.2f per second of a shared route, %.2f of all own routes together", shared, separate)
 	}
 }
--- a/scheduler/rig_test.go
+++ b/scheduler/rig_test.go
@@ -5,9 +5,11 @@
 	"testing"
 )
 
+// ms is one millisecond in microseconds, the unit of the scheduler's times.
 const ms = int64(1000)
 
-// testSettings is a small deployment; each test changes what it needs.
+// testSettings returns the settings of a single sender with one class of each idempotency. Endpoints of the
+// machine type "apart" have their own limits; those of "batch" accept four messages per call.
 func testSettings() Settings {
 	var settings Settings
 	settings.Senders = 1
@@ -49,56 +51,60 @@
 	return settings
 }
 
-// rig drives one relay by hand; it models no servers.
+// rig drives one scheduler with the events that a test gives it. It simulates no endpoints: the test also
+// provides the outcomes of the attempts.
 type rig struct {
 	t        *testing.T
 	sched    *Scheduler
 	now      int64
-	requests int
-	actions  []Action
-	attempts map[string]int
-	sentTo   map[string]string
+	requests int               // number of requests so far
+	actions  []Action          // of the last step
+	attempts map[string]int    // number of attempts, by message id
+	sentTo   map[string]string // endpoint of the last attempt, by message id
 }
 
-// rigOf is a rig that drives a scheduler from a time on.
-func rigOf(t *testing.T, sched *Scheduler, now int64) *rig {
+// rigFor returns a rig for an existing scheduler, whose next step is at now.
+func rigFor(t *testing.T, sched *Scheduler, now int64) *rig {
 	return &rig{t: t, sched: sched, now: now, attempts: map[string]int{}, sentTo: map[string]string{}}
 }
 
+// newRig returns a rig with a new scheduler that has received the endpoint list.
 func newRig(t *testing.T, settings Settings, list ...Endpoint) *rig {
 	t.Helper()
 	sched, err := New(settings, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	rig := rigOf(t, sched, 1e9)
+	rig := rigFor(t, sched, 1e9)
 	rig.step(Event{Kind: EndpointsUpdated, Update: UpdateFull, Endpoints: list})
 	return rig
 }
 
-// newSeededRig is a rig whose scheduler has a seed of its own, as each sender has.
+// newSeededRig is newRig with another seed of the scheduler, for tests with many senders.
 func newSeededRig(t *testing.T, settings Settings, seed int64, list ...Endpoint) *rig {
 	t.Helper()
 	sched, err := New(settings, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	rig := rigOf(t, sched, 1e9)
+	rig := rigFor(t, sched, 1e9)
 	rig.step(Event{Kind: EndpointsUpdated, Update: UpdateFull, Endpoints: list})
 	return rig
 }
 
-// settingsFor is testSettings with a number of senders.
-func settingsFor(n int) Settings {
+// settingsForSenders returns testSettings with another number of senders.
+func settingsForSenders(senders int) Settings {
 	settings := testSettings()
-	settings.Senders = n
+	settings.Senders = senders
 	return settings
 }
 
-func ep(addr, kind, zone string, dest int64) Endpoint {
-	return Endpoint{Addr: addr, MachineType: kind, Zone: zone, Destination: dest, State: StatusLive}
+// liveEndpoint returns the entry of a live endpoint in the endpoint list.
+func liveEndpoint(addr, machineType, zone string, destination int64) Endpoint {
+	return Endpoint{Addr: addr, MachineType: machineType, Zone: zone, Destination: destination, State: StatusLive}
 }
 
+// step runs one step of the scheduler at the current time.
 func (rig *rig) step(events ...Event) []Action {
 	rig.actions = rig.sched.Step(rig.now, events)
 	for _, action := range rig.actions {
@@ -110,14 +116,16 @@
 	return rig.actions
 }
 
-func (rig *rig) advance(us int64, events ...Event) []Action {
-	rig.now += us
+// advance lets time pass and then runs one step.
+func (rig *rig) advance(durationUs int64, events ...Event) []Action {
+	rig.now += durationUs
 	return rig.step(events...)
 }
 
-// run lets time pass, waking the relay every 50 ms, until stop says so.
-func (rig *rig) run(us int64, stop func(Action) bool) (Action, bool) {
-	for end := rig.now + us; rig.now < end; {
+// runUntil lets time pass, with a step every 50 ms, until stop accepts an action. It returns that action, or
+// false if there is none within durationUs.
+func (rig *rig) runUntil(durationUs int64, stop func(Action) bool) (Action, bool) {
+	for endAt := rig.now + durationUs; rig.now < endAt; {
 		for _, action := range rig.advance(50*ms, Event{Kind: TimerFired}) {
 			if stop(action) {
 				return action, true
@@ -127,15 +135,17 @@
 	return Action{}, false
 }
 
-func (rig *rig) request(class string, dest int64) Event {
+// request returns the event of a new message.
+func (rig *rig) request(class string, destination int64) Event {
 	rig.requests++
-	limit := rig.sched.classes[class].DeadlineUs
+	deadlineUs := rig.sched.classes[class].DeadlineUs
 	return Event{
-		Kind: RequestAccepted, ID: fmt.Sprint("m", rig.requests), Class: class, Destination: dest,
-		Deadline: rig.now + limit,
+		Kind: RequestAccepted, ID: fmt.Sprint("m", rig.requests), Class: class, Destination: destination,
+		Deadline: rig.now + deadlineUs,
 	}
 }
 
+// outcome returns the event that ends the last attempt of a message.
 func (rig *rig) outcome(id string, outcome Outcome) Event {
 	return Event{
 		Kind: AttemptFinished, ID: id, Attempt: rig.attempts[id] - 1, Endpoint: rig.sentTo[id],
@@ -143,27 +153,28 @@
 	}
 }
 
-func count(actions []Action, k ActionKind) (n int) {
+func countActions(actions []Action, kind ActionKind) (n int) {
 	for _, action := range actions {
-		if action.Kind == k {
+		if action.Kind == kind {
 			n++
 		}
 	}
 	return n
 }
 
-func starts(id string) func(Action) bool {
+// startsAttempt returns a condition for runUntil: an attempt of the message starts.
+func startsAttempt(id string) func(Action) bool {
 	return func(action Action) bool { return action.Kind == StartAttempt && action.ID == id }
 }
 
-// warmUp sends and answers n messages in turn, so that the route is known and its concurrency
-// limit high.
-func (rig *rig) warmUp(dest int64, n int) {
+// warmUp delivers messages one after another, so that the route has latency samples and a high concurrency
+// limit.
+func (rig *rig) warmUp(destination int64, messages int) {
 	rig.t.Helper()
-	for range n {
-		event := rig.request("safe", dest)
+	for range messages {
+		event := rig.request("safe", destination)
 		if rig.step(event); rig.attempts[event.ID] != 1 {
-			rig.t.Fatalf("%s was not sent at once", event.ID)
+			rig.t.Fatalf("message %s was not sent at once", event.ID)
 		}
 		rig.advance(100*ms, rig.outcome(event.ID, OutcomeSuccess))
 	}
--- a/scheduler/savestate_test.go
+++ b/scheduler/savestate_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// stateSettings has destinations that share a limit and some whose endpoints have limits of
-// their own.
+// stateSettings returns settings with one class of each idempotency. Endpoints of the machine type "one" share the
+// limit of their destination, those of "apart" have their own limits.
 func stateSettings(senders int) (settings Settings) {
 	settings.Senders = senders
 	settings.TickUs = 1000
@@ -45,22 +45,22 @@
 	return settings
 }
 
-// randomPlayer drives a scheduler whose destinations answer at random, and keeps the attempts in
-// flight.
-type randomPlayer struct {
+// randomDriver drives a scheduler with random requests and outcomes.
+type randomDriver struct {
 	sched    *Scheduler
 	rng      *rand.Rand
 	now      int64
-	requests int
-	inFlight map[string]Action
+	requests int               // number of requests so far
+	inFlight map[string]Action // attempts in flight, by message id
 }
 
-func (p *randomPlayer) step(events ...Event) []Action {
-	actions := p.sched.Step(p.now, events)
+// step runs one step of the scheduler and records the attempts that it starts.
+func (driver *randomDriver) step(events ...Event) []Action {
+	actions := driver.sched.Step(driver.now, events)
 	for _, action := range actions {
 		if action.Kind == StartAttempt {
-			p.inFlight[action.ID] = Action{
-				ID: action.ID, Attempt: p.sched.messages[action.ID].attempts - 1,
+			driver.inFlight[action.ID] = Action{
+				ID: action.ID, Attempt: driver.sched.messages[action.ID].attempts - 1,
 				Endpoint: action.Endpoint,
 			}
 		}
@@ -68,95 +68,96 @@
 	return actions
 }
 
-// drawEvents draws what comes next: arrivals, and outcomes of attempts in flight.
-func (p *randomPlayer) drawEvents() (events []Event) {
-	p.now += int64(p.rng.Intn(40_000)) + 1000
-	for range p.rng.Intn(3) {
-		p.requests++
-		class := p.sched.settings.Classes[p.rng.Intn(3)]
+// drawEvents returns the events of the next step: up to two requests, and random outcomes of some of the attempts in
+// flight.
+func (driver *randomDriver) drawEvents() (events []Event) {
+	driver.now += int64(driver.rng.Intn(40_000)) + 1000
+	for range driver.rng.Intn(3) {
+		driver.requests++
+		class := driver.sched.settings.Classes[driver.rng.Intn(3)]
 		events = append(events, Event{
-			Kind: RequestAccepted, ID: fmt.Sprint("m", p.requests), Class: class.Name, Destination: int64(p.rng.Intn(3)),
-			Deadline: p.now + class.DeadlineUs,
+			Kind: RequestAccepted, ID: fmt.Sprint("m", driver.requests), Class: class.Name,
+			Destination: int64(driver.rng.Intn(3)), Deadline: driver.now + class.DeadlineUs,
 		})
 	}
 	for _, id := range slices.Sorted(func(yield func(string) bool) {
-		for id := range p.inFlight {
+		for id := range driver.inFlight {
 			if !yield(id) {
 				return
 			}
 		}
 	}) {
-		if p.rng.Intn(3) > 0 {
+		if driver.rng.Intn(3) > 0 {
 			continue
 		}
-		action := p.inFlight[id]
-		delete(p.inFlight, id)
+		action := driver.inFlight[id]
+		delete(driver.inFlight, id)
 		event := Event{
 			Kind: AttemptFinished, ID: id, Attempt: action.Attempt, Endpoint: action.Endpoint,
-			LoadReport: []float64{p.rng.Float64(), 20},
+			LoadReport: []float64{driver.rng.Float64(), 20},
 		}
-		switch k := p.rng.Intn(10); {
-		case k < 6:
+		switch choice := driver.rng.Intn(10); {
+		case choice < 6:
 			event.Outcome, event.Final = OutcomeSuccess, true
-		case k == 6:
-			event.Outcome, event.RetryAfterMs = OutcomeRejected, int64(p.rng.Intn(400))
+		case choice == 6:
+			event.Outcome, event.RetryAfterMs = OutcomeRejected, int64(driver.rng.Intn(400))
 		default:
-			event.Outcome = []Outcome{OutcomeFailed, OutcomeTimedOut, OutcomeConnectFailed, OutcomeReset}[p.rng.Intn(4)]
+			event.Outcome = []Outcome{OutcomeFailed, OutcomeTimedOut, OutcomeConnectFailed, OutcomeReset}[driver.rng.Intn(4)]
 		}
 		events = append(events, event)
 	}
 	return events
 }
 
-// A state that is written as JSON and restored is the same to the last digit, and so are the
-// next decisions: waits, calls in use, concurrency limits, slow starts and the times of pending
-// messages.
+// A state that is encoded as JSON and restored must be exactly the same, and the restored scheduler must make the same
+// decisions. This covers the times of Retry-Afters, the calls in flight, concurrency limits, slow starts and the times
+// of pending messages.
 func TestStateIsComplete(t *testing.T) {
 	for seed := range int64(60) {
-		set := stateSettings([]int{1, 2, 300}[seed%3])
-		sched, err := New(set, seed)
+		settings := stateSettings([]int{1, 2, 300}[seed%3])
+		sched, err := New(settings, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		p := &randomPlayer{sched: sched, rng: rand.New(rand.NewSource(seed)), now: 1e15, inFlight: map[string]Action{}}
+		driver := &randomDriver{sched: sched, rng: rand.New(rand.NewSource(seed)), now: 1e15, inFlight: map[string]Action{}}
 		list := Event{Kind: EndpointsUpdated, Update: UpdateFull}
 		for i := range 6 {
 			list.Endpoints = append(list.Endpoints, Endpoint{
-				Addr: fmt.Sprint("e", i), MachineType: set.MachineTypes[i%3/2],
+				Addr: fmt.Sprint("e", i), MachineType: settings.MachineTypes[i%3/2],
 				Destination: int64(i % 3), State: StatusLive,
 			})
 		}
-		p.step(list)
-		for range 50 + p.rng.Intn(200) {
-			p.step(p.drawEvents()...)
+		driver.step(list)
+		for range 50 + driver.rng.Intn(200) {
+			driver.step(driver.drawEvents()...)
 		}
 		saved := sched.State()
 		text, err := json.Marshal(saved)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var back State
-		if err := json.Unmarshal(text, &back); err != nil {
+		var decoded State
+		if err := json.Unmarshal(text, &decoded); err != nil {
 			t.Fatal(err)
 		}
-		to, err := New(set, seed)
+		restored, err := New(settings, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := to.RestoreState(back, p.now); err != nil {
+		if err := restored.RestoreState(decoded, driver.now); err != nil {
 			t.Fatal(err)
 		}
-		if again := to.State(); !reflect.DeepEqual(stateJSON(again), stateJSON(saved)) {
-			t.Fatalf("seed %d: loaded\n%s\nsaved\n%s", seed, stateJSON(again), text)
+		if restoredState := restored.State(); !reflect.DeepEqual(stateJSON(restoredState), stateJSON(saved)) {
+			t.Fatalf("seed %d: restored state\n%s\nsaved state\n%s", seed, stateJSON(restoredState), text)
 		}
-		if sched.callsInFlight != to.callsInFlight || sched.acceptedCount != to.acceptedCount ||
-			len(sched.InFlight()) != len(to.InFlight()) ||
-			len(p.inFlight) != len(to.InFlight()) {
-			t.Fatalf("seed %d: calls %d and %d, accepted %d and %d", seed, sched.callsInFlight, to.callsInFlight,
-				sched.acceptedCount, to.acceptedCount)
+		if sched.callsInFlight != restored.callsInFlight || sched.acceptedCount != restored.acceptedCount ||
+			len(sched.InFlight()) != len(restored.InFlight()) ||
+			len(driver.inFlight) != len(restored.InFlight()) {
+			t.Fatalf("seed %d: calls in flight %d, restored %d; accepted messages %d, restored %d; or the attempts differ", seed,
+				sched.callsInFlight, restored.callsInFlight, sched.acceptedCount, restored.acceptedCount)
 		}
-		p.now += 1000
-		issued := func(actions []Action) (list []string) {
+		driver.now += 1000
+		startedAttempts := func(actions []Action) (list []string) {
 			for _, action := range actions {
 				if action.Kind == StartAttempt {
 					list = append(list, action.ID+" to "+action.Endpoint)
@@ -164,14 +165,16 @@
 			}
 			return list
 		}
-		to.rng, sched.rng = rand.New(rand.NewSource(1)), rand.New(rand.NewSource(1))
-		events := p.drawEvents()
-		if a, b := issued(sched.Step(p.now, events)), issued(to.Step(p.now, events)); !slices.Equal(a, b) {
-			t.Fatalf("seed %d: next leave %v, after loading %v", seed, a, b)
+		restored.rng, sched.rng = rand.New(rand.NewSource(1)), rand.New(rand.NewSource(1))
+		events := driver.drawEvents()
+		if want, got := startedAttempts(sched.Step(driver.now, events)),
+			startedAttempts(restored.Step(driver.now, events)); !slices.Equal(want, got) {
+			t.Fatalf("seed %d: the next attempts are %v, of the restored scheduler %v", seed, want, got)
 		}
 	}
 }
 
+// stateJSON returns a state in its stored form.
 func stateJSON(state State) string {
 	text, err := json.Marshal(state)
 	if err != nil {
@@ -180,7 +183,8 @@
 	return string(text)
 }
 
-// A state of another version or with missing parts is an error: the journal alone counts then.
+// RestoreState must return an error for a state of another version or with missing values. The caller then relies on
+// the journal alone.
 func TestRestoreStateRejectsInvalidState(t *testing.T) {
 	sched, err := New(stateSettings(1), 1)
 	if err != nil {
@@ -190,7 +194,7 @@
 		Kind: EndpointsUpdated, Update: UpdateFull,
 		Endpoints: []Endpoint{{Addr: "e", MachineType: "one", State: StatusLive}},
 	}})
-	good := sched.State()
+	valid := sched.State()
 	for name, change := range map[string]func(*State){
 		"form":     func(state *State) { state.Format++ },
 		"numbers":  func(state *State) { state.Floats = append(state.Floats, 1) },
@@ -200,13 +204,13 @@
 		"call":     func(state *State) { state.Calls = []CallState{{Endpoint: "nowhere"}} },
 	} {
 		var state State
-		if err := json.Unmarshal([]byte(stateJSON(good)), &state); err != nil {
+		if err := json.Unmarshal([]byte(stateJSON(valid)), &state); err != nil {
 			t.Fatal(err)
 		}
 		change(&state)
-		to, _ := New(stateSettings(1), 1)
-		if to.RestoreState(state, 1) == nil {
-			t.Errorf("%s: accepted", name)
+		successor, _ := New(stateSettings(1), 1)
+		if successor.RestoreState(state, 1) == nil {
+			t.Errorf("%s: RestoreState accepted an invalid state", name)
 		}
 	}
 }
