--- a/scheduler/golden_state_test.go
+++ b/scheduler/golden_state_test.go
@@ -88,7 +88,7 @@
 	checkGolden(t, "saved.txt", fmt.Appendf(nil, "%d %s\n", sim.actions, sum))
 }
 
-// A state that is restored with settings that lack one of its classes loses the requests of that class only.
+// A state that is restored with settings that lack one of its classes must leave out the requests of that class.
 func TestGoldenStateWithFewerClasses(t *testing.T) {
 	sim := stateSimulation(t)
 	state := sim.sched.State()
--- a/scheduler/learned_test.go
+++ b/scheduler/learned_test.go
@@ -223,8 +223,8 @@
 			epState.OwnRoute.Integers[i] = now + 3600_000*ms
 		}
 		epState.OwnRoute.FirstCallAt = now + 3600_000*ms
-		epState.OwnRoute.Integers[8] = now
-		epState.OwnRoute.Integers[9] = now
+		epState.OwnRoute.Integers[8] = now // time of the last send
+		epState.OwnRoute.Integers[9] = now // time of the last outcome
 		epState.OwnRoute.AdvertisedLimit = [3]float64{0, 40, 0}
 		epState.OwnRoute.Integers[2], epState.OwnRoute.Integers[6] = 0, now // no Retry-After, and a failure now
 	}
--- a/scheduler/outcome_test.go
+++ b/scheduler/outcome_test.go
@@ -211,10 +211,10 @@
 // Invalid values are ignored.
 func TestReportsInAnswers(t *testing.T) {
 	for name, tc := range map[string]struct {
-		senders int
-		report  []float64
-		hint    float64
-		cut     bool
+		senders   int
+		report    []float64
+		hint      float64
+		decreased bool
 	}{
 		"room left, few":  {4, []float64{0.8, 40}, 10, false},
 		"room left, many": {200, []float64{0.8, 40}, 0.2, true},
@@ -236,9 +236,9 @@
 		rejection := rig.outcome(event.ID, OutcomeRejected)
 		rejection.LoadReport = tc.report
 		rig.advance(50*ms, rejection)
-		if rt := rig.sched.destination(1).route; rt.capacityHint != tc.hint || rt.bucket.decreasedAt != 0 != tc.cut {
+		if rt := rig.sched.destination(1).route; rt.capacityHint != tc.hint || rt.bucket.decreasedAt != 0 != tc.decreased {
 			t.Errorf("%s: capacity hint %v, want %v; rate decreased %v, want %v", name, rt.capacityHint, tc.hint,
-				rt.bucket.decreasedAt != 0, tc.cut)
+				rt.bucket.decreasedAt != 0, tc.decreased)
 		}
 	}
 }
--- a/scheduler/pacing_test.go
+++ b/scheduler/pacing_test.go
@@ -167,9 +167,8 @@
 	}
 }
 
-// At its first rejection a single sender takes its send rate as the mark, which cannot be below the minimum rate.
-// Each of many senders has sent too few calls for that and takes its arrival rate. Its tokens are random, so that the
-// senders do not synchronize.
+// The first rejection sets the mark to the send rate of a single sender, at least the minimum rate. With many senders
+// the mark is the arrival rate if that is lower, and the tokens are random, so that the senders do not synchronize.
 func TestFirstDecreaseAmongManyFollowsTheArrivalRate(t *testing.T) {
 	for _, senders := range []int{1, 400} {
 		minTokens, maxTokens := math.Inf(1), math.Inf(-1)
--- a/scheduler/shedding_test.go
+++ b/scheduler/shedding_test.go
@@ -95,7 +95,8 @@
 		actions = append(actions, rig.step(rig.request([]string{"safe", "once"}[i%2], 1))...)
 	}
 	if rig.sched.acceptedCount >= 20 || countActions(actions, Reject) < 11 {
-		t.Fatalf("%d pending, %d rejected", rig.sched.acceptedCount, countActions(actions, Reject))
+		t.Fatalf("%d messages accepted and %d rejected, want at most 19 and at least 11", rig.sched.acceptedCount,
+			countActions(actions, Reject))
 	}
 	for _, action := range actions {
 		if action.Kind == Reject && action.RetryAfterUs > 2000*ms {
@@ -116,7 +117,7 @@
 	}
 }
 
-// Messages that exceed their tenant's quota get a lower priority weight, so that those of other tenants are sent first.
+// Messages that exceed their tenant's quota get a lower priority weight, so that the others are sent first.
 func TestMessagesOverTheTenantQuotaHaveLessWeight(t *testing.T) {
 	settings := testSettings()
 	settings.OverQuotaWeight = 0.1
@@ -152,13 +153,13 @@
 	rejection := rig.outcome(first.ID, OutcomeRejected)
 	rejection.RetryAfterMs = 9_950
 	if actions := rig.advance(100*ms, rejection); countActions(actions, Reject) != 2 {
-		t.Fatal(actions)
+		t.Fatal("want a rejection of both accepted messages, got", actions)
 	}
 	early, later := rig.request("safe", 1), rig.request("safe", 1)
 	early.Deadline -= 9000 * ms
 	if actions := rig.step(early, later); countActions(actions, Reject) != 1 || actions[0].ID != early.ID ||
 		actions[0].RetryAfterUs == 0 {
-		t.Fatal(actions)
+		t.Fatal("want a rejection with a Retry-After of the message with the earlier deadline, got", actions)
 	}
 }
 
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// 900 senders all restart in an outage in which calls time out. The sum of their calls exceeds the slow-start budget
-// after the outage.
+// 900 senders all restart in an outage in which calls time out and which lasts about as long as their timeouts. The sum
+// of their calls exceeds the slow-start budget after the outage.
 func TestSlowStartOf900RestartedSenders(t *testing.T) {
 	const senders, seed = 900, 0
 	got := outageScenario{
