--- a/internal/net/platform/agent_test.go
+++ b/internal/net/platform/agent_test.go
@@ -12,27 +12,27 @@
 	"time"
 )
 
-// agentCheckInterval is how often the agent looks for a list that answers a poll that waits.
+// agentCheckInterval is the interval at which a waiting poll checks for a published list.
 const agentCheckInterval = time.Millisecond
 
-// agentList is a list that the agent has published with a version.
+// agentList is a published list that has a version.
 type agentList struct {
 	version int64
 	text    string
 }
 
-// answerPoll answers a poll as an agent does: with the list that follows on the version that is asked, whoever was
-// answered with it before, and else after the poll's wait that nothing is new.
-func (w *world) answerPoll(rw http.ResponseWriter, r *http.Request) {
-	index := r.URL.Query().Get("index")
-	answersAtOnce := r.URL.Query().Get("wait") == "1" && !w.agentUnresponsive
+// respondToPoll responds to a poll as an agent does: with the first list that is newer than the polled version, also if
+// an earlier poll got it. Without one it reports no change to a poll with a wait of 1 ms, and lets any other poll wait.
+func (env *testEnv) respondToPoll(rw http.ResponseWriter, r *http.Request) {
+	polledIndex := r.URL.Query().Get("index")
+	respondsAtOnce := r.URL.Query().Get("wait") == "1" && !env.agentUnresponsive
 	for {
-		if list, ok := w.listAfter(index); ok {
-			w.writeList(rw, list)
+		if list, ok := env.listAfter(polledIndex); ok {
+			env.writeList(rw, list)
 			return
 		}
-		if answersAtOnce {
-			_, _ = io.WriteString(rw, `{"seq":`+index+`,"whole":false,"hosts":[]}`)
+		if respondsAtOnce {
+			_, _ = io.WriteString(rw, `{"seq":`+polledIndex+`,"whole":false,"hosts":[]}`)
 			return
 		}
 		select {
@@ -43,115 +43,117 @@
 	}
 }
 
-// writeList writes an answer, or as much of it as the test wants of the next one, and then closes the connection.
-func (w *world) writeList(rw http.ResponseWriter, list string) {
+// writeList writes a response. If the test has requested it, the response is truncated by the connection's end.
+func (env *testEnv) writeList(rw http.ResponseWriter, list string) {
 	select {
-	case cut := <-w.cutNext:
+	case truncateAt := <-env.truncateNext:
 		conn, _, err := http.NewResponseController(rw).Hijack()
 		if err != nil {
-			w.t.Error(err)
+			env.t.Error(err)
 			return
 		}
-		answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
-		_, _ = io.WriteString(conn, answer[:min(cut, len(answer)-1)])
+		response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
+		_, _ = io.WriteString(conn, response[:min(truncateAt, len(response)-1)])
 		_ = conn.Close()
-		w.wasCut <- true
+		env.truncated <- true
 	default:
 		_, _ = io.WriteString(rw, list)
 	}
 }
 
-// listAfter publishes what the test has sent, and returns the answer to a poll, if there is one. A list that has no
-// version, or none that is newer than that of the poll, answers this poll alone.
-func (w *world) listAfter(index string) (text string, ok bool) {
-	asked, hasVersion := int64(-1), false
-	if version, err := strconv.ParseInt(index, 10, 64); err == nil {
-		asked, hasVersion = version, true
+// listAfter publishes the list that the test has submitted, and returns the response to a poll, if there is one. A list
+// without a version, or with one that is not newer than the polled one, is the response to this poll alone.
+func (env *testEnv) listAfter(polledIndex string) (text string, ok bool) {
+	polledVersion, hasVersion := int64(-1), false
+	if version, err := strconv.ParseInt(polledIndex, 10, 64); err == nil {
+		polledVersion, hasVersion = version, true
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	env.mu.Lock()
+	defer env.mu.Unlock()
 	select {
-	case list := <-w.changes:
-		var form struct{ Seq *int64 }
-		if json.Unmarshal([]byte(list), &form) != nil || form.Seq == nil || !hasVersion || *form.Seq <= asked {
+	case list := <-env.updates:
+		var decoded struct{ Seq *int64 }
+		if json.Unmarshal([]byte(list), &decoded) != nil || decoded.Seq == nil || !hasVersion ||
+			*decoded.Seq <= polledVersion {
 			return list, true
 		}
-		w.lists = append(w.lists, agentList{*form.Seq, list})
-		if list := w.lists[len(w.lists)-1]; w.agentUnresponsive {
+		env.published = append(env.published, agentList{*decoded.Seq, list})
+		if list := env.published[len(env.published)-1]; env.agentUnresponsive {
 			return list.text, true
 		}
 	default:
 	}
-	if w.agentUnresponsive {
-		return "", false // it answers only as something is published
+	if env.agentUnresponsive {
+		return "", false // it responds only when a list is published
 	}
-	for _, list := range w.lists {
-		if hasVersion && list.version > asked {
+	for _, list := range env.published {
+		if hasVersion && list.version > polledVersion {
 			return list.text, true
 		}
 	}
 	return "", false
 }
 
-// A list that the process before has been told is told to the next one, too, which asks from the same version.
-func TestAgentAnswersEachProcess(t *testing.T) {
-	w := newWorld(t)
-	w.changes <- `{"seq":2,"whole":false,"hosts":[]}`
-	for process := range 2 {
-		resp, err := http.Get(w.agent.URL + "/v2/registry?index=1&wait=1")
+// The stand-in agent returns a list to each incarnation that polls from the same version, not only to the first.
+func TestAgentRespondsToEachIncarnation(t *testing.T) {
+	env := newTestEnv(t)
+	env.updates <- `{"seq":2,"whole":false,"hosts":[]}`
+	for incarnation := range 2 {
+		resp, err := http.Get(env.agent.URL + "/v2/registry?index=1&wait=1")
 		if err != nil {
 			t.Fatal(err)
 		}
 		text, err := io.ReadAll(resp.Body)
 		_ = resp.Body.Close()
 		if err != nil || !strings.Contains(string(text), `"seq":2`) {
-			t.Fatalf("process %d was told %q, %v", process, text, err)
+			t.Fatalf("incarnation %d received %q, %v", incarnation, text, err)
 		}
 	}
 }
 
-// An agent's answer that tells of a drain ends at any of its bytes, with the connection or with the process: the sender
-// learns of it by its next poll, and sends the drained endpoint nothing.
-func TestDrainThatIsCutShort(t *testing.T) {
+// A response with a draining endpoint is truncated at any byte, by the end of the connection or of the sender's
+// process. The sender must receive the change by its next poll and send the endpoint no new attempts.
+func TestTruncatedDrainUpdate(t *testing.T) {
 	for _, killed := range []bool{false, true} {
-		for cut := 0; cut < 420; cut += 30 {
-			t.Run(fmt.Sprintf("killed %v, byte %d", killed, cut), func(t *testing.T) {
+		for truncateAt := 0; truncateAt < 420; truncateAt += 30 {
+			t.Run(fmt.Sprintf("killed %v, byte %d", killed, truncateAt), func(t *testing.T) {
 				t.Parallel()
-				drainCutShort(t, cut, killed)
+				testTruncatedDrain(t, truncateAt, killed)
 			})
 		}
 	}
 }
 
-func drainCutShort(t *testing.T, cut int, killed bool) {
+func testTruncatedDrain(t *testing.T, truncateAt int, killed bool) {
 	t.Helper()
-	w := newWorld(t)
-	hang := make(chan bool)
-	w.answer = func(http.ResponseWriter, *http.Request, string) { <-hang }
-	other := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { w.calls <- r }))
+	env := newTestEnv(t)
+	blocked := make(chan bool)
+	env.respond = func(http.ResponseWriter, *http.Request, string) { <-blocked }
+	other := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { env.calls <- r }))
 	defer other.Close()
-	addr, kill := w.start()
-	w.submit(addr, "first", "safe", "50000")
-	wait(t, w.calls)
-	news := fmt.Sprintf(`{"seq":2,"whole":false,"hosts":[{"host":"e1","block":7,"class":"k","health":"leaving",`+
-		`"dial":%q},{"host":"e2","block":7,"class":"k","health":"active","dial":%q}]}`, w.dial, other.Listener.Addr())
-	w.cutNext = make(chan int, 1)
-	w.cutNext <- cut
-	w.changes <- news
-	if wait(t, w.wasCut); killed {
+	addr, kill := env.startSender()
+	env.submit(addr, "first", "safe", "50000")
+	receive(t, env.calls)
+	update := fmt.Sprintf(`{"seq":2,"whole":false,"hosts":[{"host":"e1","block":7,"class":"k","health":"leaving",`+
+		`"dial":%q},{"host":"e2","block":7,"class":"k","health":"active","dial":%q}]}`,
+		env.endpointAddr, other.Listener.Addr())
+	env.truncateNext = make(chan int, 1)
+	env.truncateNext <- truncateAt
+	env.updates <- update
+	if receive(t, env.truncated); killed {
 		kill()
-		w.age = time.Hour
-		addr, _ = w.start()
+		env.listAge = time.Hour
+		addr, _ = env.startSender()
 	} else {
-		for wait(t, w.asked) != "2" { // it has been told
+		for receive(t, env.polledVersions) != "2" { // until it has applied the update
 		}
 	}
-	close(hang)
-	w.submit(addr, "second", "safe", "50000")
+	close(blocked)
+	env.submit(addr, "second", "safe", "50000")
 	for {
-		if r := wait(t, w.calls); r.Header.Get("Req-Id") == "second" {
-			if r.Host == w.dial {
-				t.Fatal("sent to an endpoint that wants nothing new")
+		if r := receive(t, env.calls); r.Header.Get("Req-Id") == "second" {
+			if r.Host == env.endpointAddr {
+				t.Fatal("sent to a draining endpoint")
 			}
 			return
 		}
--- a/internal/net/platform/call.go
+++ b/internal/net/platform/call.go
@@ -16,17 +16,17 @@
 // minTimeoutUs is the shortest timeout of a call, in microseconds.
 const minTimeoutUs = 1000
 
-// A response that has arrived by the time its call is aborted counts, and may carry a Retry-After:
-// the abort is put off, at most maxExtensions times, until it is read.
+// A response that has arrived when its call is aborted still counts, and may carry a Retry-After. The
+// abort is therefore delayed by abortDelay, at most maxAbortDelays times, until the response was read.
 const (
-	maxExtensions = 40
-	extensionTime = time.Millisecond
+	maxAbortDelays = 40
+	abortDelay     = time.Millisecond
 )
 
-// errNoDescriptor ends a call for which there is no descriptor within the budget.
-var errNoDescriptor = errors.New("platform: no descriptor is left for targets")
+// errNoDescriptor ends a call whose connection would exceed the descriptor budget for endpoints.
+var errNoDescriptor = errors.New("platform: the descriptor budget for endpoint connections is used up")
 
-// call is one HTTP request in flight, with one attempt or a bundle of them.
+// call is one HTTP request in flight. It carries one attempt, or several as a bundle.
 type call struct {
 	egress    *Egress
 	route     sender.Route
@@ -34,14 +34,14 @@
 	admission admission.Attempt
 	link      *link
 
-	timer        timers.Timer   // the call's timeout
-	abortOutcome sender.Outcome // reported if the call is aborted
-	extensions   int            // how often an abort may still be put off
-	canceled     []string       // IDs of canceled attempts
+	timer        timers.Timer   // fires at the call's timeout
+	abortOutcome sender.Outcome // the outcome to report if the call is aborted
+	abortDelays  int            // how many times an abort may still be delayed
+	canceled     []string       // message IDs of canceled attempts
 }
 
-// admit tells whether the call may be written now. A response of the same route that has arrived
-// but was not read yet may carry a Retry-After: it is read first.
+// admit returns nil if the call may be written now. It returns errUnread while a response of the same
+// route has arrived but was not read, since that response may carry a Retry-After.
 func (c *call) admit() error {
 	failpoint.Reach(failpoint.AttemptJudged)
 	if c.egress.Gate.Admit(c.admission, c.egress.core.Now()) != admission.Admitted {
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// request returns the pieces of the HTTP request, to be written one after the other.
-func (c *call) request(limitUs int64) [][]byte {
+// request returns the HTTP request as pieces that are written one after the other.
+func (c *call) request(timeoutUs int64) [][]byte {
 	head := make([]byte, 0, 256)
 	if len(c.attempts) == 1 {
 		attempt := c.attempts[0]
@@ -71,7 +71,7 @@
 			head = append(head, "\r\nIdempotency-Key: "...)
 			head = append(head, attempt.Key...)
 		}
-		return [][]byte{appendCommonHeaders(head, limitUs, len(attempt.Body)), attempt.Body}
+		return [][]byte{appendCommonHeaders(head, timeoutUs, len(attempt.Body)), attempt.Body}
 	}
 	head = append(head, "POST /events/bundle HTTP/1.1\r\nHost: "...)
 	head = append(head, c.route.Dial...)
@@ -85,59 +85,59 @@
 		pieces = append(pieces, line, attempt.Body, crlf)
 		size += len(line) + len(attempt.Body) + len(crlf)
 	}
-	pieces[0] = appendCommonHeaders(head, limitUs, size)
+	pieces[0] = appendCommonHeaders(head, timeoutUs, size)
 	return pieces
 }
 
 var crlf = []byte("\r\n")
 
-// appendCommonHeaders ends a request's head with the headers that both kinds of request have.
-func appendCommonHeaders(head []byte, limitUs int64, size int) []byte {
+// appendCommonHeaders appends the headers that single and bundled requests share, and ends the head.
+func appendCommonHeaders(head []byte, timeoutUs int64, size int) []byte {
 	head = append(head, "\r\nReq-Deadline-Ms: "...)
-	head = strconv.AppendInt(head, max(1, limitUs/1000), 10)
+	head = strconv.AppendInt(head, max(1, timeoutUs/1000), 10)
 	head = append(head, "\r\nContent-Length: "...)
 	head = strconv.AppendInt(head, int64(size), 10)
 	return append(head, "\r\n\r\n"...)
 }
 
-// abort ends the call with an outcome, unless its response is about to be read.
+// abort ends the call with an outcome. It is delayed while the call's response has arrived unread.
 func (c *call) abort(outcome sender.Outcome) {
 	if c.egress.calls[c.attempts[0].ID] != c {
 		return
 	}
-	if c.link.requestStarted && c.extensions > 0 && c.link.conn.Unread() {
-		c.extensions--
-		c.egress.reactor.Arm(&c.timer, extensionTime, 0, timers.Func(func() { c.abort(outcome) }))
+	if c.link.requestStarted && c.abortDelays > 0 && c.link.conn.Unread() {
+		c.abortDelays--
+		c.egress.reactor.Arm(&c.timer, abortDelay, 0, timers.Func(func() { c.abort(outcome) }))
 		return
 	}
 	c.abortOutcome = outcome
 	c.link.abort()
 }
 
-// finish reports the results of the call's attempts. The response is not nil with an error, too,
-// if there was a connection; it then holds what was parsed.
+// finish reports the results of the call's attempts and releases its link if that can be reused. With
+// an error, response holds what was parsed before it, or is nil if there was no connection.
 func (c *call) finish(response *http1.Response, err error) {
 	c.egress.reactor.Disarm(&c.timer)
 	for _, attempt := range c.attempts {
 		delete(c.egress.calls, attempt.ID)
 	}
 	if c.link.connected {
-		c.egress.paths.reset(c.route.Addr)
+		c.egress.pathFailures.reset(c.route.Addr)
 	}
 	var (
-		shared      sender.AttemptResult // what all attempts of the call have in common
-		bundleLines map[string]string
+		shared         sender.AttemptResult // the fields that are equal for all attempts
+		bundleStatuses map[string]string    // by message ID; nil unless the response lists them
 	)
 	if err != nil {
 		shared = c.failedResult(response, err)
 	} else {
 		shared = c.parseResponse(response)
 		if response.Status == statusOK && len(c.attempts) > 1 {
-			bundleLines = c.parseBundle(response.Body, response.Ended)
+			bundleStatuses = c.parseBundle(response.Body, response.Ended)
 		}
 	}
 	c.egress.applyRetryAfter(c.route, shared)
-	c.egress.core.ReportAttempts(c.attemptResults(shared, bundleLines)...)
+	c.egress.core.ReportAttempts(c.attemptResults(shared, bundleStatuses)...)
 
 	unused := errors.Is(err, errNotAdmitted) && !c.link.requestStarted
 	if unused || err == nil && !response.Close {
@@ -146,7 +146,7 @@
 	}
 }
 
-// failedResult is the result of a call that ended with an error. A Retry-After in the head of its
+// failedResult returns the result of a call that ended with an error. A Retry-After in the head of its
 // response applies even if the rest of the response did not arrive.
 func (c *call) failedResult(response *http1.Response, err error) sender.AttemptResult {
 	result := sender.AttemptResult{Endpoint: c.route.Addr, Outcome: c.failedOutcome(response, err)}
@@ -156,35 +156,36 @@
 	return result
 }
 
+// failedOutcome returns the outcome of a call that ended with an error.
 func (c *call) failedOutcome(response *http1.Response, err error) sender.Outcome {
 	switch {
-	case !c.link.sent(): // nothing has run: the connection is closed and the request incomplete
+	case !c.link.sent(): // the endpoint cannot have run an incomplete request
 		if c.endpointBlameless(err) {
 			return sender.OutcomeNotSent
 		}
 		return sender.OutcomeConnectFailed
 	case response != nil && response.Status == statusOK && len(c.attempts) == 1:
-		return sender.OutcomeSuccess // the status line is enough
+		return sender.OutcomeSuccess // the status line suffices
 	case errors.Is(err, errAborted):
 		return c.abortOutcome
 	case errors.Is(err, http1.ErrHead), errors.Is(err, http1.ErrBody), errors.Is(err, errStalled):
-		return sender.OutcomeFailed // malformed: it may have run, and the connection is not to blame
+		return sender.OutcomeFailed // a malformed response: it may have run, and the connection did not fail
 	default:
 		return sender.OutcomeReset
 	}
 }
 
-// attemptResults gives each attempt its result: the shared one, or for a bundle (bundleLines not
-// nil) the outcome that the response has for it.
+// attemptResults returns the result of each attempt: the shared result, with the outcome that
+// bundleStatuses has for the attempt unless that is nil.
 func (c *call) attemptResults(
-	shared sender.AttemptResult, bundleLines map[string]string,
+	shared sender.AttemptResult, bundleStatuses map[string]string,
 ) []sender.AttemptResult {
 	results := make([]sender.AttemptResult, 0, len(c.attempts))
 	for _, attempt := range c.attempts {
 		result := shared
 		result.ID, result.Attempt = attempt.ID, attempt.Number
-		if bundleLines != nil {
-			result.Outcome, result.Final = bundleOutcome(bundleLines[attempt.ID])
+		if bundleStatuses != nil {
+			result.Outcome, result.Final = bundleOutcome(bundleStatuses[attempt.ID])
 			if result.Outcome == "" {
 				result.Outcome = sender.OutcomeFailed // malformed response
 			}
@@ -194,8 +195,8 @@
 	return results
 }
 
-// endpointBlameless tells whether the failure of a call that was not sent says nothing about its
-// endpoint. A missing network path is counted.
+// endpointBlameless reports whether a call that was not sent failed for a reason that proves nothing
+// about its endpoint. It counts failures by a missing network path.
 func (c *call) endpointBlameless(err error) bool {
 	if errors.Is(err, errNoDescriptor) || errors.Is(err, errNotAdmitted) {
 		return true
@@ -207,7 +208,7 @@
 	case failure.Machine:
 		return true
 	case failure.Path:
-		return c.egress.paths.failed(c.route.Addr)
+		return c.egress.pathFailures.record(c.route.Addr)
 	default:
 		return false
 	}
--- a/internal/net/platform/client.go
+++ b/internal/net/platform/client.go
@@ -12,46 +12,48 @@
 	"brackendale/sender"
 )
 
-// maxPendingReplies is the limit of one connection's commands without a reply. Clients that behave
-// have one; a connection with more is refused.
+// maxPendingReplies limits the commands of one connection that have no reply yet. Well-behaved clients
+// have one; a connection that exceeds the limit gets an error and is closed.
 const maxPendingReplies = 16
 
-// client is one client's connection. Replies leave in the order of the commands.
+// client is the connection of one RESP client. Replies are written in the order of the commands.
 type client struct {
 	conntable.Entry
-	ingress   *Ingress
-	conn      *reactor.Conn
-	buffer    partial.Buffer // the bytes of a partial command
-	replies   []*reply       // not written yet, in the order of their commands
-	closing   bool           // no more commands are read
-	hasSpoken bool           // a whole command has come
+	ingress        *Ingress
+	conn           *reactor.Conn
+	buffer         partial.Buffer // an incomplete command
+	replies        []*reply       // pending replies, in the order of their commands
+	closing        bool           // received data is ignored from here on
+	hasSentCommand bool           // at least one complete command was received
 }
 
 // reply is the reply to one command.
 type reply struct {
 	client        *client
-	text          []byte          // nil until it is known
+	text          []byte          // nil until the verdict is known
 	request       *sender.Request // nil unless the command is a valid SUBMIT
-	withdrawnText []byte          // the text if the request could be withdrawn
+	withdrawnText []byte          // replaces the text of Failed if the request was withdrawn
 }
 
-// Up is not used: the client speaks first.
+// Up does nothing: the client sends the first bytes.
 func (cl *client) Up(*reactor.Conn) {}
 
-// Quiet tells whether everything received was handled.
-func (cl *client) Quiet() bool { return cl.conn.Quiet() }
+// hasHandledAll reports whether everything that the client has sent, its close included, was handled.
+func (cl *client) hasHandledAll() bool { return cl.conn.Quiet() }
 
-// MarkArrived marks what the peer has sent until now.
+// MarkArrived marks the end of the data that has arrived from the client.
 func (cl *client) MarkArrived() (known bool) { return cl.conn.MarkArrived() }
 
-// MarkHandled tells whether all before the mark was handled.
+// MarkHandled reports whether all data before the mark was handled.
 func (cl *client) MarkHandled() bool { return cl.conn.MarkHandled() }
 
+// isIdle reports whether there is no pending reply, no partial command and nothing unread.
 func (cl *client) isIdle() bool {
-	return len(cl.replies) == 0 && cl.buffer.Len() == 0 && cl.Quiet()
+	return len(cl.replies) == 0 && cl.buffer.Len() == 0 && cl.hasHandledAll()
 }
 
-// Evict closes the connection, which was removed from its table.
+// Evict closes the connection, which was removed from its table. A timeout within a command gets an error
+// reply.
 func (cl *client) Evict(reason conntable.Reason) {
 	if cl.buffer.Len() > 0 && (reason == conntable.Slow || reason == conntable.Silent) {
 		cl.refuse(errCommandTimeout)
@@ -65,7 +67,7 @@
 	cl.conn.CloseGracefully()
 }
 
-// Data handles the commands that are whole.
+// Data executes the complete commands and buffers a partial one.
 func (cl *client) Data(_ *reactor.Conn, data []byte) {
 	if cl.closing {
 		return
@@ -74,7 +76,7 @@
 	startsCommand := cl.buffer.Len() == 0
 	data = cl.buffer.Append(data)
 	for len(data) > 0 && !cl.closing {
-		words, size, err := resp.Parse(data, in.words)
+		elements, size, err := resp.Parse(data, in.elements)
 		if err == nil && len(cl.replies) >= maxPendingReplies {
 			err = resp.ErrTooLong
 		}
@@ -85,8 +87,8 @@
 		if size == 0 {
 			break
 		}
-		in.words, cl.hasSpoken = words, true
-		cl.execute(words)
+		in.elements, cl.hasSentCommand = elements, true
+		cl.execute(elements)
 		data = data[size:]
 		startsCommand = true
 	}
@@ -101,13 +103,13 @@
 	}
 }
 
-// updateClass tells the connection table what the connection does now.
+// updateClass updates the connection's class in the connection table.
 func (cl *client) updateClass() {
 	class := conntable.Idle
 	switch {
 	case len(cl.replies) > 0:
 		class = conntable.Busy
-	case !cl.hasSpoken:
+	case !cl.hasSentCommand:
 		class = conntable.Fresh
 	case cl.buffer.Len() > 0:
 		class = conntable.Partial
@@ -115,7 +117,7 @@
 	cl.ingress.table.Move(&cl.Entry, class, cl.ingress.reactor.Now())
 }
 
-// Down forgets the client and withdraws its requests that have no verdict.
+// Down removes the client from the connection table and withdraws its requests that have no verdict.
 func (cl *client) Down(*reactor.Conn, error) {
 	cl.closing = true
 	cl.ingress.table.Remove(&cl.Entry)
@@ -128,13 +130,14 @@
 	cl.replies = nil
 }
 
+// reply queues a reply.
 func (cl *client) reply(text string) {
 	cl.replies = append(cl.replies, &reply{client: cl, text: []byte(text)})
 }
 
-// refuse replies with an error to a command that cannot be read, and closes the connection after
-// all pending replies. Requests that came in the same read are not submitted; pending ones are
-// withdrawn if they still can be.
+// refuse replies with an error to a malformed or overdue command, and closes the connection after all
+// pending replies. Requests of the same read are not submitted; those submitted before are withdrawn
+// if they still can be.
 func (cl *client) refuse(err error) {
 	text := "-" + err.Error() + "\r\n"
 	in := cl.ingress
@@ -157,8 +160,8 @@
 	cl.flush()
 }
 
-// close closes a connection without pending replies. It no longer counts against the limit, and
-// what still arrives is not read: the client repeats it on another connection.
+// close closes a connection without pending replies. It no longer counts against the connection limit.
+// Commands that still arrive are ignored; the client repeats them on another connection.
 func (cl *client) close() {
 	cl.closing = true
 	cl.ingress.table.Remove(&cl.Entry)
@@ -166,18 +169,18 @@
 	cl.conn.CloseGracefully()
 }
 
-// execute handles one command: its reply is queued, and for SUBMIT its request, too.
-func (cl *client) execute(words [][]byte) {
-	name, args := words[0], words[1:]
+// execute executes one command: it queues the reply, and for SUBMIT also the request.
+func (cl *client) execute(elements [][]byte) {
+	name, args := elements[0], elements[1:]
 	switch {
 	case bytes.EqualFold(name, []byte("PING")) && len(args) == 0:
 		cl.reply("+PONG\r\n")
 	case bytes.EqualFold(name, []byte("PING")) && len(args) == 1:
 		cl.reply("$" + strconv.Itoa(len(args[0])) + "\r\n" + string(args[0]) + "\r\n")
 	case bytes.EqualFold(name, []byte("SUBMIT")):
-		request, fault := cl.ingress.parseSubmit(args)
-		if fault != "" {
-			cl.reply("-ERR " + fault + "\r\n")
+		request, errorText := cl.ingress.parseSubmit(args)
+		if errorText != "" {
+			cl.reply("-ERR " + errorText + "\r\n")
 			return
 		}
 		pending := &reply{client: cl, request: request}
@@ -189,8 +192,8 @@
 	}
 }
 
-// flush writes the replies that are due in one gathered write, and closes the connection if it is
-// to be closed after them. It tells whether it has brought the connection table up to date.
+// flush writes the replies that are ready in one gathered write, and then closes the connection if that
+// is requested. It reports whether it has updated the connection table.
 func (cl *client) flush() bool {
 	pending := len(cl.replies)
 	due := 0
--- a/internal/net/platform/close_test.go
+++ b/internal/net/platform/close_test.go
@@ -10,159 +10,162 @@
 	"brackendale/internal/net/conntable"
 )
 
-// command words a SUBMIT.
-func command(id string) string {
+// submitCommand returns the bytes of a SUBMIT command.
+func submitCommand(id string) string {
 	var text strings.Builder
 	text.WriteString("*5\r\n")
-	for _, w := range []string{"SUBMIT", "0", id, "c=once,t=x,d=9000,dest=7", "charge"} {
-		fmt.Fprintf(&text, "$%d\r\n%s\r\n", len(w), w)
+	for _, element := range []string{"SUBMIT", "0", id, "c=once,t=x,d=9000,dest=7", "charge"} {
+		fmt.Fprintf(&text, "$%d\r\n%s\r\n", len(element), element)
 	}
 	return text.String()
 }
 
-// taken returns how many messages the sender has accepted.
-func (w *world) taken() uint64 {
-	n := make(chan uint64, 1)
-	w.core.Post(func() { n <- w.core.State().Accepted })
-	return wait(w.t, n)
+// acceptedCount returns the number of messages that the sender has accepted.
+func (env *testEnv) acceptedCount() uint64 {
+	count := make(chan uint64, 1)
+	env.core.Post(func() { count <- env.core.State().Accepted })
+	return receive(env.t, count)
 }
 
-// Each thing that may come on a client's connection in the instant in which the shutdown ends it:
-// between the decision and the socket's end. The client reads what it was answered before and then
-// the end, never a reset; nothing that came is taken on.
-func TestBytesCrossTheEndOfAConnection(t *testing.T) {
-	for name, x := range map[string]struct{ before, cross, want string }{
+// Data arrives on a client's connection between the decision to close it at the shutdown and the close of
+// its socket. The client must read its earlier replies and then the connection's end, never a reset, and
+// no message that arrived then is accepted.
+func TestBytesArriveDuringShutdownClose(t *testing.T) {
+	for name, test := range map[string]struct{ before, duringClose, want string }{
 		"nothing, on one that rests":             {"", "", ""},
-		"a request, on one that rests":           {"", command("late"), ""},
-		"half a request, on one that rests":      {"", command("late")[:20], ""},
-		"many requests, on one that rests":       {"", strings.Repeat(command("late"), 40), ""},
-		"a request, on one that was just used":   {"*1\r\n$4\r\nPING\r\n", command("late"), "+PONG\r\n"},
+		"a request, on one that rests":           {"", submitCommand("late"), ""},
+		"half a request, on one that rests":      {"", submitCommand("late")[:20], ""},
+		"many requests, on one that rests":       {"", strings.Repeat(submitCommand("late"), 40), ""},
+		"a request, on one that was just used":   {"*1\r\n$4\r\nPING\r\n", submitCommand("late"), "+PONG\r\n"},
 		"noise, on one that was just used":       {"*1\r\n$4\r\nPING\r\n", "\x00\xff\r\n", "+PONG\r\n"},
-		"the rest of a command that was begun":   {command("late")[:30], command("late")[30:], ""},
+		"the rest of a command that was begun":   {submitCommand("late")[:30], submitCommand("late")[30:], ""},
 		"a flood, on one that was just answered": {"*1\r\n$4\r\nPING\r\n", strings.Repeat("x", 100_000), "+PONG\r\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t)
-			w.answer = ok
-			addr, _ := w.start()
-			c := dialRaw(t, addr)
+			env := newTestEnv(t)
+			env.respond = respondOK
+			addr, _ := env.startSender()
+			c := dialClient(t, addr)
 			c.ping()
-			_, _ = io.WriteString(c, x.before)
-			if x.want != "" {
-				if got, err := c.line(); got+"\r\n" != x.want {
+			_, _ = io.WriteString(c, test.before)
+			if test.want != "" {
+				if got, err := c.readLine(); got+"\r\n" != test.want {
 					t.Fatal(got, err)
 				}
 			}
-			for seen := x.before == "" || x.want != ""; !seen; { // half a command has been read
+			for partial := test.before == "" || test.want != ""; !partial; { // until the partial command was read
 				done := make(chan bool)
-				w.r.Post(func() { seen = w.in.table.Stats().Doing["partial"] == 1; close(done) })
+				env.eventLoop.Post(func() { partial = env.ingress.table.Stats().Doing["partial"] == 1; close(done) })
 				<-done
 			}
-			undo := failpoint.SetHook(func(p failpoint.Point) {
-				if p == failpoint.CloseDecided {
-					_, _ = io.WriteString(c, x.cross)
+			undo := failpoint.SetHook(func(point failpoint.Point) {
+				if point == failpoint.CloseDecided {
+					_, _ = io.WriteString(c, test.duringClose)
 				}
 			})
 			done := make(chan bool)
-			w.r.Post(func() { w.r.AllowAllGracefulCloses(); w.in.CloseIdle(); close(done) })
+			env.eventLoop.Post(func() { env.eventLoop.AllowAllGracefulCloses(); env.ingress.CloseIdle(); close(done) })
 			<-done
 			undo()
-			rest, err := io.ReadAll(c.in)
+			rest, err := io.ReadAll(c.reader)
 			if len(rest) > 0 || err != nil {
 				t.Errorf("%q, %v", rest, err)
 			}
-			if n := w.taken(); n != 0 || len(w.calls) > 0 {
-				t.Errorf("%d taken on, %d sent", n, len(w.calls))
+			if accepted := env.acceptedCount(); accepted != 0 || len(env.calls) > 0 {
+				t.Errorf("%d accepted, %d sent", accepted, len(env.calls))
 			}
 		})
 	}
 }
 
-// A connection whose answers are under way at the shutdown gets them, and then its end; what comes
-// behind is not read.
-func TestAnswerIsDueWhenTheShutdownComes(t *testing.T) {
-	w := newWorld(t)
-	w.answer = ok
-	addr, _ := w.start()
-	c := dialRaw(t, addr)
+// A connection with pending replies at the shutdown gets them before its end. Commands that arrive
+// afterwards are ignored.
+func TestPendingReplyAtShutdown(t *testing.T) {
+	env := newTestEnv(t)
+	env.respond = respondOK
+	addr, _ := env.startSender()
+	c := dialClient(t, addr)
 	c.ping()
 	release := make(chan bool)
-	undo := failpoint.SetHook(func(p failpoint.Point) {
-		if p == failpoint.StepDecided { // its answer is decided and not written
+	undo := failpoint.SetHook(func(point failpoint.Point) {
+		if point == failpoint.StepDecided { // the verdict is decided and the reply not written
 			<-release
 		}
 	})
 	defer undo()
-	_, _ = io.WriteString(c, command("m1"))
-	for waits := false; !waits; {
+	_, _ = io.WriteString(c, submitCommand("m1"))
+	for busy := false; !busy; {
 		done := make(chan bool)
-		w.r.Post(func() { waits = w.in.table.Stats().Doing["busy"] == 1; close(done) })
+		env.eventLoop.Post(func() { busy = env.ingress.table.Stats().Doing["busy"] == 1; close(done) })
 		<-done
 	}
 	done := make(chan bool)
-	w.r.Post(func() { w.r.AllowAllGracefulCloses(); w.in.CloseIdle(); close(done) })
+	env.eventLoop.Post(func() { env.eventLoop.AllowAllGracefulCloses(); env.ingress.CloseIdle(); close(done) })
 	<-done
-	_, _ = io.WriteString(c, command("m2"))
+	_, _ = io.WriteString(c, submitCommand("m2"))
 	close(release)
-	got, err := io.ReadAll(c.in)
+	got, err := io.ReadAll(c.reader)
 	if string(got) != "+OK\r\n" || err != nil {
 		t.Errorf("%q, %v", got, err)
 	}
-	if n := w.taken(); n != 1 {
-		t.Errorf("%d taken on", n)
+	if accepted := env.acceptedCount(); accepted != 1 {
+		t.Errorf("%d accepted", accepted)
 	}
 }
 
-// A flood that is refused hears why, behind the answers to what came before it, though it goes on.
-func TestRefusedFloodHearsItsAnswers(t *testing.T) {
-	w := newWorld(t)
-	w.answer = ok
-	addr, _ := w.start()
-	c := dialRaw(t, addr)
+// A client that floods its connection with malformed data reads the replies to its earlier commands and
+// then the error, although it goes on sending.
+func TestRejectedFloodGetsReplies(t *testing.T) {
+	env := newTestEnv(t)
+	env.respond = respondOK
+	addr, _ := env.startSender()
+	c := dialClient(t, addr)
 	c.ping()
-	w.held(func() { // all of it lies unread
+	env.withLoopPaused(func() { // all of it is unread
 		_, _ = io.WriteString(c, "*1\r\n$4\r\nPING\r\nnonsense"+strings.Repeat("z", 200_000))
 	})
-	got, err := io.ReadAll(c.in)
+	got, err := io.ReadAll(c.reader)
 	if !strings.HasPrefix(string(got), "+PONG\r\n-ERR") || strings.Count(string(got), "\n") != 2 || err != nil {
 		t.Errorf("%q, %v", got, err)
 	}
-	if n := w.taken(); n != 0 {
-		t.Errorf("%d taken on", n)
+	if accepted := env.acceptedCount(); accepted != 0 {
+		t.Errorf("%d accepted", accepted)
 	}
 }
 
-// A new connection is not retired while its first command may be on its way: the command would be lost. It is once it
-// has been silent for long, or idle behind a command.
+// A new connection is not retired while its first command may be in transit, since the command would be lost. It is
+// retired after newConnectionGrace without a command, or when it is idle after a command.
 func TestRetireLeavesNewConnections(t *testing.T) {
-	w := newWorld(t)
-	addr, _ := w.start()
-	retire := func() (left int) {
+	env := newTestEnv(t)
+	addr, _ := env.startSender()
+	retire := func() (remaining int) {
 		done := make(chan bool)
-		w.r.Post(func() { left = w.in.Retire(); close(done) })
+		env.eventLoop.Post(func() { remaining = env.ingress.Retire(); close(done) })
 		<-done
-		return left
+		return remaining
 	}
-	admitted := func(n int) {
-		for open := -1; open != n; {
-			w.held(func() { open = w.in.table.Len() })
+	waitForClients := func(count int) {
+		for open := -1; open != count; {
+			env.withLoopPaused(func() { open = env.ingress.table.Len() })
 		}
 	}
-	c := dialRaw(t, addr)
-	admitted(1)
-	if left := retire(); left != 1 {
-		t.Fatal(left, "are left of a new connection")
+	c := dialClient(t, addr)
+	waitForClients(1)
+	if remaining := retire(); remaining != 1 {
+		t.Fatal(remaining, "connections remain, want the new one")
 	}
 	c.ping()
-	if left := retire(); left != 0 {
-		t.Fatal(left, "are left that were idle behind a command")
+	if remaining := retire(); remaining != 0 {
+		t.Fatal(remaining, "connections remain that are idle after a command")
 	}
-	dialRaw(t, addr)
-	admitted(1)
-	w.held(func() {
-		w.in.table.Each(func(e *conntable.Entry) { w.in.table.Move(e, conntable.Fresh, w.r.Now()-firstCommandTime) })
+	dialClient(t, addr)
+	waitForClients(1)
+	env.withLoopPaused(func() {
+		env.ingress.table.Each(func(entry *conntable.Entry) {
+			env.ingress.table.Move(entry, conntable.Fresh, env.eventLoop.Now()-newConnectionGrace)
+		})
 	})
-	if left := retire(); left != 0 {
-		t.Fatal(left, "are left of a silent connection")
+	if remaining := retire(); remaining != 0 {
+		t.Fatal(remaining, "connections remain that sent no command in time")
 	}
 }
--- a/internal/net/platform/crossing_test.go
+++ b/internal/net/platform/crossing_test.go
@@ -21,62 +21,67 @@
 	"brackendale/sender"
 )
 
-// retryAfterResponse is a refusal with a Retry-After that is longer than any test lasts.
+// retryAfterResponse is a rejection with a Retry-After that is longer than any test.
 const retryAfterResponse = "HTTP/1.1 429 R\r\nX-Backoff-Ms: 3600000\r\nContent-Length: 0\r\n\r\n"
 
-// script is an endpoint whose every word the test says: each request that is read whole is a turn.
-type script struct {
-	t     *testing.T
-	ln    net.Listener
-	turns chan *turn
-	conns chan net.Conn
+// scriptedServer is an HTTP server whose responses the test writes: it passes each complete request to the test.
+type scriptedServer struct {
+	t        *testing.T
+	listener net.Listener
+	requests chan *scriptedRequest
+	conns    chan net.Conn
 }
 
-type turn struct {
-	c    net.Conn
-	body string
-	path string
-	over chan bool // the next request of the connection is read once it is closed
+// scriptedRequest is a request to which the test must respond.
+type scriptedRequest struct {
+	conn      net.Conn
+	body      string
+	path      string
+	responded chan bool // closed with the response: the connection's next request is read from then on
 }
 
-// say writes the answer; it lies in the sender's socket when say returns, since this is loopback.
-func (u *turn) say(text string) { _, _ = io.WriteString(u.c, text); close(u.over) }
+// respond writes the response. On loopback, the data is in the sender's socket when respond returns.
+func (request *scriptedRequest) respond(text string) {
+	_, _ = io.WriteString(request.conn, text)
+	close(request.responded)
+}
 
-func newScript(t *testing.T) *script {
+func newScriptedServer(t *testing.T) *scriptedServer {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &script{t, ln, make(chan *turn, 100), make(chan net.Conn, 100)}
+	server := &scriptedServer{t, ln, make(chan *scriptedRequest, 100), make(chan net.Conn, 100)}
 	var mu sync.Mutex
-	var all []net.Conn
+	var accepted []net.Conn
 	t.Cleanup(func() {
 		ln.Close()
 		mu.Lock()
 		defer mu.Unlock()
-		for _, c := range all {
-			c.Close()
+		for _, conn := range accepted {
+			conn.Close()
 		}
 	})
 	go func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := ln.Accept()
 			if err != nil {
 				return
 			}
 			mu.Lock()
-			all = append(all, c)
+			accepted = append(accepted, conn)
 			mu.Unlock()
-			s.conns <- c
-			go s.serve(c)
+			server.conns <- conn
+			go server.serve(conn)
 		}
 	}()
-	return s
+	return server
 }
 
-func (s *script) serve(c net.Conn) {
-	for in := bufio.NewReader(c); ; {
-		r, err := http.ReadRequest(in)
+// serve reads the requests of one connection.
+func (server *scriptedServer) serve(conn net.Conn) {
+	for reader := bufio.NewReader(conn); ; {
+		r, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
@@ -84,225 +89,228 @@
 		if err != nil {
 			return
 		}
-		u := &turn{c, string(body), r.URL.RequestURI(), make(chan bool)}
-		s.turns <- u
-		<-u.over
+		request := &scriptedRequest{conn, string(body), r.URL.RequestURI(), make(chan bool)}
+		server.requests <- request
+		<-request.responded
 	}
 }
 
-// bench is an egress by itself, whose calls the test makes.
-type bench struct {
-	t    *testing.T
-	core *sender.Sender
-	r    *reactor.Reactor
-	e    *Egress
-	to   sender.Route
-	s    *script
+// egressHarness is an egress whose calls are made by the test and not by the core.
+type egressHarness struct {
+	t         *testing.T
+	core      *sender.Sender
+	eventLoop *reactor.Reactor
+	egress    *Egress
+	route     sender.Route
+	endpoint  *scriptedServer
 }
 
-func newBench(t *testing.T) *bench {
-	w := newWorld(t)
-	b := &bench{t: t, s: newScript(t)}
-	w.dial = b.s.ln.Addr().String()
-	w.start()
-	b.core, b.r, b.to = w.core, w.r, Routes(w.hosts("active"))[0]
-	b.do(func() {
-		b.e = NewEgress(b.core, b.r, standin.Settings(), conntable.NewRoom(100))
-		b.e.UpdateRoutes([]sender.Route{b.to})
+func newEgressHarness(t *testing.T) *egressHarness {
+	env := newTestEnv(t)
+	h := &egressHarness{t: t, endpoint: newScriptedServer(t)}
+	env.endpointAddr = h.endpoint.listener.Addr().String()
+	env.startSender()
+	h.core, h.eventLoop, h.route = env.core, env.eventLoop, Routes(env.endpointList("active"))[0]
+	h.runOnLoop(func() {
+		h.egress = NewEgress(h.core, h.eventLoop, standin.Settings(), conntable.NewRoom(100))
+		h.egress.UpdateRoutes([]sender.Route{h.route})
 	})
-	return b
+	return h
 }
 
-// do runs f on the loop.
-func (b *bench) do(f func()) {
-	b.t.Helper()
+// runOnLoop runs f on the event loop and waits for it.
+func (h *egressHarness) runOnLoop(f func()) {
+	h.t.Helper()
 	done := make(chan bool)
-	b.r.Post(func() { f(); close(done) })
-	wait(b.t, done)
+	h.eventLoop.Post(func() { f(); close(done) })
+	receive(h.t, done)
 }
 
-// until waits until f holds on the loop.
-func (b *bench) until(what string, f func() bool) {
-	b.t.Helper()
-	for end := time.Now().Add(standin.Long); ; time.Sleep(time.Millisecond) {
+// waitUntil waits until holds, called on the event loop, returns true.
+func (h *egressHarness) waitUntil(condition string, holds func() bool) {
+	h.t.Helper()
+	for deadline := time.Now().Add(standin.Long); ; time.Sleep(time.Millisecond) {
 		ok := false
-		if b.do(func() { ok = f() }); ok {
+		if h.runOnLoop(func() { ok = holds() }); ok {
 			return
 		}
-		if time.Now().After(end) {
-			b.t.Fatal("never: ", what)
+		if time.Now().After(deadline) {
+			h.t.Fatal("condition never held: ", condition)
 		}
 	}
 }
 
-func (b *bench) attempt(id string) []sender.Attempt {
-	return []sender.Attempt{{ID: id, Body: []byte("body " + id), TimeoutUs: 60e6, Deadline: b.core.Now() + 60e6}}
+// newAttempt returns an attempt with a timeout and a deadline of 60 s.
+func (h *egressHarness) newAttempt(id string) []sender.Attempt {
+	return []sender.Attempt{{ID: id, Body: []byte("body " + id), TimeoutUs: 60e6, Deadline: h.core.Now() + 60e6}}
 }
 
-// idle makes n idle connections.
-func (b *bench) idle(n int) {
-	b.t.Helper()
-	b.do(func() {
-		for i := range n {
-			b.e.Send(b.to, b.attempt(fmt.Sprint("warm", i)))
+// openIdleLinks opens count connections and waits until they are idle and reusable.
+func (h *egressHarness) openIdleLinks(count int) {
+	h.t.Helper()
+	h.runOnLoop(func() {
+		for i := range count {
+			h.egress.Send(h.route, h.newAttempt(fmt.Sprint("warm", i)))
 		}
 	})
-	var turns []*turn
-	for range n {
-		turns = append(turns, wait(b.t, b.s.turns))
+	var turns []*scriptedRequest
+	for range count {
+		turns = append(turns, receive(h.t, h.endpoint.requests))
 	}
-	for _, u := range turns {
-		u.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+	for _, request := range turns {
+		request.respond("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	}
-	b.until("all are idle", func() bool {
-		idle := b.e.idleLinks[b.to.Addr]
-		return len(idle) == n && b.e.reactor.Now()-idle[n-1].lastResponse > idleSettleTime
+	h.waitUntil("all are idle", func() bool {
+		idle := h.egress.idleLinks[h.route.Addr]
+		return len(idle) == count && h.egress.reactor.Now()-idle[count-1].lastResponse > idleSettleTime
 	})
 }
 
-// nothing tells that no further request has come, and that its connection could still bring one.
-func (b *bench) nothing(id string) {
-	b.t.Helper()
-	b.until(id+" has ended", func() bool { return b.e.calls[id] == nil })
+// expectNotWritten waits until the call has ended, and fails the test if the endpoint has received a request.
+func (h *egressHarness) expectNotWritten(id string) {
+	h.t.Helper()
+	h.waitUntil(id+" has ended", func() bool { return h.egress.calls[id] == nil })
 	select {
-	case u := <-b.s.turns:
-		b.t.Fatalf("%s was written: %q", id, u.body)
+	case request := <-h.endpoint.requests:
+		h.t.Fatalf("%s was written: %q", id, request.body)
 	default:
 	}
 }
 
-func (b *bench) hasRetryAfter() bool {
-	return b.e.Gate.Admit(admission.Attempt{Endpoint: b.to.Endpoint, Deadline: 1 << 62},
-		b.core.Now()) == admission.RetryAfterPending
+// hasRetryAfter reports whether a Retry-After forbids attempts to the route. It runs on the event loop.
+func (h *egressHarness) hasRetryAfter() bool {
+	return h.egress.Gate.Admit(admission.Attempt{Endpoint: h.route.Endpoint, Deadline: 1 << 62},
+		h.core.Now()) == admission.RetryAfterPending
 }
 
-// An attempt that was decided before a Retry-After came, and is handed over after it, finds an idle
-// connection: the check that one on a late connection goes through was not made for it.
-func TestWaitToldBeforeAnIdleConnectionIsUsed(t *testing.T) {
-	b := newBench(t)
-	b.idle(2)
-	b.do(func() { b.e.Send(b.to, b.attempt("a")) })
-	wait(t, b.s.turns).say(retryAfterResponse)
-	b.until("the wait is booked", b.hasRetryAfter)
-	b.do(func() { b.e.Send(b.to, b.attempt("b")) })
-	b.nothing("b")
+// An attempt that the core decided before a Retry-After arrived is sent to the egress after it and finds
+// an idle connection. The admission check once covered only new connections.
+func TestRetryAfterBeforeIdleConnectionReused(t *testing.T) {
+	h := newEgressHarness(t)
+	h.openIdleLinks(2)
+	h.runOnLoop(func() { h.egress.Send(h.route, h.newAttempt("a")) })
+	receive(t, h.endpoint.requests).respond(retryAfterResponse)
+	h.waitUntil("the Retry-After is recorded", h.hasRetryAfter)
+	h.runOnLoop(func() { h.egress.Send(h.route, h.newAttempt("b")) })
+	h.expectNotWritten("b")
 }
 
-// The answer that tells to wait lies in the socket, or has been read and not handled, when the next
-// attempt is about to be written: it is heard first. The loop stands still from before the answer
-// until the attempt is handed over.
-func TestWaitLiesUnreadWhenAnAttemptIsWritten(t *testing.T) {
-	b := newBench(t)
-	b.idle(2)
-	b.do(func() { b.e.Send(b.to, b.attempt("a")) })
-	u := wait(t, b.s.turns)
-	b.do(func() {
-		u.say(retryAfterResponse)
-		b.e.Send(b.to, b.attempt("b"))
+// A response with a Retry-After is in the socket, or was read but not handled, when the next attempt is
+// about to be written: it must be handled first. The event loop is paused from before the response until
+// the attempt is sent to the egress.
+func TestUnreadRetryAfterBeforeWrite(t *testing.T) {
+	h := newEgressHarness(t)
+	h.openIdleLinks(2)
+	h.runOnLoop(func() { h.egress.Send(h.route, h.newAttempt("a")) })
+	request := receive(t, h.endpoint.requests)
+	h.runOnLoop(func() {
+		request.respond(retryAfterResponse)
+		h.egress.Send(h.route, h.newAttempt("b"))
 	})
-	b.nothing("b")
-	if !b.hasRetryAfter() {
-		t.Error("no wait is booked")
+	h.expectNotWritten("b")
+	if !h.hasRetryAfter() {
+		t.Error("no Retry-After is recorded")
 	}
 }
 
-// The same for an attempt whose connection comes up while the answer is unread.
-func TestWaitLiesUnreadWhenAConnectionComesUp(t *testing.T) {
-	b := newBench(t)
-	b.idle(1)
-	b.do(func() { b.e.Send(b.to, b.attempt("a")) })
-	u := wait(t, b.s.turns)
-	wait(t, b.s.conns)
-	b.do(func() {
-		b.e.Send(b.to, b.attempt("b")) // dials
-		wait(t, b.s.conns)             // its connection is up, and the loop does not know yet
-		u.say(retryAfterResponse)
+// The same for an attempt whose connection is established while the response is unread.
+func TestUnreadRetryAfterWhenConnected(t *testing.T) {
+	h := newEgressHarness(t)
+	h.openIdleLinks(1)
+	h.runOnLoop(func() { h.egress.Send(h.route, h.newAttempt("a")) })
+	request := receive(t, h.endpoint.requests)
+	receive(t, h.endpoint.conns)
+	h.runOnLoop(func() {
+		h.egress.Send(h.route, h.newAttempt("b")) // starts to connect
+		receive(t, h.endpoint.conns)              // connected, but the event loop has not been notified
+		request.respond(retryAfterResponse)
 	})
-	b.nothing("b")
+	h.expectNotWritten("b")
 }
 
-// A call is given up, or called off, while its answer lies unread: what the answer tells counts.
-func TestWaitLiesUnreadWhenACallIsGivenUp(t *testing.T) {
-	for name, end := range map[string]func(*bench){
-		"called off": func(b *bench) { b.e.Cancel("a", 0) },
-		"timed out":  func(b *bench) { b.e.calls["a"].abort(sender.OutcomeTimedOut) },
+// A call times out or is canceled while its response is unread. The response's Retry-After must be applied.
+func TestUnreadRetryAfterWhenCallAborted(t *testing.T) {
+	for name, end := range map[string]func(*egressHarness){
+		"called off": func(h *egressHarness) { h.egress.Cancel("a", 0) },
+		"timed out":  func(h *egressHarness) { h.egress.calls["a"].abort(sender.OutcomeTimedOut) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t)
-			b.do(func() { b.e.Send(b.to, b.attempt("a")) })
-			u := wait(t, b.s.turns)
-			b.do(func() {
-				u.say(retryAfterResponse)
-				end(b)
+			h := newEgressHarness(t)
+			h.runOnLoop(func() { h.egress.Send(h.route, h.newAttempt("a")) })
+			request := receive(t, h.endpoint.requests)
+			h.runOnLoop(func() {
+				request.respond(retryAfterResponse)
+				end(h)
 			})
-			b.nothing("a")
-			if !b.hasRetryAfter() {
-				t.Error("the wait is lost")
+			h.expectNotWritten("a")
+			if !h.hasRetryAfter() {
+				t.Error("the Retry-After was lost")
 			}
 		})
 	}
 }
 
-// An answer is cut off at every byte, and its connection ended, or kept open until the call is
-// given up: a wait whose line is whole binds, and one whose line is not is none.
-func TestWaitInACutAnswer(t *testing.T) {
-	const text = "HTTP/1.1 503 Service\r\nX-Backoff-Ms: 3600000\r\nSrv-Load: x0=1\r\nContent-Length: 3\r\n\r\nabc"
-	line := strings.Index(text, "Srv-Load")
-	for _, ends := range []bool{true, false} {
-		b := newBench(t)
-		for n := range len(text) {
-			b.do(func() {
-				b.e.Gate = admission.New(standin.Settings())
-				b.e.UpdateRoutes([]sender.Route{b.to})
-				b.e.Send(b.to, b.attempt("a"))
+// A response is truncated at every byte, and its connection is closed or stays open until the call is
+// aborted. A Retry-After applies if and only if its line is complete.
+func TestRetryAfterInTruncatedResponse(t *testing.T) {
+	const response = "HTTP/1.1 503 Service\r\nX-Backoff-Ms: 3600000\r\nSrv-Load: x0=1\r\nContent-Length: 3\r\n\r\nabc"
+	retryAfterEnd := strings.Index(response, "Srv-Load")
+	for _, closed := range []bool{true, false} {
+		h := newEgressHarness(t)
+		for size := range len(response) {
+			h.runOnLoop(func() {
+				h.egress.Gate = admission.New(standin.Settings())
+				h.egress.UpdateRoutes([]sender.Route{h.route})
+				h.egress.Send(h.route, h.newAttempt("a"))
 			})
-			u := wait(t, b.s.turns)
-			u.say(text[:n])
-			if ends {
-				u.c.Close()
+			request := receive(t, h.endpoint.requests)
+			request.respond(response[:size])
+			if closed {
+				request.conn.Close()
 			} else {
-				b.do(func() { b.e.calls["a"].abort(sender.OutcomeTimedOut) })
+				h.runOnLoop(func() { h.egress.calls["a"].abort(sender.OutcomeTimedOut) })
 			}
-			b.until("it has ended", func() bool { return b.e.calls["a"] == nil })
-			if got := b.sawRetryAfter(); got != (n >= line) {
-				t.Errorf("connection ended %v, cut after %q: Retry-After %v", ends, text[:n], got)
+			h.waitUntil("it has ended", func() bool { return h.egress.calls["a"] == nil })
+			if got := h.hasRetryAfterOnLoop(); got != (size >= retryAfterEnd) {
+				t.Errorf("connection closed %v, truncated after %q: Retry-After %v", closed, response[:size], got)
 			}
 		}
 	}
 }
 
-func (b *bench) sawRetryAfter() (is bool) {
-	b.do(func() { is = b.hasRetryAfter() })
-	return is
+// hasRetryAfterOnLoop calls hasRetryAfter on the event loop.
+func (h *egressHarness) hasRetryAfterOnLoop() (pending bool) {
+	h.runOnLoop(func() { pending = h.hasRetryAfter() })
+	return pending
 }
 
-// narrow gives this process's sockets to a peer the least room for what waits to be sent.
-func narrow(to net.Addr) {
+// minimizeSendBuffer sets the smallest send buffer for this process's sockets to a peer.
+func minimizeSendBuffer(peer net.Addr) {
 	for fd := range 1024 {
-		if x, err := syscall.Getpeername(fd); err == nil {
-			if in, ok := x.(*syscall.SockaddrInet4); ok && in.Port == to.(*net.TCPAddr).Port {
+		if addr, err := syscall.Getpeername(fd); err == nil {
+			if inet, ok := addr.(*syscall.SockaddrInet4); ok && inet.Port == peer.(*net.TCPAddr).Port {
 				_ = syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_SNDBUF, 4096)
 			}
 		}
 	}
 }
 
-// Half of a request has left when a Retry-After comes, when its endpoint drains or its key's window
-// ends, or at the shutdown: the other half never leaves, and what ended surely has not run.
-func TestHalfWrittenRequestIsCutOff(t *testing.T) {
-	for name, forbid := range map[string]func(*bench, *turn){
-		"wait":     func(b *bench, u *turn) { u.say(retryAfterResponse) },
-		"shutdown": func(b *bench, _ *turn) { b.do(b.e.Stop) },
-		"window": func(b *bench, _ *turn) {
-			b.do(func() { b.e.calls["half"].admission.StartBy = b.core.Now() })
+// A request is partly written when a Retry-After arrives, its idempotency window ends or the sender shuts
+// down. The rest must not be sent, and the outcome must be that the request was not sent.
+func TestPartlyWrittenRequestAborted(t *testing.T) {
+	for name, forbid := range map[string]func(*egressHarness, *scriptedRequest){
+		"wait":     func(h *egressHarness, request *scriptedRequest) { request.respond(retryAfterResponse) },
+		"shutdown": func(h *egressHarness, _ *scriptedRequest) { h.runOnLoop(h.egress.Stop) },
+		"window": func(h *egressHarness, _ *scriptedRequest) {
+			h.runOnLoop(func() { h.egress.calls["half"].admission.StartBy = h.core.Now() })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t)
-			b.do(func() { b.e.Send(b.to, b.attempt("a")) })
-			u := wait(t, b.s.turns)
-			deaf, err := (&net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
-				return c.Control(func(fd uintptr) {
+			h := newEgressHarness(t)
+			h.runOnLoop(func() { h.egress.Send(h.route, h.newAttempt("a")) })
+			request := receive(t, h.endpoint.requests)
+			stalled, err := (&net.ListenConfig{Control: func(_, _ string, conn syscall.RawConn) error {
+				return conn.Control(func(fd uintptr) {
 					_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET,
 						syscall.SO_RCVBUF, 4096)
 				})
@@ -310,47 +318,47 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer deaf.Close()
-			other := b.to
-			other.Addr, other.Dial = "e2", deaf.Addr().String()
-			h := b.attempt("half")
-			h[0].Body = bytes.Repeat([]byte("x"), 256<<10)
-			defer failpoint.SetHook(func(p failpoint.Point) { // its connection is up, and nothing is written
-				if p == failpoint.AttemptJudged {
-					narrow(deaf.Addr())
+			defer stalled.Close()
+			other := h.route
+			other.Addr, other.Dial = "e2", stalled.Addr().String()
+			attempts := h.newAttempt("half")
+			attempts[0].Body = bytes.Repeat([]byte("x"), 256<<10)
+			defer failpoint.SetHook(func(point failpoint.Point) { // connected, and nothing is written yet
+				if point == failpoint.AttemptJudged {
+					minimizeSendBuffer(stalled.Addr())
 				}
 			})()
-			b.core.UpdateRoutes("patch", []sender.Route{other})
-			b.do(func() {
-				b.e.UpdateRoutes([]sender.Route{other})
-				b.e.Send(other, h)
+			h.core.UpdateRoutes("patch", []sender.Route{other})
+			h.runOnLoop(func() {
+				h.egress.UpdateRoutes([]sender.Route{other})
+				h.egress.Send(other, attempts)
 			})
-			c, err := deaf.Accept()
+			conn, err := stalled.Accept()
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer c.Close()
-			b.until("a part has left", func() bool { return b.e.calls["half"].link.requestStarted })
-			b.do(func() {
-				if b.e.calls["half"].link.sent() {
-					t.Error("the socket took all: nothing was tested")
+			defer conn.Close()
+			h.waitUntil("a part has left", func() bool { return h.egress.calls["half"].link.requestStarted })
+			h.runOnLoop(func() {
+				if h.egress.calls["half"].link.sent() {
+					t.Error("the request was completely sent, so the test proves nothing")
 				}
 			})
-			forbid(b, u)
-			b.until("it has ended", func() bool { return b.e.calls["half"] == nil })
-			_ = c.SetReadDeadline(time.Now().Add(standin.Long))
-			if n, _ := io.Copy(io.Discard, c); n >= int64(len(h[0].Body)) {
-				t.Errorf("%d bytes have left", n)
+			forbid(h, request)
+			h.waitUntil("it has ended", func() bool { return h.egress.calls["half"] == nil })
+			_ = conn.SetReadDeadline(time.Now().Add(standin.Long))
+			if received, _ := io.Copy(io.Discard, conn); received >= int64(len(attempts[0].Body)) {
+				t.Errorf("%d bytes were sent", received)
 			}
-			reason := make(chan sender.Outcome, 1)
-			b.core.Post(func() {
-				for _, r := range b.core.State().Routes {
-					if r.Name == "e2" {
-						reason <- r.LastOutcome
+			outcome := make(chan sender.Outcome, 1)
+			h.core.Post(func() {
+				for _, state := range h.core.State().Routes {
+					if state.Name == "e2" {
+						outcome <- state.LastOutcome
 					}
 				}
 			})
-			if got := wait(t, reason); got != sender.OutcomeNotSent {
+			if got := receive(t, outcome); got != sender.OutcomeNotSent {
 				t.Error(got)
 			}
 		})
--- a/internal/net/platform/dribble_test.go
+++ b/internal/net/platform/dribble_test.go
@@ -13,122 +13,127 @@
 	"brackendale/internal/net/conntable"
 )
 
-var errLate = errors.New("not as it should be")
+// errUnexpectedReply stands in for the error of a read that returned a wrong reply without one.
+var errUnexpectedReply = errors.New("unexpected reply")
 
-// only is the client of the one connection, once connections may be closed for their limits: not right behind a start
-// that took long.
-func (w *world) only() (cl *client) {
+// onlyClient returns the client of the only connection, once the event loop no longer counts as stalled: after a slow
+// start, connections are not closed for exceeding a limit.
+func (env *testEnv) onlyClient() (cl *client) {
 	for stalled := true; stalled; {
-		w.held(func() { stalled = w.r.Stalled() })
+		env.withLoopPaused(func() { stalled = env.eventLoop.Stalled() })
 	}
-	w.held(func() {
-		w.in.table.Each(func(e *conntable.Entry) { cl, _ = e.Owner().(*client) })
+	env.withLoopPaused(func() {
+		env.ingress.table.Each(func(entry *conntable.Entry) { cl, _ = entry.Owner().(*client) })
 	})
 	return cl
 }
 
-// unreadAtSweep writes bytes that arrive while the loop stands still, and then lets the sweep run ahead of their
-// reading. overLimit: the client exceeds its limit from then on. It returns how many connections are left.
-func (w *world) unreadAtSweep(c *raw, cl *client, text string, overLimit bool) (left int) {
+// sweepBeforeRead writes bytes that arrive while the event loop is paused, and then runs the sweep before they are
+// read. With overLimit, the client exceeds its time limit from then on. It returns the number of connections that
+// remain.
+func (env *testEnv) sweepBeforeRead(c *rawClient, cl *client, text string, overLimit bool) (remaining int) {
 	swept := make(chan bool)
-	w.held(func() {
+	env.withLoopPaused(func() {
 		_, _ = io.WriteString(c, text)
 		for !cl.conn.Unread() {
 			time.Sleep(time.Millisecond)
 		}
-		w.r.Post(func() {
+		env.eventLoop.Post(func() {
 			if overLimit {
-				w.in.table.Move(&cl.Entry, cl.Class(), w.r.Now()-time.Hour)
+				env.ingress.table.Move(&cl.Entry, cl.Class(), env.eventLoop.Now()-time.Hour)
 			}
-			w.in.limiter.Due(nil)
-			left = w.in.table.Len()
+			env.ingress.limiter.Due(nil)
+			remaining = env.ingress.table.Len()
 			close(swept)
 		})
 	})
 	<-swept
-	return left
+	return remaining
 }
 
-// A command that arrived whole before its limit is answered though the loop has not read it when the limit is checked.
-func TestWholeCommandUnreadAtTheSweep(t *testing.T) {
-	for name, first := range map[string]string{"fresh": "", "partial": "PING"} {
+// A command that arrived completely within its time limit is executed although the event loop has not read it when the
+// limit is checked.
+func TestWholeCommandUnreadAtSweep(t *testing.T) {
+	for name, firstCommand := range map[string]string{"fresh": "", "partial": "PING"} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t)
-			addr, _ := w.start()
-			c := dialRaw(t, addr)
-			if first != "" {
+			env := newTestEnv(t)
+			addr, _ := env.startSender()
+			c := dialClient(t, addr)
+			if firstCommand != "" {
 				c.ping()
 			}
 			_, _ = io.WriteString(c, "*1\r\n$4\r\nPI")
-			for n := 0; n == 0; {
-				w.held(func() { n = w.in.table.Counts()[conntable.Partial] + w.in.table.Counts()[conntable.Fresh] })
+			for count := 0; count == 0; {
+				env.withLoopPaused(func() {
+					count = env.ingress.table.Counts()[conntable.Partial] + env.ingress.table.Counts()[conntable.Fresh]
+				})
 			}
-			cl := w.only()
-			for begun := false; !begun; {
-				w.held(func() { begun = cl.buffer.Len() > 0 })
+			cl := env.onlyClient()
+			for buffered := false; !buffered; {
+				env.withLoopPaused(func() { buffered = cl.buffer.Len() > 0 })
 			}
-			w.unreadAtSweep(c, cl, "NG\r\n", true)
-			if got, err := c.line(); got != "+PONG" {
+			env.sweepBeforeRead(c, cl, "NG\r\n", true)
+			if got, err := c.readLine(); got != "+PONG" {
 				t.Fatal(got, err)
 			}
 		})
 	}
 }
 
-// Bytes that arrive after the limit give a client that never ends its command no more time.
-func TestBytesAfterTheLimit(t *testing.T) {
-	for name, first := range map[string]string{"fresh": "", "partial": "PING"} {
+// Bytes that arrive after the command timeout do not extend it.
+func TestBytesAfterCommandTimeout(t *testing.T) {
+	for name, firstCommand := range map[string]string{"fresh": "", "partial": "PING"} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t)
-			addr, _ := w.start()
-			c := dialRaw(t, addr)
-			if first != "" {
+			env := newTestEnv(t)
+			addr, _ := env.startSender()
+			c := dialClient(t, addr)
+			if firstCommand != "" {
 				c.ping()
 			}
 			_, _ = io.WriteString(c, "*1\r\n$60000\r\n")
 			var cl *client
 			for cl == nil {
-				cl = w.only()
+				cl = env.onlyClient()
 			}
-			for begun := false; !begun; {
-				w.held(func() { begun = cl.buffer.Len() > 0 })
+			for buffered := false; !buffered; {
+				env.withLoopPaused(func() { buffered = cl.buffer.Len() > 0 })
 			}
-			left := w.unreadAtSweep(c, cl, "x", true)
-			for range 500 { // a read in progress may hide what has arrived, and is looked at again
-				if left > 0 {
-					time.Sleep(time.Millisecond) // the engine goes on reading
-					left = w.unreadAtSweep(c, cl, "x", false)
+			remaining := env.sweepBeforeRead(c, cl, "x", true)
+			for range 500 { // a read in progress may hide data that has arrived: check again
+				if remaining > 0 {
+					time.Sleep(time.Millisecond) // the engine continues to read
+					remaining = env.sweepBeforeRead(c, cl, "x", false)
 				}
 			}
-			if left > 0 {
-				t.Fatal("it holds its place as long as bytes come")
+			if remaining > 0 {
+				t.Fatal("the connection stays open as long as bytes arrive")
 			}
-			if got, err := c.line(); got != "-ERR no whole command in time" {
+			if got, err := c.readLine(); got != "-ERR no whole command in time" {
 				t.Fatal(got, err)
 			}
 		})
 	}
 }
 
-// Many clients that never end a command are refused within the page's time, however often they send, and cost those
-// that behave nothing.
-func TestDribblersAmongHonestClients(t *testing.T) {
-	const dribblers, fast, honest = 500, 40, 200
-	w := newWorld(t)
-	w.most = 1000
-	addr, _ := w.start()
-	var wg, open sync.WaitGroup
-	errs := make(chan error, dribblers+honest)
+// Many clients that never complete a command are rejected within the time that the protocol requires, however often
+// they send, and well-behaved clients are not affected.
+func TestSlowClientsAmongNormalClients(t *testing.T) {
+	const slowClients, frequentWriters, normalClients = 500, 40, 200
+	env := newTestEnv(t)
+	env.maxClients = 1000
+	addr, _ := env.startSender()
+	var pendingNormal, pendingSlow sync.WaitGroup
+	errs := make(chan error, slowClients+normalClients)
 	done := make(chan bool)
-	for i := range honest {
-		c := dialRaw(t, addr)
-		wg.Add(1)
+	for i := range normalClients {
+		c := dialClient(t, addr)
+		pendingNormal.Add(1)
 		go func() {
-			defer wg.Done()
+			defer pendingNormal.Done()
 			for {
 				c.send("PING")
-				if got, err := c.line(); got != "+PONG" {
-					errs <- fmt.Errorf("honest client %d: %q: %w", i, got, cmp.Or(err, errLate))
+				if got, err := c.readLine(); got != "+PONG" {
+					errs <- fmt.Errorf("normal client %d: %q: %w", i, got, cmp.Or(err, errUnexpectedReply))
 					return
 				}
 				select {
@@ -139,31 +144,31 @@
 			}
 		}()
 	}
-	for i := range dribblers {
-		c := dialRaw(t, addr)
-		gap := 20 * time.Millisecond
-		if i < fast {
-			gap = 500 * time.Microsecond
+	for i := range slowClients {
+		c := dialClient(t, addr)
+		interval := 20 * time.Millisecond
+		if i < frequentWriters {
+			interval = 500 * time.Microsecond
 		}
-		began := time.Now()
+		start := time.Now()
 		_, _ = io.WriteString(c, "*1\r\n$60000\r\n")
 		go func() {
 			for _, err := c.Write([]byte("x")); err == nil; _, err = c.Write([]byte("x")) {
-				time.Sleep(gap)
+				time.Sleep(interval)
 			}
 		}()
-		open.Add(1)
+		pendingSlow.Add(1)
 		go func() {
-			defer open.Done()
-			got, err := c.line()
-			if after := time.Since(began); !strings.HasPrefix(got, "-ERR no whole") || after > badClientLimit {
-				errs <- fmt.Errorf("dribbler %d after %v: %q, %w", i, after, got, cmp.Or(err, errLate))
+			defer pendingSlow.Done()
+			got, err := c.readLine()
+			if elapsed := time.Since(start); !strings.HasPrefix(got, "-ERR no whole") || elapsed > maxCloseDelay {
+				errs <- fmt.Errorf("slow client %d after %v: %q, %w", i, elapsed, got, cmp.Or(err, errUnexpectedReply))
 			}
 		}()
 	}
-	open.Wait()
+	pendingSlow.Wait()
 	close(done)
-	wg.Wait()
+	pendingNormal.Wait()
 	close(errs)
 	for err := range errs {
 		t.Error(err)
--- a/internal/net/platform/egress.go
+++ b/internal/net/platform/egress.go
@@ -15,39 +15,39 @@
 	"brackendale/sender"
 )
 
-// Proto is the protocol of routes that this egress serves.
+// Proto is the protocol of the routes that this egress serves.
 const Proto = "http"
 
-// Defaults for limits that the settings leave out.
+// The defaults of timeouts that the settings omit.
 const (
 	defaultConnectTimeout = 1500 * time.Millisecond
 	defaultIdleTimeout    = 4 * time.Second
 )
 
-// idleSettleTime is how long a link is not reused after a response: surplus data behind the
-// response must arrive within it, or it would be taken for the next response.
+// idleSettleTime is how long a link is not reused after a response. Surplus data behind that response
+// must arrive within this time, or it would be parsed as the next response.
 const idleSettleTime = 10 * time.Millisecond
 
-// Egress carries attempts to HTTP/1.1 endpoints. It belongs to the reactor's goroutine.
+// Egress sends attempts to HTTP/1.1 endpoints. It belongs to the reactor's goroutine.
 type Egress struct {
 	core    *sender.Sender
 	reactor *reactor.Reactor
 
 	connectTimeout time.Duration
-	idleTimeout    time.Duration // below the endpoint's keep-alive time: this side closes first
-	loadFields     []string      // the load report's fields, in the order of the settings
+	idleTimeout    time.Duration // shorter than the endpoint's keep-alive time, so that this side closes first
+	loadFields     []string      // the fields of a load report, in the order of the settings
 
-	idleLinks map[string][]*link // by endpoint address, the most recently used last
-	calls     map[string]*call   // in flight, by message ID; attempts of one bundle share a call
-	table     *conntable.Table
-	paths     paths
+	idleLinks    map[string][]*link // by endpoint address, the most recently used last
+	calls        map[string]*call   // in flight, by message ID; attempts of one bundle share a call
+	table        *conntable.Table
+	pathFailures pathFailures
 
 	// Gate admits each attempt just before it is written. Other egresses of the same core may share
 	// it.
 	Gate *admission.Gate
 }
 
-// NewEgress makes the endpoints' side; its connections take their descriptors from room.
+// NewEgress returns an Egress whose connections take their descriptors from room.
 func NewEgress(
 	core *sender.Sender, eventLoop *reactor.Reactor, settings scheduler.Settings, room *conntable.Room,
 ) *Egress {
@@ -60,7 +60,7 @@
 		idleLinks:      map[string][]*link{},
 		calls:          map[string]*call{},
 		table:          room.NewTargets(),
-		paths:          paths{},
+		pathFailures:   pathFailures{},
 		Gate:           admission.New(settings),
 	}
 	if e.connectTimeout <= 0 {
@@ -72,7 +72,7 @@
 	return e
 }
 
-// Send writes a call to an idle connection, or to a new one.
+// Send starts a call with these attempts on an idle connection or a new one.
 func (e *Egress) Send(route sender.Route, attempts []sender.Attempt) {
 	now := e.core.Now()
 	c := &call{
@@ -81,29 +81,29 @@
 		attempts:     attempts,
 		abortOutcome: sender.OutcomeTimedOut,
 		admission:    admission.Attempt{Endpoint: route.Endpoint, Deadline: math.MaxInt64},
-		extensions:   maxExtensions,
+		abortDelays:  maxAbortDelays,
 	}
 	// The attempts share one call: the longest timeout applies, up to the earliest deadline.
-	limitUs := int64(0)
+	timeoutUs := int64(0)
 	for _, attempt := range attempts {
-		limitUs = max(limitUs, attempt.TimeoutUs)
+		timeoutUs = max(timeoutUs, attempt.TimeoutUs)
 		c.admission.Deadline = min(c.admission.Deadline, attempt.Deadline)
 		if attempt.StartBy != 0 && (c.admission.StartBy == 0 || attempt.StartBy < c.admission.StartBy) {
 			c.admission.StartBy = attempt.StartBy
 		}
 		e.calls[attempt.ID] = c
 	}
-	limitUs = max(minTimeoutUs, min(limitUs, c.admission.Deadline.Sub(now).Microseconds()))
+	timeoutUs = max(minTimeoutUs, min(timeoutUs, c.admission.Deadline.Sub(now).Microseconds()))
 	onTimeout := timers.Func(func() { c.abort(sender.OutcomeTimedOut) })
-	e.reactor.Arm(&c.timer, time.Duration(limitUs)*time.Microsecond, 0, onTimeout)
-	if c.link = e.acquire(route, limitUs); c.link == nil {
+	e.reactor.Arm(&c.timer, time.Duration(timeoutUs)*time.Microsecond, 0, onTimeout)
+	if c.link = e.acquire(route, timeoutUs); c.link == nil {
 		c.link = &link{}
 		c.finish(nil, errNoDescriptor)
 		return
 	}
 	c.link.onSent = func() { e.core.CountAttempts(len(attempts)) }
 	c.link.admit = c.admit
-	c.link.send(c.finish, c.request(limitUs)...)
+	c.link.send(c.finish, c.request(timeoutUs)...)
 }
 
 // callsOfRoute yields the calls in flight to the route with this name.
@@ -117,15 +117,15 @@
 	}
 }
 
-// applyRetryAfter records a Retry-After and aborts the route's calls whose request has been started
-// but not sent whole: they were admitted before it was known.
+// applyRetryAfter records a Retry-After and aborts the route's calls whose request was started but not
+// completely sent: they were admitted before the Retry-After was known.
 func (e *Egress) applyRetryAfter(route sender.Route, result sender.AttemptResult) {
 	slotsOnly := result.Outcome == sender.OutcomeNotSent && result.RetryAfterMs == fullRetryAfterMs
 	if result.RetryAfterMs <= 0 || slotsOnly {
 		return
 	}
 	now := e.core.Now()
-	// One microsecond more, since now is rounded down to one.
+	// One microsecond more, since now is rounded down to a microsecond.
 	until := now.Add(time.Duration(result.RetryAfterMs)*time.Millisecond) + 1
 	e.Gate.SetRetryAfter(route.Endpoint, now, until)
 	for c := range e.callsOfRoute(e.Gate.RouteName(route.Endpoint)) {
@@ -135,8 +135,8 @@
 	}
 }
 
-// Stop closes the gate and ends all calls that have not been sent whole. Their outcome is reported
-// while the journal is still open, so the next incarnation may repeat them.
+// Stop closes the gate and ends all calls that were not completely sent. Their outcome is reported
+// while the journal is still open, so that the next incarnation may repeat them.
 func (e *Egress) Stop() {
 	e.Gate.Stop()
 	for id, c := range e.calls {
@@ -146,13 +146,13 @@
 	}
 }
 
-// Out is the number of messages in flight.
+// Out returns the number of messages in flight.
 func (e *Egress) Out() int { return len(e.calls) }
 
-// acquire returns the most recently used idle link to an endpoint, or opens a new one; nil if no
-// descriptor is left. An idle link that has received something, even the endpoint's close, is
+// acquire returns the most recently used idle link to an endpoint, or opens a new one; it returns nil
+// if the descriptor budget is used up. An idle link that has received data or the endpoint's close is
 // closed.
-func (e *Egress) acquire(route sender.Route, limitUs int64) *link {
+func (e *Egress) acquire(route sender.Route, timeoutUs int64) *link {
 	for _, idle := range slices.Backward(slices.Clone(e.idleLinks[route.Addr])) {
 		if e.reactor.Now()-idle.lastResponse < idleSettleTime {
 			continue
@@ -167,19 +167,19 @@
 		idle.conn.Close()
 	}
 	opened := &link{maxResponse: maxEndpointResponse, addr: route.Dial}
-	victim, _, ok := e.table.Admit(&opened.Entry, opened, netip.Addr{}, e.reactor.Now())
-	if victim != nil {
-		victim.Owner().Evict(conntable.ForNewcomer)
+	evicted, _, ok := e.table.Admit(&opened.Entry, opened, netip.Addr{}, e.reactor.Now())
+	if evicted != nil {
+		evicted.Owner().Evict(conntable.ForNewcomer)
 	}
 	if !ok {
 		return nil
 	}
 	opened.Move(conntable.Busy, e.reactor.Now())
-	opened.open(e.reactor, min(e.connectTimeout, time.Duration(limitUs)*time.Microsecond))
+	opened.open(e.reactor, min(e.connectTimeout, time.Duration(timeoutUs)*time.Microsecond))
 	return opened
 }
 
-// release makes a link idle, and closes it before the endpoint would.
+// release makes a link idle. It is closed after idleTimeout, before the endpoint would close it.
 func (e *Egress) release(addr string, idle *link) {
 	if !e.Gate.AcceptsAttempts(addr) {
 		idle.conn.Close()
@@ -194,6 +194,7 @@
 	}
 }
 
+// removeIdle removes a link from the idle ones.
 func (e *Egress) removeIdle(addr string, idle *link) {
 	links := e.idleLinks[addr]
 	i := slices.Index(links, idle)
@@ -202,21 +203,21 @@
 	}
 	e.idleLinks[addr] = append(links[:i:i], links[i+1:]...)
 	if len(links) == 1 {
-		delete(e.idleLinks, addr) // endpoints come and go: no empty entries are kept
+		delete(e.idleLinks, addr) // or entries of endpoints that left the list would accumulate
 	}
 }
 
-// Cancel aborts an attempt. The attempts of a bundle share their connection: the call ends once all
-// of them are canceled, so that an unsafe one that is still wanted is not cut off.
+// Cancel cancels an attempt. The attempts of a bundle share one call, which is aborted only once all of
+// them are canceled: an unsafe one that was not canceled must not be interrupted.
 func (e *Egress) Cancel(id string, number int) {
 	c := e.calls[id]
 	if c == nil {
 		return
 	}
-	known := slices.ContainsFunc(c.attempts, func(attempt sender.Attempt) bool {
+	inFlight := slices.ContainsFunc(c.attempts, func(attempt sender.Attempt) bool {
 		return attempt.ID == id && attempt.Number == number
 	})
-	if !known || slices.Contains(c.canceled, id) {
+	if !inFlight || slices.Contains(c.canceled, id) {
 		return
 	}
 	if c.canceled = append(c.canceled, id); len(c.canceled) == len(c.attempts) {
@@ -232,11 +233,12 @@
 	delete(e.idleLinks, route.Addr)
 }
 
-// UpdateRoutes closes the idle connections to endpoints that take no new attempts.
+// UpdateRoutes applies route changes and closes the idle connections to endpoints that accept no new
+// attempts.
 func (e *Egress) UpdateRoutes(changed []sender.Route) {
 	for _, route := range changed {
 		if e.Gate.UpdateEndpoint(route.Endpoint); route.State != scheduler.StatusLive {
-			e.paths.reset(route.Addr)
+			e.pathFailures.reset(route.Addr)
 			e.CloseIdle(route)
 		}
 	}
--- a/internal/net/platform/egress_test.go
+++ b/internal/net/platform/egress_test.go
@@ -17,218 +17,235 @@
 	"brackendale/sender"
 )
 
-// Nothing is sent to a destination before its Retry-After has passed.
+// No attempt is sent to a destination before its Retry-After has elapsed.
 func TestRetryAfter(t *testing.T) {
-	w := newWorld(t)
-	var refused, next time.Time
-	n := 0
-	w.answer = func(rw http.ResponseWriter, _ *http.Request, _ string) {
-		if n++; n == 1 {
+	env := newTestEnv(t)
+	var rejectedAt, repeatedAt time.Time
+	count := 0
+	env.respond = func(rw http.ResponseWriter, _ *http.Request, _ string) {
+		if count++; count == 1 {
 			rw.Header().Set("X-Backoff-Ms", "300")
 			rw.WriteHeader(http.StatusTooManyRequests)
-			refused = time.Now()
+			rejectedAt = time.Now()
 			return
 		}
-		next = time.Now()
+		repeatedAt = time.Now()
 	}
-	addr, _ := w.start()
-	w.submit(addr, "m1", "once", "9000")
-	wait(t, w.calls)
-	wait(t, w.calls)
-	w.target.Close() // waits for the answer
-	if next.Sub(refused) < 300*time.Millisecond {
-		t.Fatal("sent after", next.Sub(refused))
+	addr, _ := env.startSender()
+	env.submit(addr, "m1", "once", "9000")
+	receive(t, env.calls)
+	receive(t, env.calls)
+	env.endpoint.Close() // waits until the handler has returned
+	if repeatedAt.Sub(rejectedAt) < 300*time.Millisecond {
+		t.Fatal("sent after", repeatedAt.Sub(rejectedAt))
 	}
 }
 
-// A call whose connection comes up late is not written under a Retry-After that came meanwhile
-// from another endpoint of its destination, nor when the time is over in which its key is known: it
-// never left, and the connection stays for the next one.
+// While a call's connection is being established, a Retry-After arrives from another endpoint of its
+// destination, or its idempotency window ends. The call must not be written, and its connection becomes
+// idle.
 func TestLateConnection(t *testing.T) {
-	for _, wait := range []bool{true, false} {
-		t.Run(fmt.Sprint("wait ", wait), func(t *testing.T) { lateConnection(t, wait) })
+	for _, withRetryAfter := range []bool{true, false} {
+		t.Run(fmt.Sprint("wait ", withRetryAfter), func(t *testing.T) { testLateConnection(t, withRetryAfter) })
 	}
 }
 
-func lateConnection(t *testing.T, withRetryAfter bool) {
-	w := newWorld(t)
-	w.answer = func(rw http.ResponseWriter, _ *http.Request, _ string) {
+func testLateConnection(t *testing.T, withRetryAfter bool) {
+	env := newTestEnv(t)
+	env.respond = func(rw http.ResponseWriter, _ *http.Request, _ string) {
 		rw.Header().Set("X-Backoff-Ms", "60000")
 		rw.WriteHeader(http.StatusTooManyRequests)
 	}
-	late, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer late.Close()
-	raw, err := late.(*net.TCPListener).SyscallConn()
+	defer listener.Close()
+	raw, err := listener.(*net.TCPListener).SyscallConn()
 	if err == nil {
-		// room for one that is not accepted: the next has to come again
+		// a backlog of one connection: the next one has to repeat its handshake
 		err = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), 0) })
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, err := net.Dial("tcp", late.Addr().String())
+	first, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer first.Close()
-	held := make(chan [2]int)
-	standin.Start(t, w.dir, func(core *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
-		set := standin.Settings()
-		set.Limits.ConnectTimeoutUs = 20e6
-		e := NewEgress(core, r, set, conntable.NewRoom(100))
-		to := Routes(w.hosts("active"))[0]
-		other := to
-		other.Addr, other.Dial = "late", late.Addr().String()
-		e.UpdateRoutes([]sender.Route{to, other})
-		var look func()
-		look = func() {
-			if e.calls["late"] != nil {
-				r.After(time.Millisecond, look)
+	callsAndIdle := make(chan [2]int)
+	standin.Start(t, env.stateDir, func(
+		core *sender.Sender, eventLoop *reactor.Reactor,
+	) func(*reactor.Conn) reactor.Handler {
+		settings := standin.Settings()
+		settings.Limits.ConnectTimeoutUs = 20e6
+		egress := NewEgress(core, eventLoop, settings, conntable.NewRoom(100))
+		route := Routes(env.endpointList("active"))[0]
+		other := route
+		other.Addr, other.Dial = "late", listener.Addr().String()
+		egress.UpdateRoutes([]sender.Route{route, other})
+		var checkEnded func()
+		checkEnded = func() {
+			if egress.calls["late"] != nil {
+				eventLoop.After(time.Millisecond, checkEnded)
 				return
 			}
-			held <- [2]int{len(e.calls), len(e.idleLinks["late"])}
+			callsAndIdle <- [2]int{len(egress.calls), len(egress.idleLinks["late"])}
 		}
-		r.Post(func() {
-			h := sender.Attempt{ID: "late", TimeoutUs: 60e6, Deadline: core.Now() + 60e6}
+		eventLoop.Post(func() {
+			attempt := sender.Attempt{ID: "late", TimeoutUs: 60e6, Deadline: core.Now() + 60e6}
 			if !withRetryAfter {
-				h.StartBy = core.Now() + 1
+				attempt.StartBy = core.Now() + 1
 			}
-			if e.Send(other, []sender.Attempt{h}); withRetryAfter {
-				e.Send(to, []sender.Attempt{{ID: "refused", TimeoutUs: 60e6, Deadline: core.Now() + 60e6}})
+			if egress.Send(other, []sender.Attempt{attempt}); withRetryAfter {
+				egress.Send(route, []sender.Attempt{{ID: "refused", TimeoutUs: 60e6, Deadline: core.Now() + 60e6}})
 			}
-			look()
+			checkEnded()
 		})
 		return func(*reactor.Conn) reactor.Handler { return nil }
 	})
 	if withRetryAfter {
-		wait(t, w.calls)
+		receive(t, env.calls)
 	}
-	for range 2 { // the first one, and the late one once it has come again
-		c, err := late.Accept()
+	for range 2 { // the first one, and the call's once its handshake was repeated
+		conn, err := listener.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		if c.RemoteAddr().String() == first.LocalAddr().String() {
+		defer conn.Close()
+		if conn.RemoteAddr().String() == first.LocalAddr().String() {
 			continue
 		}
-		if got := wait(t, held); got != [2]int{0, 1} {
-			t.Errorf("out and idle: %v", got)
+		if got := receive(t, callsAndIdle); got != [2]int{0, 1} {
+			t.Errorf("calls in flight and idle links: %v", got)
 		}
-		_ = c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-		if n, err := c.Read(make([]byte, 1)); n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("written too late: %d, %v", n, err)
+		_ = conn.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
+		if received, err := conn.Read(make([]byte, 1)); received > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Errorf("written although not admitted: %d, %v", received, err)
 		}
 	}
 }
 
-// A leaving endpoint gets nothing new: its message waits until the list has one that is active.
+// An endpoint that is leaving gets no new attempts: the message waits until the list has an active one.
 func TestDrain(t *testing.T) {
-	w := newWorld(t)
-	back := make(chan bool)
-	w.answer = func(http.ResponseWriter, *http.Request, string) {
+	env := newTestEnv(t)
+	activeAgain := make(chan bool)
+	env.respond = func(http.ResponseWriter, *http.Request, string) {
 		select {
-		case <-back:
+		case <-activeAgain:
 		default:
 			t.Error("sent to a leaving endpoint")
 		}
 	}
-	change := func(seq int64, health string) {
-		l := w.hosts(health)
-		l.Seq = seq
-		raw, err := json.Marshal(l)
+	publish := func(seq int64, health string) {
+		list := env.endpointList(health)
+		list.Seq = seq
+		raw, err := json.Marshal(list)
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.changes <- string(raw)
+		env.updates <- string(raw)
 	}
-	change(2, "leaving")
-	addr, _ := w.start()
-	for wait(t, w.asked) != "2" {
+	publish(2, "leaving")
+	addr, _ := env.startSender()
+	for receive(t, env.polledVersions) != "2" {
 	}
-	w.submit(addr, "m1", "safe", "9000")
-	close(back)
-	change(3, "active")
-	if r := wait(t, w.calls); r.Header.Get("Req-Id") != "m1" {
+	env.submit(addr, "m1", "safe", "9000")
+	close(activeAgain)
+	publish(3, "active")
+	if r := receive(t, env.calls); r.Header.Get("Req-Id") != "m1" {
 		t.Fatal(r.Header)
 	}
 }
 
-// A connect that fails for want of a descriptor is no word on the target.
+// A connect that fails because this process has no free descriptor proves nothing about the endpoint.
 func TestLocalFailure(t *testing.T) {
-	w := newWorld(t)
-	w.start()
-	reason := make(chan sender.Outcome, 1)
-	w.r.Post(func() {
-		e := NewEgress(w.core, w.r, standin.Settings(), conntable.NewRoom(100))
-		c := &call{egress: e, route: Routes(w.hosts("active"))[0], attempts: []sender.Attempt{{ID: "m"}}, link: &link{}}
+	env := newTestEnv(t)
+	env.startSender()
+	outcome := make(chan sender.Outcome, 1)
+	env.eventLoop.Post(func() {
+		e := NewEgress(env.core, env.eventLoop, standin.Settings(), conntable.NewRoom(100))
+		c := &call{
+			egress: e, route: Routes(env.endpointList("active"))[0], attempts: []sender.Attempt{{ID: "m"}}, link: &link{},
+		}
 		c.finish(nil, fmt.Errorf("dial: %w", syscall.EMFILE))
-		w.core.Post(func() { reason <- w.core.State().Routes[0].LastOutcome })
+		env.core.Post(func() { outcome <- env.core.State().Routes[0].LastOutcome })
 	})
-	if got := wait(t, reason); got != sender.OutcomeNotSent {
+	if got := receive(t, outcome); got != sender.OutcomeNotSent {
 		t.Fatal(got)
 	}
 }
 
-// A recall of one message of a bundle must not cut off a charge that travels with it.
-func TestRecallOfPartOfABundle(t *testing.T) {
-	w, end := newWorld(t), make(chan bool)
-	w.answer = func(http.ResponseWriter, *http.Request, string) { <-end }
-	defer close(end)
-	out := make(chan [3]int, 1)
-	standin.Start(t, w.dir, func(core *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
-		e := NewEgress(core, r, standin.Settings(), conntable.NewRoom(100))
-		r.Post(func() {
-			to, until := Routes(w.hosts("active"))[0], core.Now()+9e6
-			e.UpdateRoutes([]sender.Route{to})
-			e.Send(to, []sender.Attempt{
-				{ID: "record", TimeoutUs: 9e6, Deadline: until},
-				{ID: "charge", TimeoutUs: 9e6, Deadline: until},
+// Canceling one message of a bundle must not abort an unsafe message in the same bundle.
+func TestCancelPartOfBundle(t *testing.T) {
+	env, release := newTestEnv(t), make(chan bool)
+	env.respond = func(http.ResponseWriter, *http.Request, string) { <-release }
+	defer close(release)
+	callCounts := make(chan [3]int, 1)
+	standin.Start(t, env.stateDir, func(
+		core *sender.Sender, eventLoop *reactor.Reactor,
+	) func(*reactor.Conn) reactor.Handler {
+		egress := NewEgress(core, eventLoop, standin.Settings(), conntable.NewRoom(100))
+		eventLoop.Post(func() {
+			route, deadline := Routes(env.endpointList("active"))[0], core.Now()+9e6
+			egress.UpdateRoutes([]sender.Route{route})
+			egress.Send(route, []sender.Attempt{
+				{ID: "record", TimeoutUs: 9e6, Deadline: deadline},
+				{ID: "charge", TimeoutUs: 9e6, Deadline: deadline},
 			})
-			e.Cancel("record", 0)
-			e.Cancel("record", 0)
-			n := len(e.calls)
-			e.Cancel("charge", 1) // another attempt's number
-			m := len(e.calls)
-			e.Cancel("charge", 0)
-			out <- [3]int{n, m, len(e.calls)}
+			egress.Cancel("record", 0)
+			egress.Cancel("record", 0)
+			afterFirst := len(egress.calls)
+			egress.Cancel("charge", 1) // another attempt's number
+			afterOther := len(egress.calls)
+			egress.Cancel("charge", 0)
+			callCounts <- [3]int{afterFirst, afterOther, len(egress.calls)}
 		})
 		return func(*reactor.Conn) reactor.Handler { return nil }
 	})
-	if got := wait(t, out); got != [3]int{2, 2, 0} {
-		t.Fatal("attempts out after each recall:", got)
+	if got := receive(t, callCounts); got != [3]int{2, 2, 0} {
+		t.Fatal("attempts in flight after each cancellation:", got)
 	}
 }
 
-// A request that waits for its connection is admitted by what holds when that is up, whatever came
-// meanwhile.
-func TestLateConnectionIsJudgedWhenItIsUp(t *testing.T) {
-	gone := func(b *bench, f func(*sender.Route)) { x := b.to; f(&x); b.e.UpdateRoutes([]sender.Route{x}) }
-	for name, forbid := range map[string]func(*bench){
-		"drained":                    func(b *bench) { gone(b, func(r *sender.Route) { r.State = "quiescing" }) },
-		"left the list":              func(b *bench) { gone(b, func(r *sender.Route) { r.State = "dead" }) },
-		"of another destination now": func(b *bench) { gone(b, func(r *sender.Route) { r.Destination++ }) },
-		"shutdown":                   func(b *bench) { b.e.Stop() },
-		"Retry-After":                func(b *bench) { b.e.Gate.SetRetryAfter(b.to.Endpoint, 0, 1<<62) },
-		"window over":                func(b *bench) { b.e.calls["late"].admission.StartBy = 1 },
-		"time up":                    func(b *bench) { b.e.calls["late"].admission.Deadline = 1 },
+// A request that waits for its connection is admitted by the state at the time when the connection is
+// established, not by the state when it was sent to the egress.
+func TestAdmissionWhenConnected(t *testing.T) {
+	updateRoute := func(h *egressHarness, change func(*sender.Route)) {
+		changed := h.route
+		change(&changed)
+		h.egress.UpdateRoutes([]sender.Route{changed})
+	}
+	for name, forbid := range map[string]func(*egressHarness){
+		"drained": func(h *egressHarness) {
+			updateRoute(h, func(r *sender.Route) { r.State = "quiescing" })
+		},
+		"left the list": func(h *egressHarness) {
+			updateRoute(h, func(r *sender.Route) { r.State = "dead" })
+		},
+		"of another destination now": func(h *egressHarness) {
+			updateRoute(h, func(r *sender.Route) { r.Destination++ })
+		},
+		"shutdown":    func(h *egressHarness) { h.egress.Stop() },
+		"Retry-After": func(h *egressHarness) { h.egress.Gate.SetRetryAfter(h.route.Endpoint, 0, 1<<62) },
+		"window over": func(h *egressHarness) { h.egress.calls["late"].admission.StartBy = 1 },
+		"time up":     func(h *egressHarness) { h.egress.calls["late"].admission.Deadline = 1 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t)
-			b.do(func() {
-				b.e.Send(b.to, b.attempt("late"))
-				wait(t, b.s.conns) // it is up, and the loop does not know yet
-				forbid(b)
+			h := newEgressHarness(t)
+			h.runOnLoop(func() {
+				h.egress.Send(h.route, h.newAttempt("late"))
+				receive(t, h.endpoint.conns) // connected, but the event loop has not been notified
+				forbid(h)
 			})
-			b.nothing("late")
+			h.expectNotWritten("late")
 		})
 	}
-	b := newBench(t) // and nothing forbids it
-	b.do(func() { b.e.Send(b.to, b.attempt("late")) })
-	wait(t, b.s.turns).say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-	b.do(func() { b.e.Stop(); b.e.Send(b.to, b.attempt("after")) }) // decided before the shutdown
-	b.nothing("after")
+	h := newEgressHarness(t) // the counterpart: nothing forbids the request
+	h.runOnLoop(func() { h.egress.Send(h.route, h.newAttempt("late")) })
+	receive(t, h.endpoint.requests).respond("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+	// An attempt that the core decided before the shutdown.
+	h.runOnLoop(func() { h.egress.Stop(); h.egress.Send(h.route, h.newAttempt("after")) })
+	h.expectNotWritten("after")
 }
--- a/internal/net/platform/golden_test.go
+++ b/internal/net/platform/golden_test.go
@@ -18,181 +18,184 @@
 	"brackendale/sender"
 )
 
-// The golden files hold what the platform's front writes, byte for byte but for addresses and
-// remaining times. After a change that is meant, go test ./internal/net/platform -run Golden
-// -update-golden writes them anew.
-
-// tape is an HTTP server that keeps the bytes of each request.
-type tape struct {
-	ln     net.Listener
-	heard  chan string
-	answer func(r *http.Request) string // empty: none, and the connection stays open
+// The golden files contain what the platform's front writes, byte for byte except for addresses and
+// remaining times. After an intended change, go test ./internal/net/platform -run Golden -update-golden
+// rewrites them.
+
+// recordingServer is an HTTP server that records the bytes of each request.
+type recordingServer struct {
+	listener net.Listener
+	requests chan string
+	respond  func(r *http.Request) string // an empty response is not sent, and the connection stays open
 }
 
-func newTape(t *testing.T, answer func(r *http.Request) string) *tape {
+func newRecordingServer(t *testing.T, respond func(r *http.Request) string) *recordingServer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = ln.Close() })
-	tp := &tape{ln, make(chan string, 100), answer}
+	server := &recordingServer{ln, make(chan string, 100), respond}
 	go func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			t.Cleanup(func() { _ = c.Close() })
-			go tp.serve(c)
+			t.Cleanup(func() { _ = conn.Close() })
+			go server.serve(conn)
 		}
 	}()
-	return tp
+	return server
 }
 
-func (tp *tape) addr() string { return tp.ln.Addr().String() }
+func (server *recordingServer) addr() string { return server.listener.Addr().String() }
 
-func (tp *tape) serve(c net.Conn) {
+// serve reads and answers the requests of one connection.
+func (server *recordingServer) serve(conn net.Conn) {
 	var raw bytes.Buffer
-	for in := bufio.NewReader(io.TeeReader(c, &raw)); ; raw.Reset() {
-		r, err := http.ReadRequest(in)
+	for reader := bufio.NewReader(io.TeeReader(conn, &raw)); ; raw.Reset() {
+		r, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			return
 		}
-		tp.heard <- raw.String()
-		text := tp.answer(r)
+		server.requests <- raw.String()
+		text := server.respond(r)
 		if text == "" {
-			_, _ = io.Copy(io.Discard, c)
+			_, _ = io.Copy(io.Discard, conn)
 			return
 		}
-		_, _ = io.WriteString(c, text)
+		_, _ = io.WriteString(conn, text)
 	}
 }
 
-// shown is a request as the golden files have it, on one line.
-func shown(raw string) string {
+// maskRequest returns a request in the form of the golden files, on one line.
+func maskRequest(raw string) string {
 	raw = golden.Mask(raw, `127\.0\.0\.1:\d+`, "HOST:PORT", `Req-Deadline-Ms: \d+`, "Req-Deadline-Ms: N")
 	return fmt.Sprintf("%q\n", raw)
 }
 
-// front is a sender with a RESP client's side, one endpoint and an agent.
-type front struct {
-	addr string
-	core *sender.Sender
-	in   *Ingress
-	r    *reactor.Reactor
+// testFront is a sender with an ingress for RESP clients, one endpoint and an agent.
+type testFront struct {
+	addr      string
+	core      *sender.Sender
+	ingress   *Ingress
+	eventLoop *reactor.Reactor
 }
 
-func startFront(t *testing.T, endpoint, agent *tape) *front {
+func startFront(t *testing.T, endpoint, agent *recordingServer) *testFront {
 	t.Helper()
-	f := &front{}
-	w := &world{seq: 1, dial: endpoint.addr()}
+	f := &testFront{}
+	env := &testEnv{listVersion: 1, endpointAddr: endpoint.addr()}
 	type accept = func(*reactor.Conn) reactor.Handler
-	f.addr, _ = standin.Start(t, t.TempDir(), func(core *sender.Sender, r *reactor.Reactor) accept {
-		f.core, f.r = core, r
-		f.in = NewIngress(core, r, agent.addr(), conntable.NewRoom(100).NewTable(Limits(100)), true)
-		core.AddIngress(Front, f.in)
-		core.AddEgress(Proto, NewEgress(core, r, standin.Settings(), conntable.NewRoom(100)))
-		Watch(core, r, agent.addr(), w.hosts("active"), WatchOptions{Senders: 1, Seed: 1, Grace: 2 * time.Second})
-		return f.in.Accept
+	f.addr, _ = standin.Start(t, t.TempDir(), func(core *sender.Sender, eventLoop *reactor.Reactor) accept {
+		f.core, f.eventLoop = core, eventLoop
+		f.ingress = NewIngress(core, eventLoop, agent.addr(), conntable.NewRoom(100).NewTable(Limits(100)), true)
+		core.AddIngress(Front, f.ingress)
+		core.AddEgress(Proto, NewEgress(core, eventLoop, standin.Settings(), conntable.NewRoom(100)))
+		Watch(core, eventLoop, agent.addr(), env.endpointList("active"),
+			WatchOptions{Senders: 1, Seed: 1, Grace: 2 * time.Second})
+		return f.ingress.Accept
 	})
 	return f
 }
 
 const (
-	done    = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-	broke   = "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"
-	settled = "HTTP/1.1 204 No Content\r\n\r\n"
+	okResponse        = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+	errorResponse     = "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"
+	noContentResponse = "HTTP/1.1 204 No Content\r\n\r\n"
 )
 
-// answerList is an agent's answer that changes nothing.
-func answerList(seq int) string {
+// unchangedList returns an agent's response without a change.
+func unchangedList(seq int) string {
 	body := fmt.Sprintf(`{"seq":%d,"whole":false,"hosts":[]}`, seq)
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// quiet is an agent that settles all ends and has no news.
-func quiet(t *testing.T) *tape {
-	return newTape(t, func(r *http.Request) string {
+// newIdleAgent starts an agent that acknowledges all notices and has no changes.
+func newIdleAgent(t *testing.T) *recordingServer {
+	return newRecordingServer(t, func(r *http.Request) string {
 		switch {
 		case r.URL.Path == "/v2/finals":
-			return settled
+			return noContentResponse
 		case r.URL.Query().Get("wait") == "1":
-			return answerList(5)
+			return unchangedList(5)
 		}
 		return ""
 	})
 }
 
-// words is the bytes of one command.
-func words(list ...string) string {
+// encodeCommand returns the bytes of one command.
+func encodeCommand(elements ...string) string {
 	var out strings.Builder
-	fmt.Fprintf(&out, "*%d\r\n", len(list))
-	for _, x := range list {
-		fmt.Fprintf(&out, "$%d\r\n%s\r\n", len(x), x)
+	fmt.Fprintf(&out, "*%d\r\n", len(elements))
+	for _, element := range elements {
+		fmt.Fprintf(&out, "$%d\r\n%s\r\n", len(element), element)
 	}
 	return out.String()
 }
 
-// answered reads one RESP answer's bytes, or tells that the connection ended.
-func answered(in *bufio.Reader) string {
-	line, err := in.ReadString('\n')
+// readReply returns the bytes of one RESP reply, with "(closed)" appended if the connection has ended.
+func readReply(reader *bufio.Reader) string {
+	line, err := reader.ReadString('\n')
 	if err != nil {
 		return line + "(closed)"
 	}
 	if strings.HasPrefix(line, "$") {
-		more, _ := in.ReadString('\n')
-		line += more
+		body, _ := reader.ReadString('\n')
+		line += body
 	}
 	return line
 }
 
-// A scene on one RESP connection: each command and each kind of fault, and the bytes of the answer.
+// Each command and each kind of error on RESP connections, with the bytes of the reply.
 func TestGoldenResp(t *testing.T) {
-	endpoint := newTape(t, func(*http.Request) string { return "" })
-	f := startFront(t, endpoint, quiet(t))
-	const good = "c=key,t=x,k=5c0f,dest=7,d=9000"
+	endpoint := newRecordingServer(t, func(*http.Request) string { return "" })
+	f := startFront(t, endpoint, newIdleAgent(t))
+	const validFields = "c=key,t=x,k=5c0f,dest=7,d=9000"
 	var out strings.Builder
-	talk := func(commands ...string) {
-		c, err := net.Dial("tcp", f.addr)
+	exchange := func(commands ...string) {
+		conn, err := net.Dial("tcp", f.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		_ = c.SetDeadline(time.Now().Add(standin.Long))
-		in := bufio.NewReader(c)
-		for _, x := range commands {
-			_, _ = io.WriteString(c, x)
-			fmt.Fprintf(&out, "> %.200q\n%q\n", x, golden.Mask(answered(in), `-BUSY \d+`, "-BUSY N"))
+		defer conn.Close()
+		_ = conn.SetDeadline(time.Now().Add(standin.Long))
+		reader := bufio.NewReader(conn)
+		for _, command := range commands {
+			_, _ = io.WriteString(conn, command)
+			fmt.Fprintf(&out, "> %.200q\n%q\n", command, golden.Mask(readReply(reader), `-BUSY \d+`, "-BUSY N"))
 		}
 	}
-	submit := func(id, values string) string { return words("SUBMIT", "0", id, values, "body") }
-	talk(words("PING"), words("ping", "hello"), submit("m1", good), submit("m1", good), submit("", good),
-		submit("a b", good), submit(strings.Repeat("x", 65), good), submit("m2", "t=x,dest=7,d=9"),
+	submit := func(id, fields string) string { return encodeCommand("SUBMIT", "0", id, fields, "body") }
+	exchange(encodeCommand("PING"), encodeCommand("ping", "hello"),
+		submit("m1", validFields), submit("m1", validFields), submit("", validFields),
+		submit("a b", validFields), submit(strings.Repeat("x", 65), validFields), submit("m2", "t=x,dest=7,d=9"),
 		submit("m2", "c=none,dest=7,d=9"),
 		submit("m2", "c=safe,dest=7"), submit("m2", "c=safe,dest=7,d=x"), submit("m2", "c=safe,d=9"),
 		submit("m2", "c=safe,dest=8,d=9"), submit("m2", "c=key,dest=7,d=9"), submit("m2", "c=key,dest=7,d=9,k=a b"),
-		words("SUBMIT", "0", "m2"),
-		words("GET", "x"), submit("late", "c=safe,dest=7,d=0"))
+		encodeCommand("SUBMIT", "0", "m2"),
+		encodeCommand("GET", "x"), submit("late", "c=safe,dest=7,d=0"))
 	paused := make(chan bool)
 	f.core.Post(func() { f.core.Pause(true); close(paused) })
 	<-paused
-	const more = "" // nothing is sent: the connection must be closed
-	talk(submit("m3", good), "+OK\r\n", more)
-	talk("*1\r\n$99999999\r\n", more)
-	talk("*0\r\n", more)
+	const nothing = "" // the connection must be closed without further data
+	exchange(submit("m3", validFields), "+OK\r\n", nothing)
+	exchange("*1\r\n$99999999\r\n", nothing)
+	exchange("*0\r\n", nothing)
 	fmt.Fprintf(&out, "turned away: %q\n", TurnedAway)
 	golden.Check(t, "resp.txt", out.String())
 }
 
-// The requests to an endpoint: messages alone, with and without a key, and a bundle.
+// The requests to an endpoint: single messages, with and without an idempotency key, and a bundle.
 func TestGoldenCalls(t *testing.T) {
-	endpoint := newTape(t, func(*http.Request) string { return done })
-	b := newBench(t)
-	b.to.Dial = endpoint.addr()
+	endpoint := newRecordingServer(t, func(*http.Request) string { return okResponse })
+	h := newEgressHarness(t)
+	h.route.Dial = endpoint.addr()
 	var out strings.Builder
 	for _, calls := range [][]sender.Attempt{
 		{{ID: "m1", Body: []byte("body\x00\r\n")}},
@@ -201,34 +204,34 @@
 		{{ID: "m4", Body: []byte("four")}, {ID: "m5", Key: "k5", Body: []byte("five")}, {ID: "m6"}},
 	} {
 		for i := range calls {
-			calls[i].TimeoutUs, calls[i].Deadline = 60e6, b.core.Now()+60e6
+			calls[i].TimeoutUs, calls[i].Deadline = 60e6, h.core.Now()+60e6
 		}
-		b.do(func() { b.e.Send(b.to, calls) })
-		out.WriteString(shown(wait(t, endpoint.heard)))
+		h.runOnLoop(func() { h.egress.Send(h.route, calls) })
+		out.WriteString(maskRequest(receive(t, endpoint.requests)))
 	}
 	golden.Check(t, "calls.txt", out.String())
 }
 
-// From a client's command to the endpoint's request and the notice of the end, and the registry's
-// watch.
+// The requests of the registry's watch, and a message from the client's command to the endpoint's request
+// and the notice of the final answer.
 func TestGoldenNoticesAndWatch(t *testing.T) {
-	endpoint := newTape(t, func(*http.Request) string { return broke })
-	agent := quiet(t)
+	endpoint := newRecordingServer(t, func(*http.Request) string { return errorResponse })
+	agent := newIdleAgent(t)
 	f := startFront(t, endpoint, agent)
 	var out strings.Builder
-	out.WriteString(shown(wait(t, agent.heard)) + shown(wait(t, agent.heard)))
-	c, err := net.Dial("tcp", f.addr)
+	out.WriteString(maskRequest(receive(t, agent.requests)) + maskRequest(receive(t, agent.requests)))
+	conn, err := net.Dial("tcp", f.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	_, _ = io.WriteString(c, words("SUBMIT", "0", "m1", "c=once,t=x,k=5c0f,dest=7,d=9000", "body m1"))
-	fmt.Fprintf(&out, "%q\n", answered(bufio.NewReader(c)))
-	out.WriteString(shown(wait(t, endpoint.heard)) + shown(wait(t, agent.heard)))
-	for _, x := range []struct {
-		end    string
-		waitMs int64
-		again  bool
+	defer conn.Close()
+	_, _ = io.WriteString(conn, encodeCommand("SUBMIT", "0", "m1", "c=once,t=x,k=5c0f,dest=7,d=9000", "body m1"))
+	fmt.Fprintf(&out, "%q\n", readReply(bufio.NewReader(conn)))
+	out.WriteString(maskRequest(receive(t, endpoint.requests)) + maskRequest(receive(t, agent.requests)))
+	for _, notice := range []struct {
+		answer       string
+		retryAfterMs int64
+		repeated     bool
 	}{
 		{sender.Abandoned, 0, false},
 		{sender.Abandoned, 0, true},
@@ -236,20 +239,22 @@
 		{sender.Returned, 700, false},
 		{sender.Returned, 700, true},
 	} {
-		f.r.Post(func() { f.in.Notify("x1", "", x.end, x.waitMs, x.again) })
-		out.WriteString(shown(wait(t, agent.heard)))
+		f.eventLoop.Post(func() { f.ingress.Notify("x1", "", notice.answer, notice.retryAfterMs, notice.repeated) })
+		out.WriteString(maskRequest(receive(t, agent.requests)))
 	}
 	golden.Check(t, "notices.txt", out.String())
 }
 
-// The watch of a sender that knows no version polls for the whole list.
+// A sender without a list version polls for the whole list.
 func TestGoldenWatchWithoutVersion(t *testing.T) {
-	agent := newTape(t, func(*http.Request) string { return "" })
-	standin.Start(t, t.TempDir(), func(core *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
-		in := NewIngress(core, r, agent.addr(), conntable.NewRoom(100).NewTable(Limits(100)), true)
-		core.AddIngress(Front, in)
-		Follow(core, r, agent.addr(), nil, -1, WatchOptions{Senders: 1, Seed: 1, Grace: 2 * time.Second})
-		return in.Accept
+	agent := newRecordingServer(t, func(*http.Request) string { return "" })
+	standin.Start(t, t.TempDir(), func(
+		core *sender.Sender, eventLoop *reactor.Reactor,
+	) func(*reactor.Conn) reactor.Handler {
+		ingress := NewIngress(core, eventLoop, agent.addr(), conntable.NewRoom(100).NewTable(Limits(100)), true)
+		core.AddIngress(Front, ingress)
+		Follow(core, eventLoop, agent.addr(), nil, -1, WatchOptions{Senders: 1, Seed: 1, Grace: 2 * time.Second})
+		return ingress.Accept
 	})
-	golden.Check(t, "watch.txt", shown(wait(t, agent.heard)))
+	golden.Check(t, "watch.txt", maskRequest(receive(t, agent.requests)))
 }
--- a/internal/net/platform/idle_test.go
+++ b/internal/net/platform/idle_test.go
@@ -22,14 +22,14 @@
 	"brackendale/sender"
 )
 
-// raw is a RESP2 client that reads line by line.
-type raw struct {
+// rawClient is a RESP2 client that reads replies line by line.
+type rawClient struct {
 	net.Conn
-	t  *testing.T
-	in *bufio.Reader
+	t      *testing.T
+	reader *bufio.Reader
 }
 
-func dialRaw(t *testing.T, addr string) *raw {
+func dialClient(t *testing.T, addr string) *rawClient {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -37,222 +37,228 @@
 	}
 	t.Cleanup(func() { _ = c.Close() })
 	_ = c.SetDeadline(time.Now().Add(standin.Long))
-	return &raw{c, t, bufio.NewReader(c)}
+	return &rawClient{c, t, bufio.NewReader(c)}
 }
 
-func (c *raw) send(words ...string) {
-	var b strings.Builder
-	fmt.Fprintf(&b, "*%d\r\n", len(words))
-	for _, w := range words {
-		fmt.Fprintf(&b, "$%d\r\n%s\r\n", len(w), w)
+func (c *rawClient) send(elements ...string) {
+	var command strings.Builder
+	fmt.Fprintf(&command, "*%d\r\n", len(elements))
+	for _, element := range elements {
+		fmt.Fprintf(&command, "$%d\r\n%s\r\n", len(element), element)
 	}
-	_, _ = io.WriteString(c, b.String()) // a peer that went is seen by the next read
+	_, _ = io.WriteString(c, command.String()) // the next read reports a closed connection
 }
 
-func (c *raw) line() (string, error) {
-	s, err := c.in.ReadString('\n')
-	return strings.TrimSpace(s), err
+func (c *rawClient) readLine() (string, error) {
+	line, err := c.reader.ReadString('\n')
+	return strings.TrimSpace(line), err
 }
 
-func (c *raw) ping() {
+func (c *rawClient) ping() {
 	c.t.Helper()
 	c.send("PING")
-	if got, err := c.line(); got != "+PONG" {
+	if got, err := c.readLine(); got != "+PONG" {
 		c.t.Fatal(got, err)
 	}
 }
 
-// held runs f while the loop stands still, so that what it causes crosses.
-func (w *world) held(f func()) {
-	in, out := make(chan bool), make(chan bool)
-	w.r.Post(func() { close(in); <-out })
-	<-in
+// withLoopPaused runs f while the event loop is paused, so that the loop handles the effects of f only later.
+func (env *testEnv) withLoopPaused(f func()) {
+	paused, resume := make(chan bool), make(chan bool)
+	env.eventLoop.Post(func() { close(paused); <-resume })
+	<-paused
 	f()
-	close(out)
+	close(resume)
 }
 
-// A client's command crosses the close of its connection, which has given way to a newcomer. The
-// client hears no answer and says it again on a new one; it runs once.
-func TestEvictedWhileACommandCrosses(t *testing.T) {
-	w := newWorld(t)
-	w.answer, w.most = ok, 1
-	addr, _ := w.start()
-	old := dialRaw(t, addr)
-	old.ping()
-	var next *raw
-	w.held(func() {
-		next = dialRaw(t, addr)
-		time.Sleep(50 * time.Millisecond) // the newcomer is accepted, and its handler waits for the loop
-		old.send("SUBMIT", "0", "m1", "c=once,t=x,d=9000,dest=7", "charge")
-		time.Sleep(50 * time.Millisecond) // and so does what the old one says
+// A command is in transit while its connection is evicted for a new one. The client gets no reply and
+// repeats the command on a new connection; its message must run once.
+func TestEvictedWhileCommandInTransit(t *testing.T) {
+	env := newTestEnv(t)
+	env.respond, env.maxClients = respondOK, 1
+	addr, _ := env.startSender()
+	oldClient := dialClient(t, addr)
+	oldClient.ping()
+	var newClient *rawClient
+	env.withLoopPaused(func() {
+		newClient = dialClient(t, addr)
+		time.Sleep(50 * time.Millisecond) // the new connection is accepted, and its handler waits for the event loop
+		oldClient.send("SUBMIT", "0", "m1", "c=once,t=x,d=9000,dest=7", "charge")
+		time.Sleep(50 * time.Millisecond) // so does the old connection's command
 	})
-	next.ping()
-	if got, err := old.line(); err == nil {
-		t.Fatal("the closed connection answered", got)
+	newClient.ping()
+	if got, err := oldClient.readLine(); err == nil {
+		t.Fatal("the closed connection replied", got)
 	}
-	next.send("SUBMIT", "0", "m1", "c=once,t=x,d=9000,dest=7", "charge")
-	if got, err := next.line(); got != "+OK" {
+	newClient.send("SUBMIT", "0", "m1", "c=once,t=x,d=9000,dest=7", "charge")
+	if got, err := newClient.readLine(); got != "+OK" {
 		t.Fatal(got, err)
 	}
-	wait(t, w.calls)
-	for w.delivered() == 0 {
+	receive(t, env.calls)
+	for env.deliveredCount() == 0 {
 	}
-	if len(w.calls) > 0 {
+	if len(env.calls) > 0 {
 		t.Fatal("it ran twice")
 	}
 }
 
-// A connection on which an answer is due does not give way, whoever comes.
-func TestAnswerDueOnTheOldest(t *testing.T) {
-	w := newWorld(t)
-	w.answer, w.most = ok, 1
-	addr, _ := w.start()
-	old, gate := dialRaw(t, addr), make(chan bool)
-	old.ping()
-	w.core.Post(func() { <-gate }) // no step is made, so the answer stays due
-	old.send("SUBMIT", "0", "m1", "c=once,t=x,d=9000,dest=7", "charge")
-	for n := 0; n == 0; {
+// A connection with a pending reply is not evicted for a new one.
+func TestPendingReplyPreventsEviction(t *testing.T) {
+	env := newTestEnv(t)
+	env.respond, env.maxClients = respondOK, 1
+	addr, _ := env.startSender()
+	oldClient, release := dialClient(t, addr), make(chan bool)
+	oldClient.ping()
+	env.core.Post(func() { <-release }) // the core makes no step, so the reply stays pending
+	oldClient.send("SUBMIT", "0", "m1", "c=once,t=x,d=9000,dest=7", "charge")
+	for count := 0; count == 0; {
 		done := make(chan int)
-		w.r.Post(func() { done <- w.in.table.Counts()[conntable.Busy] })
-		n = <-done
+		env.eventLoop.Post(func() { done <- env.ingress.table.Counts()[conntable.Busy] })
+		count = <-done
 	}
-	if got, err := dialRaw(t, addr).line(); !errors.Is(err, io.EOF) {
-		t.Fatal("the newcomer was let in", got, err)
+	if got, err := dialClient(t, addr).readLine(); !errors.Is(err, io.EOF) {
+		t.Fatal("the new connection was admitted", got, err)
 	}
-	close(gate)
-	if got, err := old.line(); got != "+OK" {
+	close(release)
+	if got, err := oldClient.readLine(); got != "+OK" {
 		t.Fatal(got, err)
 	}
 }
 
-// Half a command across the limit is refused; one whose end lies unread is not.
-func TestHalfACommandAcrossTheLimit(t *testing.T) {
-	w := newWorld(t)
-	w.answer = ok
-	addr, _ := w.start()
-	slow, late := dialRaw(t, addr), dialRaw(t, addr)
-	for _, c := range []*raw{slow, late} {
+// A partial command that exceeds the timeout is rejected, unless its remaining bytes have arrived unread.
+func TestPartialCommandTimeout(t *testing.T) {
+	env := newTestEnv(t)
+	env.respond = respondOK
+	addr, _ := env.startSender()
+	slow, late := dialClient(t, addr), dialClient(t, addr)
+	for _, c := range []*rawClient{slow, late} {
 		c.ping()
 		_, _ = io.WriteString(c, "*1\r\n$4\r\nPI")
 	}
-	for n := 0; n < 2; { // both halves have come
+	for count := 0; count < 2; { // until both partial commands were read
 		done := make(chan int)
-		w.r.Post(func() { done <- w.in.table.Counts()[conntable.Partial] })
-		n = <-done
+		env.eventLoop.Post(func() { done <- env.ingress.table.Counts()[conntable.Partial] })
+		count = <-done
 	}
-	w.held(func() {
+	env.withLoopPaused(func() {
 		_, _ = io.WriteString(late, "NG\r\n")
-		time.Sleep(50 * time.Millisecond) // the engine has read it, and the loop has not
-		w.r.Post(func() { w.in.table.Expire(w.r.Now()+time.Minute, 100, conntable.Unread, conntable.End) })
+		time.Sleep(50 * time.Millisecond) // read by the engine, but not handled by the event loop
+		env.eventLoop.Post(func() {
+			env.ingress.table.Expire(env.eventLoop.Now()+time.Minute, 100, conntable.Unread, conntable.End)
+		})
 	})
-	if got, err := late.line(); got != "+PONG" {
+	if got, err := late.readLine(); got != "+PONG" {
 		t.Fatal(got, err)
 	}
-	if got, err := slow.line(); got != "-ERR no whole command in time" {
+	if got, err := slow.readLine(); got != "-ERR no whole command in time" {
 		t.Fatal(got, err)
 	}
 }
 
-// Clients that send a byte now and then are ended in the end, hold no more than what they have
-// sent, and do not keep one that behaves from being served.
+// Clients that send single bytes at long intervals are disconnected, and do not keep a well-behaved client
+// from being served.
 func TestSlowLoris(t *testing.T) {
-	w := newWorld(t)
-	w.answer, w.most = ok, 300
-	addr, _ := w.start()
-	var crowd []*raw
+	env := newTestEnv(t)
+	env.respond, env.maxClients = respondOK, 300
+	addr, _ := env.startSender()
+	var clients []*rawClient
 	for range 200 {
-		c := dialRaw(t, addr)
+		c := dialClient(t, addr)
 		_, _ = io.WriteString(c, "*5\r\n$6\r\nSUB")
-		crowd = append(crowd, c)
+		clients = append(clients, c)
 	}
-	w.submit(addr, "m1", "once", "9000")
-	wait(t, w.calls)
-	for _, c := range crowd {
+	env.submit(addr, "m1", "once", "9000")
+	receive(t, env.calls)
+	for _, c := range clients {
 		_, _ = io.WriteString(c, "M")
 	}
-	w.r.Post(func() { w.in.table.Expire(w.r.Now()+time.Minute, 1000, nil, conntable.End) })
-	for i, c := range crowd {
-		if got, err := c.line(); errors.Is(err, os.ErrDeadlineExceeded) || got != "" && got[0] != '-' {
+	env.eventLoop.Post(func() { env.ingress.table.Expire(env.eventLoop.Now()+time.Minute, 1000, nil, conntable.End) })
+	for i, c := range clients {
+		if got, err := c.readLine(); errors.Is(err, os.ErrDeadlineExceeded) || got != "" && got[0] != '-' {
 			t.Fatal(i, got, err)
 		}
 	}
-	w.submit(addr, "m2", "once", "9000")
+	env.submit(addr, "m2", "once", "9000")
 }
 
-// A newcomer without room gets a Retry-After if the front sends them, and an idle limit ends what
-// is unused.
+// A rejected connection gets a Retry-After if the front sends them, and an idle connection is closed by its
+// time limit.
 func TestFrontSendsRetryAfter(t *testing.T) {
-	w, calls := newWorld(t), make(chan bool, 9)
-	gate := make(chan bool)
-	w.answer = func(http.ResponseWriter, *http.Request, string) { calls <- true; <-gate }
-	defer close(gate)
-	var in *Ingress
-	var at *reactor.Reactor
-	addr, _ := standin.Start(t, w.dir, func(core *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
-		lim := conntable.Limits{Most: 1, Keep: 1, Unused: time.Hour}
-		in, at = NewIngress(core, r, w.agent.Listener.Addr().String(), conntable.NewRoom(1).NewTable(lim), true), r
-		core.AddIngress(Front, in)
-		core.UpdateRoutes("whole", Routes(w.hosts("active")))
-		return in.Accept
+	env, calls := newTestEnv(t), make(chan bool, 9)
+	release := make(chan bool)
+	env.respond = func(http.ResponseWriter, *http.Request, string) { calls <- true; <-release }
+	defer close(release)
+	var ingress *Ingress
+	var eventLoop *reactor.Reactor
+	addr, _ := standin.Start(t, env.stateDir, func(
+		core *sender.Sender, r *reactor.Reactor,
+	) func(*reactor.Conn) reactor.Handler {
+		limits := conntable.Limits{Most: 1, Keep: 1, Unused: time.Hour}
+		ingress, eventLoop = NewIngress(core, r, env.agent.Listener.Addr().String(),
+			conntable.NewRoom(1).NewTable(limits), true), r
+		core.AddIngress(Front, ingress)
+		core.UpdateRoutes("whole", Routes(env.endpointList("active")))
+		return ingress.Accept
 	})
-	one := dialRaw(t, addr)
-	one.ping()
+	first := dialClient(t, addr)
+	first.ping()
 	done := make(chan bool)
-	at.Post(func() {
-		in.table.Each(func(e *conntable.Entry) { e.Move(conntable.Busy, at.Now()) }) // as while an answer is due
+	eventLoop.Post(func() {
+		// As with a pending reply.
+		ingress.table.Each(func(entry *conntable.Entry) { entry.Move(conntable.Busy, eventLoop.Now()) })
 		close(done)
 	})
 	<-done
-	two := dialRaw(t, addr)
-	two.send("PING")
-	if got, err := two.line(); got != "-BUSY 500" {
+	second := dialClient(t, addr)
+	second.send("PING")
+	if got, err := second.readLine(); got != "-BUSY 500" {
 		t.Fatal(got, err)
 	}
-	if _, err := two.line(); !errors.Is(err, io.EOF) {
-		t.Fatal("it was not closed in order:", err)
+	if _, err := second.readLine(); !errors.Is(err, io.EOF) {
+		t.Fatal("not closed gracefully:", err)
 	}
-	one.ping() // idle again
-	at.Post(func() { in.table.Expire(at.Now()+2*time.Hour, 10, conntable.Unread, conntable.End) })
-	if _, err := one.line(); !errors.Is(err, io.EOF) {
+	first.ping() // idle again
+	eventLoop.Post(func() { ingress.table.Expire(eventLoop.Now()+2*time.Hour, 10, conntable.Unread, conntable.End) })
+	if _, err := first.readLine(); !errors.Is(err, io.EOF) {
 		t.Fatal(err)
 	}
 }
 
-// The bytes of an idle client: its own record, and what the heap holds for ten thousand of them
-// with the table.
-func TestClientBytes(t *testing.T) {
-	if n := unsafe.Sizeof(client{}); n > 136 {
-		t.Errorf("a client's record takes %d bytes", n)
+// The memory of an idle client: the size of its record, and its share of the heap with ten thousand
+// clients in a table.
+func TestClientMemory(t *testing.T) {
+	if size := unsafe.Sizeof(client{}); size > 136 {
+		t.Errorf("a client's record has %d bytes", size)
 	}
-	const n = 10_000
-	in := &Ingress{table: conntable.NewRoom(n).NewTable(Limits(n))}
-	list := make([]*client, n)
+	const count = 10_000
+	ingress := &Ingress{table: conntable.NewRoom(count).NewTable(Limits(count))}
+	clients := make([]*client, count)
 	before := testkit.HeapBytes()
-	for i := range list {
-		list[i] = &client{ingress: in, conn: &reactor.Conn{}}
-		in.table.Admit(&list[i].Entry, list[i], netip.Addr{}, time.Duration(i))
-		list[i].buffer.Store(list[i].buffer.Append([]byte("*1\r\n$4\r\nPI")))
-		list[i].buffer.Reset()
+	for i := range clients {
+		clients[i] = &client{ingress: ingress, conn: &reactor.Conn{}}
+		ingress.table.Admit(&clients[i].Entry, clients[i], netip.Addr{}, time.Duration(i))
+		clients[i].buffer.Store(clients[i].buffer.Append([]byte("*1\r\n$4\r\nPI")))
+		clients[i].buffer.Reset()
 	}
-	if each := (testkit.HeapBytes() - before) / n; each > 256 {
-		t.Errorf("an idle client takes %d bytes of heap", each)
+	if perClient := (testkit.HeapBytes() - before) / count; perClient > 256 {
+		t.Errorf("an idle client uses %d bytes of heap", perClient)
 	}
-	runtime.KeepAlive(list)
+	runtime.KeepAlive(clients)
 }
 
-// Clients may use a third of the descriptors, two thirds of the room: connections that asked once
-// and stay go before they are so many, and those under half of the room may stay.
-func TestIdleGoBeforeClientsAreAtTheirBound(t *testing.T) {
-	const most = 192
-	table := conntable.NewRoom(most).NewTable(Limits(most))
-	list := make([]*client, most*2/3)
-	for i := range list {
-		list[i] = &client{}
-		table.Admit(&list[i].Entry, list[i], netip.Addr{}, 0)
-		table.Move(&list[i].Entry, conntable.Idle, 0)
+// Clients may use one third of the descriptors, which is two thirds of the room. Idle connections are closed
+// before clients reach that, but not if at most half of the room is in use.
+func TestIdleClientsExpireBelowLimit(t *testing.T) {
+	const maxClients = 192
+	table := conntable.NewRoom(maxClients).NewTable(Limits(maxClients))
+	clients := make([]*client, maxClients*2/3)
+	for i := range clients {
+		clients[i] = &client{}
+		table.Admit(&clients[i].Entry, clients[i], netip.Addr{}, 0)
+		table.Move(&clients[i].Entry, conntable.Idle, 0)
 	}
-	table.Expire(time.Second, most, nil, func(*conntable.Entry, conntable.Reason) {})
-	if n := table.Len(); n != most/2 {
-		t.Fatalf("%d of %d idle connections stay", n, len(list))
+	table.Expire(time.Second, maxClients, nil, func(*conntable.Entry, conntable.Reason) {})
+	if remaining := table.Len(); remaining != maxClients/2 {
+		t.Fatalf("%d of %d idle connections remain", remaining, len(clients))
 	}
 }
--- a/internal/net/platform/ingress.go
+++ b/internal/net/platform/ingress.go
@@ -17,7 +17,7 @@
 // Front is the name of this front in the journal.
 const Front = "platform"
 
-// sweepInterval is the time between checks for connections that are over a limit.
+// sweepInterval is the interval between checks for connections that exceed a limit.
 const sweepInterval = 250 * time.Millisecond
 
 // The limits of a SUBMIT command.
@@ -28,11 +28,11 @@
 	maxDeadlineMs  = 1 << 40
 )
 
-// Limits are the connection limits of the platform's clients, for at most maxConnections.
+// Limits returns the connection limits of the platform's clients, for at most maxConnections.
 //
-// A connection without a whole command, or with a partial one, is closed after commandTimeout. An
-// idle one may be evicted after a quarter of that, and is closed by itself if more than half of the
-// connections are in use, so that idle clients leave room for new ones.
+// A connection is closed if a command, also its first one, is not complete within commandTimeout. An
+// idle connection may be evicted for a new one after a quarter of that time. If more than half of the
+// connections are in use, it is closed after that time in any case, so that new clients find room.
 func Limits(maxConnections int) conntable.Limits {
 	const commandTimeout = 2 * time.Second
 	return conntable.Limits{
@@ -45,7 +45,7 @@
 	}
 }
 
-// TurnedAway is sent to a new connection for which there is no room: it may come again in 500 ms.
+// TurnedAway is sent to a new connection that exceeds the limit: its client may retry after 500 ms.
 var TurnedAway = []byte("-BUSY 500\r\n")
 
 var errCommandTimeout = errors.New("ERR no whole command in time")
@@ -57,15 +57,15 @@
 	notices        *notices
 	table          *conntable.Table
 	limiter        *connlimit.Limiter
-	sendRetryAfter bool // new connections without room, and notices, say when to come again
+	sendRetryAfter bool // rejected connections get NoRoomReply, and notices may have the field again
 
-	// Of the read that is being handled, which is one client's.
-	words [][]byte          // of the command; reused
-	batch []*sender.Request // not submitted yet
+	// The state of the read that is being handled, which belongs to one client.
+	elements [][]byte          // the elements of a command; the slice is reused
+	batch    []*sender.Request // requests that are not submitted yet
 }
 
-// NewIngress makes the clients' side on a connection table. Final answers are notified to the agent
-// at discovery. With sendRetryAfter, rejected connections hear when to come again.
+// NewIngress returns an Ingress whose connections are in table. Final answers are notified to the agent
+// at the address discovery. With sendRetryAfter, rejected connections are sent a time to retry after.
 func NewIngress(
 	core *sender.Sender, eventLoop *reactor.Reactor, discovery string, table *conntable.Table,
 	sendRetryAfter bool,
@@ -80,11 +80,11 @@
 	}
 }
 
-// Move sends notices to another agent from here on.
-func (in *Ingress) Move(discovery string) { in.notices.move(discovery) }
+// Move changes the agent to which notices are sent.
+func (in *Ingress) Move(discovery string) { in.notices.setAgent(discovery) }
 
-// Accept admits a client's connection, if need be in place of an idle one. It returns nil if the
-// connection is to be closed.
+// Accept admits a client's connection, and evicts an idle one for it if the limit is reached. It
+// returns nil if the connection is to be closed.
 func (in *Ingress) Accept(conn *reactor.Conn) reactor.Handler {
 	cl := &client{ingress: in, conn: conn}
 	if in.limiter.Admit(&cl.Entry, cl, conn) {
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// parseSubmit reads the arguments of SUBMIT: the routing key (not used), the ID, the fields and the
-// body. It returns the text of an error, or "".
+// parseSubmit parses the arguments of SUBMIT: the routing key (not used), the ID, the fields and the
+// body. The second result is the text of an error, or "".
 func (in *Ingress) parseSubmit(args [][]byte) (*sender.Request, string) {
 	if len(args) != 4 {
 		return nil, "wrong number of arguments for SUBMIT"
@@ -128,8 +128,8 @@
 	return request, ""
 }
 
-// parseFields reads the name=value pairs of SUBMIT into the request. The deadline is in
-// milliseconds from now, and under 0 if it is missing or malformed.
+// parseFields parses the name=value pairs of SUBMIT into the request. The deadline is in milliseconds
+// from now, and negative if it is missing or malformed.
 func parseFields(request *sender.Request, fields []byte) (deadlineMs int64, hasDestination bool) {
 	deadlineMs = -1
 	for len(fields) > 0 {
@@ -157,23 +157,24 @@
 	return deadlineMs, hasDestination
 }
 
-// Answer tells the client whether its request was accepted.
-func (in *Ingress) Answer(request *sender.Request, verdict sender.Verdict, waitMs int64) {
+// Answer replies to the client with the verdict on its request.
+func (in *Ingress) Answer(request *sender.Request, verdict sender.Verdict, retryAfterMs int64) {
 	pending, ok := request.IngressData.(*reply)
 	if !ok {
 		return
 	}
-	pending.text = verdictText(verdict, waitMs)
+	pending.text = verdictText(verdict, retryAfterMs)
 	if verdict == sender.Failed && pending.withdrawnText != nil {
 		pending.text = pending.withdrawnText
 	}
 	pending.client.flush()
 }
 
-func verdictText(verdict sender.Verdict, waitMs int64) []byte {
+// verdictText returns the reply for a verdict.
+func verdictText(verdict sender.Verdict, retryAfterMs int64) []byte {
 	switch {
-	case verdict == sender.Rejected && waitMs > 0:
-		return []byte("-BUSY " + strconv.FormatInt(waitMs, 10) + "\r\n")
+	case verdict == sender.Rejected && retryAfterMs > 0:
+		return []byte("-BUSY " + strconv.FormatInt(retryAfterMs, 10) + "\r\n")
 	case verdict == sender.Rejected:
 		return []byte("-BUSY\r\n")
 	case verdict == sender.Failed:
@@ -183,16 +184,16 @@
 	}
 }
 
-// MustNotify tells that all final answers but delivery are notified. Any goroutine may call it.
-func (in *Ingress) MustNotify(end string) bool { return end != sender.Delivered }
+// MustNotify reports that all final answers but delivered are notified. Any goroutine may call it.
+func (in *Ingress) MustNotify(answer string) bool { return answer != sender.Delivered }
 
-// Deduplicates is false: the platform's clients give each message that they hand in a new ID. Any
-// goroutine may call it.
+// Deduplicates reports false: the platform's clients submit each message with a new ID. Any goroutine
+// may call it.
 func (in *Ingress) Deduplicates() bool { return false }
 
-// Notify queues a notice.
-func (in *Ingress) Notify(id, _, end string, waitMs int64, again bool) {
-	in.notices.add(id, end, waitMs, again && in.sendRetryAfter)
+// Notify queues the notice of a final answer.
+func (in *Ingress) Notify(id, _, answer string, retryAfterMs int64, repeated bool) {
+	in.notices.add(id, answer, retryAfterMs, repeated && in.sendRetryAfter)
 }
 
 // CloseIdle closes the connections without pending replies, and the others after their replies.
@@ -205,16 +206,16 @@
 	})
 }
 
-// firstCommandTime is how long a new connection is not retired: its first command may be on its way, and its client
-// would take the end of a new connection for a lost command.
-const firstCommandTime = time.Second
+// newConnectionGrace is how long a new connection is not retired. Its first command may be in transit, and its client
+// would count that command as lost if the new connection ended.
+const newConnectionGrace = time.Second
 
 // Retire closes the connections that have no pending reply and no unread or partial command, and
-// returns how many are left.
+// returns the number of those that remain.
 func (in *Ingress) Retire() int {
 	now := in.reactor.Now()
 	in.table.Each(func(entry *conntable.Entry) {
-		isNew := entry.Class() == conntable.Fresh && now-entry.Since() < firstCommandTime
+		isNew := entry.Class() == conntable.Fresh && now-entry.Since() < newConnectionGrace
 		if cl, ok := entry.Owner().(*client); ok && !isNew && cl.isIdle() {
 			cl.close()
 		}
@@ -222,5 +223,5 @@
 	return in.table.Len()
 }
 
-// StopNotices sends no more notices: another process does.
+// StopNotices stops sending notices, since another process sends them from here on.
 func (in *Ingress) StopNotices() { in.notices.stop() }
--- a/internal/net/platform/notices.go
+++ b/internal/net/platform/notices.go
@@ -10,61 +10,63 @@
 	"brackendale/sender"
 )
 
-// maxBatch is the most notices in one request.
-const maxBatch = 256
+// maxNoticesPerRequest limits the notices in one request.
+const maxNoticesPerRequest = 256
 
-// notices tells the platform the final answers of messages that were accepted and not delivered.
-// Each is sent until the agent responds with 204, and only then acknowledged to the core.
+// notices sends the platform the final answers of messages that were accepted and not delivered. Each
+// notice is sent until the agent responds with 204, and only then acknowledged to the core.
 type notices struct {
 	core     *sender.Sender
 	reactor  *reactor.Reactor
-	addr     string // the agent's
+	addr     string // of the agent
 	link     *link
-	queue    []notice // not acknowledged yet, the oldest first
-	inFlight bool     // a request is out, with the front of the queue
+	queue    []notice // not acknowledged, the oldest first
+	inFlight bool     // a request with the front of the queue is in flight
 	stopped  bool
 }
 
+// notice is the notice of one message's final answer.
 type notice struct {
-	id   string
-	line []byte
+	id   string // of the message
+	line []byte // the notice as it is sent
 }
 
 func newNotices(core *sender.Sender, eventLoop *reactor.Reactor, addr string) *notices {
 	return &notices{core: core, reactor: eventLoop, addr: addr}
 }
 
-// add queues a final answer. waitMs, in milliseconds, and again go into the notice unless they are
-// zero; again is this appliance's addition to the platform's notices.
-func (n *notices) add(id, end string, waitMs int64, again bool) {
-	form := struct {
+// add queues the notice of a final answer. retryAfterMs, in milliseconds, and repeated are added to the
+// notice unless they are zero; repeated is this appliance's extension of the platform's notices.
+func (n *notices) add(id, answer string, retryAfterMs int64, repeated bool) {
+	body := struct {
 		ID      string `json:"id"`
 		State   string `json:"state"`
 		AfterMs int64  `json:"after_ms,omitempty"`
 		Again   bool   `json:"again,omitempty"`
-	}{id, end, waitMs, again}
-	line, err := json.Marshal(form)
-	if err != nil { // cannot happen for strings, a number and a bool
+	}{id, answer, retryAfterMs, repeated}
+	line, err := json.Marshal(body)
+	if err != nil { // impossible for strings, a number and a bool
 		panic(err)
 	}
 	n.queue = append(n.queue, notice{id, append(line, '\n')})
-	n.reactor.Post(n.send) // later, so that notices of one step share a request
+	n.reactor.Post(n.send) // deferred, so that notices of one step share a request
 }
 
-// move changes to another agent. What the old one has not acknowledged is sent to the new one.
-func (n *notices) move(addr string) {
+// setAgent changes to another agent. Notices that the old one has not acknowledged are sent to the new
+// one.
+func (n *notices) setAgent(addr string) {
 	if addr == n.addr {
 		return
 	}
 	old := n.link
 	n.addr, n.link = addr, nil
 	if old != nil {
-		old.abort() // ends a request in flight; its batch stays queued
+		old.abort() // ends the request in flight, whose batch stays queued
 	}
 	n.send()
 }
 
-// stop sends no more notices: another process does.
+// stop stops sending notices, since another process sends them from here on.
 func (n *notices) stop() {
 	n.stopped, n.queue = true, nil
 	if n.link != nil {
@@ -72,7 +74,7 @@
 	}
 }
 
-// send sends the front of the queue unless a request is in flight.
+// send sends the front of the queue, unless a request is in flight.
 func (n *notices) send() {
 	if n.stopped || n.inFlight || len(n.queue) == 0 {
 		return
@@ -80,17 +82,18 @@
 	if n.link == nil || n.link.conn.Dead() {
 		n.link = dial(n.reactor, n.addr, agentTimeout, maxAgentResponse)
 	}
-	batch := n.queue[:min(len(n.queue), maxBatch)]
-	used := n.link
+	batch := n.queue[:min(len(n.queue), maxNoticesPerRequest)]
+	requestLink := n.link
 	n.inFlight = true
 	var timer timers.Timer
-	n.reactor.Arm(&timer, agentTimeout, 0, timers.Func(used.abort))
-	used.send(func(response *http1.Response, err error) {
+	n.reactor.Arm(&timer, agentTimeout, 0, timers.Func(requestLink.abort))
+	requestLink.send(func(response *http1.Response, err error) {
 		n.reactor.Disarm(&timer)
-		n.finish(used, batch, err == nil && response.Status == statusNoContent)
+		n.finish(requestLink, batch, err == nil && response.Status == statusNoContent)
 	}, n.request(batch)...)
 }
 
+// request returns the HTTP request with a batch of notices, in pieces.
 func (n *notices) request(batch []notice) [][]byte {
 	pieces, size := [][]byte{nil}, 0
 	for _, queued := range batch {
@@ -102,9 +105,9 @@
 	return pieces
 }
 
-// finish ends the request in flight. Without an acknowledgement the batch is sent again after a
-// gap.
-func (n *notices) finish(used *link, batch []notice, acknowledged bool) {
+// finish ends the request in flight. A batch that was not acknowledged is sent again after
+// minRetryInterval.
+func (n *notices) finish(requestLink *link, batch []notice, acknowledged bool) {
 	n.inFlight = false
 	if n.stopped {
 		return
@@ -119,9 +122,9 @@
 		n.reactor.Post(n.send)
 		return
 	}
-	used.conn.Close()
-	if n.link == used {
+	requestLink.conn.Close()
+	if n.link == requestLink {
 		n.link = nil
 	}
-	n.reactor.After(minRetryGap, n.send)
+	n.reactor.After(minRetryInterval, n.send)
 }
--- a/internal/net/platform/notices_test.go
+++ b/internal/net/platform/notices_test.go
@@ -12,28 +12,29 @@
 	"brackendale/sender"
 )
 
-// A notice is sent until its response is 204, over a restart too.
+// A notice is sent again until its response is 204.
 func TestNoticeUntil204(t *testing.T) {
-	w := newWorld(t)
-	w.reject = 2
-	w.answer = func(rw http.ResponseWriter, _ *http.Request, _ string) {
+	env := newTestEnv(t)
+	env.rejectedNotices = 2
+	env.respond = func(rw http.ResponseWriter, _ *http.Request, _ string) {
 		rw.WriteHeader(http.StatusInternalServerError)
 	}
-	addr, _ := w.start()
-	w.submit(addr, "m1", "once", "9000") // answered 500 it may have run: a charge is not repeated
-	var n struct{ ID, State string }
-	if err := json.Unmarshal([]byte(wait(t, w.finals)), &n); err != nil || n.ID != "m1" || n.State != "failed" {
-		t.Fatal(n, err)
+	addr, _ := env.startSender()
+	env.submit(addr, "m1", "once", "9000") // after a 500 it may have run, and an unsafe message is not repeated
+	var notice struct{ ID, State string }
+	if err := json.Unmarshal([]byte(receive(t, env.notices)), &notice); err != nil || notice.ID != "m1" ||
+		notice.State != "failed" {
+		t.Fatal(notice, err)
 	}
-	if len(w.calls) != 1 {
-		t.Fatal("calls:", len(w.calls))
+	if len(env.calls) != 1 {
+		t.Fatal("calls:", len(env.calls))
 	}
 }
 
 // A notice that the old agent has not acknowledged is sent to the new one.
-func TestNoticeMoves(t *testing.T) {
-	w := newWorld(t)
-	w.answer = func(rw http.ResponseWriter, _ *http.Request, _ string) {
+func TestNoticeAfterAgentChange(t *testing.T) {
+	env := newTestEnv(t)
+	env.respond = func(rw http.ResponseWriter, _ *http.Request, _ string) {
 		rw.WriteHeader(http.StatusInternalServerError)
 	}
 	unresponsive, err := net.Listen("tcp", "127.0.0.1:0")
@@ -41,27 +42,30 @@
 		t.Fatal(err)
 	}
 	defer unresponsive.Close()
-	heard := make(chan bool, 1)
+	received := make(chan bool, 1)
 	go func() {
-		if c, err := unresponsive.Accept(); err == nil {
-			_, err = c.Read(make([]byte, 1))
-			heard <- err == nil
+		if conn, err := unresponsive.Accept(); err == nil {
+			_, err = conn.Read(make([]byte, 1))
+			received <- err == nil
 		}
 	}()
-	var move func()
-	agent := w.agent.Listener.Addr().String()
-	addr, _ := standin.Start(t, w.dir, func(core *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
-		in := NewIngress(core, r, unresponsive.Addr().String(), conntable.NewRoom(100).NewTable(Limits(100)), false)
-		move = func() { r.Post(func() { in.Move(agent) }) }
-		core.AddIngress(Front, in)
-		core.AddEgress(Proto, NewEgress(core, r, standin.Settings(), conntable.NewRoom(100)))
-		core.UpdateRoutes("whole", Routes(w.hosts("active")))
-		return in.Accept
+	var setAgent func()
+	agent := env.agent.Listener.Addr().String()
+	addr, _ := standin.Start(t, env.stateDir, func(
+		core *sender.Sender, eventLoop *reactor.Reactor,
+	) func(*reactor.Conn) reactor.Handler {
+		ingress := NewIngress(core, eventLoop, unresponsive.Addr().String(),
+			conntable.NewRoom(100).NewTable(Limits(100)), false)
+		setAgent = func() { eventLoop.Post(func() { ingress.Move(agent) }) }
+		core.AddIngress(Front, ingress)
+		core.AddEgress(Proto, NewEgress(core, eventLoop, standin.Settings(), conntable.NewRoom(100)))
+		core.UpdateRoutes("whole", Routes(env.endpointList("active")))
+		return ingress.Accept
 	})
-	w.submit(addr, "m1", "once", "9000")
-	wait(t, heard)
-	move()
-	if got := wait(t, w.finals); got != `{"id":"m1","state":"failed"}` {
+	env.submit(addr, "m1", "once", "9000")
+	receive(t, received)
+	setAgent()
+	if got := receive(t, env.notices); got != `{"id":"m1","state":"failed"}` {
 		t.Fatal(got)
 	}
 }
--- a/internal/net/platform/paths.go
+++ b/internal/net/platform/paths.go
@@ -1,17 +1,18 @@
 package platform
 
-// maxPathFailures is how many connects in a row may find no network path before the endpoint is
-// blamed: a short failure is this machine's, a lasting one is as good as an endpoint that is down.
+// maxPathFailures is the number of consecutive connects without a network path from which on the
+// endpoint counts as failed. A short failure is attributed to this machine; a lasting one has the same
+// effect as an endpoint that is unavailable.
 const maxPathFailures = 3
 
-// paths counts, by endpoint address, the connects in a row that found no network path.
-type paths map[string]int
+// pathFailures counts, by endpoint address, the consecutive connects that found no network path.
+type pathFailures map[string]int
 
-// failed counts a failure and tells whether the endpoint is still not to blame.
-func (p paths) failed(addr string) bool {
+// record counts a failure and reports whether it is still attributed to this machine.
+func (p pathFailures) record(addr string) bool {
 	p[addr]++
 	return p[addr] < maxPathFailures
 }
 
-// reset forgets an endpoint that was reached, or that takes no new attempts.
-func (p paths) reset(addr string) { delete(p, addr) }
+// reset removes the count of an endpoint that was reached, or that accepts no new attempts.
+func (p pathFailures) reset(addr string) { delete(p, addr) }
--- a/internal/net/platform/platform_test.go
+++ b/internal/net/platform/platform_test.go
@@ -19,186 +19,195 @@
 	"brackendale/sender"
 )
 
-// world stands in for the agent and the endpoints.
-type world struct {
+// testEnv has a stand-in agent and endpoint, and the sender that a test has started.
+type testEnv struct {
 	t                 *testing.T
 	agent             *httptest.Server
-	target            *httptest.Server
-	finals            chan string
+	endpoint          *httptest.Server
+	notices           chan string
 	calls             chan *http.Request
-	answer            func(w http.ResponseWriter, r *http.Request, body string)
+	respond           func(w http.ResponseWriter, r *http.Request, body string)
 	mu                sync.Mutex
-	agentUnresponsive bool        // the agent answers only with changes
-	reject            int         // finals that are answered with an error first
-	asked             chan string // the watch's versions
-	changes           chan string // lists that the agent publishes
-	lists             []agentList // that it has published with a version, in their order
-	cutNext           chan int    // the byte at which the agent's next list ends
-	wasCut            chan bool   // it has ended
-	dir               string
-	dial              string // of the endpoint, as the route table has it
-	most              int    // clients
-	senders           int    // that share the registry
-	grace             time.Duration
-	age               time.Duration // of the list, when the sender starts
+	agentUnresponsive bool        // the agent responds only when a list is published
+	rejectedNotices   int         // how many notices get an error before one is acknowledged
+	polledVersions    chan string // of the polls
+	updates           chan string // lists to be published by the agent
+	published         []agentList // with a version, in the order of publication
+	truncateNext      chan int    // the byte at which the agent's next response is truncated
+	truncated         chan bool   // that response was sent
+	stateDir          string
+	endpointAddr      string // of the endpoint, for the route table
+	maxClients        int    // connection limit
+	senders           int    // that poll the registry
+	drainGrace        time.Duration
+	listAge           time.Duration // of the list, when the sender starts
 	registry          *Registry
-	seq               int64 // of the list that the sender last held
+	listVersion       int64 // of the list with which the sender starts
 	core              *sender.Sender
-	in                *Ingress
-	r                 *reactor.Reactor
+	ingress           *Ingress
+	eventLoop         *reactor.Reactor
 }
 
-func newWorld(t *testing.T) *world {
-	w := &world{
-		t: t, finals: make(chan string, 100), calls: make(chan *http.Request, 100),
-		asked: make(chan string, 100), changes: make(chan string, 1), dir: t.TempDir(), most: 100, seq: 1, senders: 1,
-		grace: 2 * time.Second, wasCut: make(chan bool, 1),
+func newTestEnv(t *testing.T) *testEnv {
+	env := &testEnv{
+		t: t, notices: make(chan string, 100), calls: make(chan *http.Request, 100),
+		polledVersions: make(chan string, 100), updates: make(chan string, 1), stateDir: t.TempDir(),
+		maxClients: 100, listVersion: 1, senders: 1,
+		drainGrace: 2 * time.Second, truncated: make(chan bool, 1),
 	}
-	w.target = httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+	env.endpoint = httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		answer := w.answer // the test may set another once it has seen the call
-		w.calls <- r
-		answer(rw, r, string(body))
+		respond := env.respond // read first, since the test may change it once it has received the call
+		env.calls <- r
+		respond(rw, r, string(body))
 	}))
-	w.agent = httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+	env.agent = httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/v2/finals" {
-			w.mu.Lock()
-			w.reject--
-			bad := w.reject >= 0
-			w.mu.Unlock()
-			if bad {
+			env.mu.Lock()
+			env.rejectedNotices--
+			rejected := env.rejectedNotices >= 0
+			env.mu.Unlock()
+			if rejected {
 				rw.WriteHeader(http.StatusBadRequest)
 				return
 			}
-			for sc := bufio.NewScanner(r.Body); sc.Scan(); {
-				w.finals <- sc.Text()
+			for scanner := bufio.NewScanner(r.Body); scanner.Scan(); {
+				env.notices <- scanner.Text()
 			}
 			rw.WriteHeader(http.StatusNoContent)
 			return
 		}
-		w.asked <- r.URL.Query().Get("index")
-		w.answerPoll(rw, r)
+		env.polledVersions <- r.URL.Query().Get("index")
+		env.respondToPoll(rw, r)
 	}))
-	w.dial = w.target.Listener.Addr().String()
-	t.Cleanup(func() { w.agent.CloseClientConnections(); w.target.CloseClientConnections() })
-	return w
+	env.endpointAddr = env.endpoint.Listener.Addr().String()
+	t.Cleanup(func() { env.agent.CloseClientConnections(); env.endpoint.CloseClientConnections() })
+	return env
 }
 
-func (w *world) hosts(health string) config.List {
-	return config.List{Seq: w.seq, Whole: true, Hosts: []config.Host{{
+func (env *testEnv) endpointList(health string) config.List {
+	return config.List{Seq: env.listVersion, Whole: true, Hosts: []config.Host{{
 		Host: "e1", Block: 7, Class: "k", Health: health,
-		Dial: w.dial,
+		Dial: env.endpointAddr,
 	}}}
 }
 
-// start begins one incarnation of a sender.
-func (w *world) start() (addr string, kill func()) {
-	w.t.Helper()
-	return standin.Start(w.t, w.dir, func(core *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
-		agent := w.agent.Listener.Addr().String()
-		in := NewIngress(core, r, agent, conntable.NewRoom(w.most).NewTable(Limits(w.most)), false)
-		w.core, w.in, w.r = core, in, r
-		core.AddIngress(Front, in)
-		core.AddEgress(Proto, NewEgress(core, r, standin.Settings(), conntable.NewRoom(100)))
-		w.registry = Watch(core, r, agent, w.hosts("active"),
-			WatchOptions{Senders: w.senders, Seed: 1, Grace: w.grace, Age: w.age})
-		return in.Accept
+// startSender starts one incarnation of the sender.
+func (env *testEnv) startSender() (addr string, kill func()) {
+	env.t.Helper()
+	return standin.Start(env.t, env.stateDir, func(
+		core *sender.Sender, eventLoop *reactor.Reactor,
+	) func(*reactor.Conn) reactor.Handler {
+		agent := env.agent.Listener.Addr().String()
+		ingress := NewIngress(core, eventLoop, agent,
+			conntable.NewRoom(env.maxClients).NewTable(Limits(env.maxClients)), false)
+		env.core, env.ingress, env.eventLoop = core, ingress, eventLoop
+		core.AddIngress(Front, ingress)
+		core.AddEgress(Proto, NewEgress(core, eventLoop, standin.Settings(), conntable.NewRoom(100)))
+		env.registry = Watch(core, eventLoop, agent, env.endpointList("active"),
+			WatchOptions{Senders: env.senders, Seed: 1, Grace: env.drainGrace, Age: env.listAge})
+		return ingress.Accept
 	})
 }
 
-// client hands one command in and reads one line.
-func (w *world) say(addr string, words ...string) string {
-	w.t.Helper()
-	c, err := net.Dial("tcp", addr)
+// sendCommand sends one command on a connection of its own and returns the first line of the reply.
+func (env *testEnv) sendCommand(addr string, elements ...string) string {
+	env.t.Helper()
+	conn, err := net.Dial("tcp", addr)
 	if err != nil {
-		w.t.Fatal(err)
+		env.t.Fatal(err)
 	}
-	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(standin.Long))
-	fmt.Fprintf(c, "*%d\r\n", len(words))
-	for _, x := range words {
-		fmt.Fprintf(c, "$%d\r\n%s\r\n", len(x), x)
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(standin.Long))
+	fmt.Fprintf(conn, "*%d\r\n", len(elements))
+	for _, element := range elements {
+		fmt.Fprintf(conn, "$%d\r\n%s\r\n", len(element), element)
 	}
-	line, err := bufio.NewReader(c).ReadString('\n')
+	line, err := bufio.NewReader(conn).ReadString('\n')
 	if err != nil {
-		w.t.Fatal(err)
+		env.t.Fatal(err)
 	}
 	return strings.TrimSpace(line)
 }
 
-func wait[T any](t *testing.T, c chan T) (x T) {
+// receive returns the next value of c, and fails the test if none arrives in time.
+func receive[T any](t *testing.T, c chan T) (value T) {
 	t.Helper()
 	select {
-	case x = <-c:
+	case value = <-c:
 	case <-time.After(standin.Long):
-		t.Fatal("nothing came")
+		t.Fatal("nothing was received in time")
 	}
-	return x
+	return value
 }
 
-func (w *world) submit(addr, id, class, ms string) {
-	w.t.Helper()
-	if got := w.say(addr, "SUBMIT", "0", id, "c="+class+",t=x,k=5c0f,dest=7,d="+ms, "body "+id); got != "+OK" {
-		w.t.Fatal(got)
+// submit submits a message and expects that it is accepted.
+func (env *testEnv) submit(addr, id, class, deadlineMs string) {
+	env.t.Helper()
+	if got := env.sendCommand(
+		addr, "SUBMIT", "0", id, "c="+class+",t=x,k=5c0f,dest=7,d="+deadlineMs, "body "+id,
+	); got != "+OK" {
+		env.t.Fatal(got)
 	}
 }
 
-func ok(rw http.ResponseWriter, _ *http.Request, _ string) { rw.WriteHeader(http.StatusOK) }
+func respondOK(rw http.ResponseWriter, _ *http.Request, _ string) { rw.WriteHeader(http.StatusOK) }
 
-// A message goes out with its id, key, deadline and body unchanged, and no notice is sent after its
-// 200.
+// A message is sent with its ID, key and body unchanged and with a deadline, and no notice is sent after
+// its 200.
 func TestDelivered(t *testing.T) {
-	w := newWorld(t)
+	env := newTestEnv(t)
 	bodies := make(chan string, 1)
-	w.answer = func(rw http.ResponseWriter, _ *http.Request, b string) { bodies <- b }
-	addr, kill := w.start()
-	w.submit(addr, "m1", "key", "9000")
-	r := wait(t, w.calls)
+	env.respond = func(rw http.ResponseWriter, _ *http.Request, body string) { bodies <- body }
+	addr, kill := env.startSender()
+	env.submit(addr, "m1", "key", "9000")
+	r := receive(t, env.calls)
 	if r.URL.Path != "/events" || r.Header.Get("Req-Id") != "m1" || r.Header.Get("Idempotency-Key") != "5c0f" ||
-		r.Header.Get("Req-Deadline-Ms") == "" || wait(t, bodies) != "body m1" {
+		r.Header.Get("Req-Deadline-Ms") == "" || receive(t, bodies) != "body m1" {
 		t.Fatal(r.URL, r.Header)
 	}
-	w.submit(addr, "m1", "key", "9000") // handed in twice: held or over, and never a second call at once
-	standin.Shows(t, w.core, "lb_upstream_tries_total 1")
+	// Submitted again, there is no second call, whether the first submission is pending or has ended.
+	env.submit(addr, "m1", "key", "9000")
+	standin.Shows(t, env.core, "lb_upstream_tries_total 1")
 	kill()
-	_, kill = w.start()
+	_, kill = env.startSender()
 	kill()
-	if len(w.finals) != 0 {
-		t.Fatal("a delivered message was ended by a notice", <-w.finals)
+	if len(env.notices) != 0 {
+		t.Fatal("notice of a delivered message", <-env.notices)
 	}
 }
 
-// Killed with a call out, the sender comes back: the charge may have run and fails, the keyed
-// message goes again, and neither end is forgotten.
-func TestRestartWithCallsOut(t *testing.T) {
-	w := newWorld(t)
-	hang := make(chan bool)
-	w.answer = func(http.ResponseWriter, *http.Request, string) { <-hang }
-	addr, kill := w.start()
-	w.submit(addr, "charge", "once", "30000")
-	wait(t, w.calls)
+// The sender is killed with a call in flight and restarts. An unsafe message may have run and must fail, one
+// with an idempotency key must be sent again, and neither final answer is lost.
+func TestRestartWithCallsInFlight(t *testing.T) {
+	env := newTestEnv(t)
+	blocked := make(chan bool)
+	env.respond = func(http.ResponseWriter, *http.Request, string) { <-blocked }
+	addr, kill := env.startSender()
+	env.submit(addr, "charge", "once", "30000")
+	receive(t, env.calls)
 	kill()
-	close(hang)
-	w.answer = ok
-	_, kill = w.start()
-	if got := wait(t, w.finals); got != `{"id":"charge","state":"failed"}` {
+	close(blocked)
+	env.respond = respondOK
+	_, kill = env.startSender()
+	if got := receive(t, env.notices); got != `{"id":"charge","state":"failed"}` {
 		t.Fatal(got)
 	}
 	kill()
-	hang = make(chan bool)
-	w.answer = func(http.ResponseWriter, *http.Request, string) { <-hang }
-	addr, kill = w.start()
-	w.submit(addr, "record", "key", "30000")
-	wait(t, w.calls)
+	blocked = make(chan bool)
+	env.respond = func(http.ResponseWriter, *http.Request, string) { <-blocked }
+	addr, kill = env.startSender()
+	env.submit(addr, "record", "key", "30000")
+	receive(t, env.calls)
 	kill()
-	close(hang)
-	w.answer = ok
-	w.start()
-	if r := wait(t, w.calls); r.Header.Get("Req-Id") != "record" {
+	close(blocked)
+	env.respond = respondOK
+	env.startSender()
+	if r := receive(t, env.calls); r.Header.Get("Req-Id") != "record" {
 		t.Fatal(r.Header)
 	}
-	for len(w.finals) > 0 { // the charge's notice may come again, if its 204 crossed the kill
-		if got := <-w.finals; !strings.Contains(got, `"charge"`) {
+	for len(env.notices) > 0 { // the first message's notice may be repeated, if its 204 was in transit at the kill
+		if got := <-env.notices; !strings.Contains(got, `"charge"`) {
 			t.Fatal(got)
 		}
 	}
--- a/internal/net/platform/registry.go
+++ b/internal/net/platform/registry.go
@@ -16,108 +16,109 @@
 	"brackendale/sender"
 )
 
-// The platform counts news as known to the sender 6 s after the registry had it and could be
-// reached. All times of the watch together, with a failed poll among them, stay within that.
+// The platform requires that a sender applies a change of the registry within 6 s, if the registry could
+// be reached. The timeouts and intervals of the watch stay within that in total, with one failed poll.
 const (
-	watchWaitMs = 3_000                  // how long the agent may hold a poll until there is news
-	watchMargin = 500 * time.Millisecond // beyond that, until the poll times out
+	pollWaitMs = 3_000                  // how long the agent may delay its response until there is a change
+	pollMargin = 500 * time.Millisecond // added to that for the poll's timeout
 
-	// agentTimeout is for connects to the agent, and for responses that it gives at once.
+	// agentTimeout limits connects to the agent, and responses that it sends at once.
 	agentTimeout = time.Second
 
-	minRetryGap   = 50 * time.Millisecond  // the first gap after a failed poll, for a lone sender
-	maxFailedGap  = 500 * time.Millisecond // the longest gap while the agent does not respond
-	maxRefusedGap = 3 * time.Second        // the longest gap while it refuses, without the jitter
+	minRetryInterval      = 50 * time.Millisecond  // after the first failed poll, for a lone sender
+	maxNoResponseInterval = 500 * time.Millisecond // while the agent does not respond
+	maxErrorInterval      = 3 * time.Second        // while the agent responds with errors, without the jitter
 )
 
-// The first poll of an incarnation that knows an earlier list.
+// The first poll of an incarnation that starts with an earlier list.
 const (
-	firstWaitMs       = 1                       // the agent responds at once: no change is news, too
-	maxFirstPollDelay = 2500 * time.Millisecond // until that poll
+	firstPollWaitMs   = 1                       // the agent responds at once, also if there is no change
+	maxFirstPollDelay = 2500 * time.Millisecond // until the first poll
 
-	// confirmTimeout is how long the earlier list stays suspended after that poll: the agent
-	// responds within it, or is taken not to respond at all.
+	// confirmTimeout is how long the earlier list stays suspended after the first poll. An agent that
+	// has not responded within it is considered unresponsive.
 	confirmTimeout = 150 * time.Millisecond
 
-	// maxProcessPause is how long this process may be held up between reading its clock and
-	// writing.
+	// maxProcessPause is the longest assumed pause of this process between reading its clock and
+	// writing a request.
 	maxProcessPause = 150 * time.Millisecond
 )
 
-// noVersion stands for an unknown version of the list. 0 is a version: that of an unchanged list.
+// noVersion is the value for an unknown version of the list. 0 is a valid version: that of a list that
+// has never changed.
 const noVersion = -1
 
-// watchState is the state of the watch. The connection has a state of its own, in its link.
+// watchState is the state of the watch. The state of its connection is in the link.
 type watchState uint8
 
 const (
 	watchIdle    watchState = iota // between polls
-	watchPolling                   // a poll for the whole list is out
-	watchOpen                      // a poll that waits for news is out
+	watchPolling                   // a poll for the whole list is in flight
+	watchOpen                      // a poll that waits for a change is in flight
 	watchStopped                   // no more polls
 )
 
-// Registry keeps the route table up to date by a watch on the registry's agent.
+// Registry updates the route table by a watch on the registry's agent.
 type Registry struct {
 	core    *sender.Sender
 	reactor *reactor.Reactor
-	addr    string // the agent's
+	addr    string // of the agent
 	link    *link
 	state   watchState
-	version int64 // of the list, or noVersion: the next poll is for the whole list
+	version int64 // of the list; with noVersion the next poll requests the whole list
 
-	// The gaps between polls. Refused polls back off further, since other senders poll the same
-	// registry.
-	refusedBackoff *recovery.PollSchedule
-	failedBackoff  *recovery.PollSchedule
+	// The intervals between polls after an error response and without a response. Error responses lead
+	// to longer intervals, since other senders poll the same registry.
+	errorBackoff      *recovery.PollSchedule
+	noResponseBackoff *recovery.PollSchedule
 
-	// unconfirmed is the list of an earlier incarnation until there is news, then nil. Nothing is
-	// sent by it while it is suspended.
+	// unconfirmed is the list of an earlier incarnation until the agent has responded or is considered
+	// unresponsive, then nil. While it is suspended, no new attempts are sent to its endpoints.
 	unconfirmed []sender.Route
 	suspended   bool
 }
 
-// WatchOptions describe the sender that watches.
+// WatchOptions describe the watching sender.
 type WatchOptions struct {
-	Senders int           // that poll the registry; their number spreads the polls
+	Senders int           // the number of senders that poll the registry, by which the polls are spread
 	Seed    int64         // of the jitter
-	Grace   time.Duration // how long after its notice a draining endpoint may still be sent to
-	Age     time.Duration // since the last news that a process of this sender had, or would have had
+	Grace   time.Duration // how long new attempts may still be sent to an endpoint after it began to drain
+	Age     time.Duration // time since a process of this sender last had, or would have had, a response of the agent
 }
 
 func newRegistry(
-	core *sender.Sender, eventLoop *reactor.Reactor, addr string, version int64, by WatchOptions,
+	core *sender.Sender, eventLoop *reactor.Reactor, addr string, version int64, options WatchOptions,
 ) *Registry {
 	return &Registry{
-		core:           core,
-		reactor:        eventLoop,
-		addr:           addr,
-		version:        version,
-		refusedBackoff: recovery.NewPollSchedule(by.Senders, by.Seed, minRetryGap, maxRefusedGap),
-		failedBackoff:  recovery.NewPollSchedule(1, by.Seed, minRetryGap, maxFailedGap),
+		core:              core,
+		reactor:           eventLoop,
+		addr:              addr,
+		version:           version,
+		errorBackoff:      recovery.NewPollSchedule(options.Senders, options.Seed, minRetryInterval, maxErrorInterval),
+		noResponseBackoff: recovery.NewPollSchedule(1, options.Seed, minRetryInterval, maxNoResponseInterval),
 	}
 }
 
-// Watch starts with the list that the sender last had and keeps it up to date. Any goroutine may
-// call it.
+// Watch starts a watch with the list that the sender last had. Any goroutine may call it.
 //
-// The first poll is delayed, so that senders started together don't poll together, but by less than
-// the grace, since changes count as known from the start. A list older than the grace is suspended
-// until there is news or the agent turns out not to respond.
+// The first poll is delayed, so that senders that start at the same time don't poll at the same time. The
+// delay is shorter than the drain grace, since the grace of a change made during the downtime counts from
+// the start. A list older than the drain grace is suspended until the agent responds or is considered
+// unresponsive.
 func Watch(
-	core *sender.Sender, eventLoop *reactor.Reactor, addr string, known config.List, by WatchOptions,
+	core *sender.Sender, eventLoop *reactor.Reactor, addr string, lastList config.List, options WatchOptions,
 ) *Registry {
-	g := newRegistry(core, eventLoop, addr, known.Seq, by)
-	if known.Seq < 0 || known.Seq == 0 && len(known.Hosts) == 0 {
+	g := newRegistry(core, eventLoop, addr, lastList.Seq, options)
+	if lastList.Seq < 0 || lastList.Seq == 0 && len(lastList.Hosts) == 0 {
 		g.version = noVersion
-		core.UpdateRoutes(scheduler.UpdateStale, Routes(known))
+		core.UpdateRoutes(scheduler.UpdateStale, Routes(lastList))
 		eventLoop.Post(g.resume)
 		return g
 	}
-	g.unconfirmed = Routes(known)
-	firstPoll := g.firstPollDelay(by)
-	trusted := by.Grace - by.Age - maxProcessPause
-	if trusted > 0 {
+	g.unconfirmed = Routes(lastList)
+	firstPoll := g.firstPollDelay(options)
+	trustedFor := options.Grace - options.Age - maxProcessPause
+	if trustedFor > 0 {
 		core.UpdateRoutes(scheduler.UpdateStale, g.unconfirmed)
 	} else {
 		g.suspended = true
@@ -125,32 +126,32 @@
 	}
 	eventLoop.Post(func() {
 		eventLoop.After(firstPoll, g.resume)
-		if trusted > 0 && trusted < firstPoll+confirmTimeout {
-			eventLoop.After(trusted, g.suspend)
+		if trustedFor > 0 && trustedFor < firstPoll+confirmTimeout {
+			eventLoop.After(trustedFor, g.suspend)
 		}
 		eventLoop.After(firstPoll+confirmTimeout, g.confirm)
 	})
 	return g
 }
 
-// Follow continues from another process's route table and the version of its list; a version under
-// 0 is none. Any goroutine may call it.
+// Follow starts a watch with the route table of another process and the version of its list; a negative
+// version is none. Any goroutine may call it.
 func Follow(
 	core *sender.Sender, eventLoop *reactor.Reactor, addr string, routes []sender.Route, version int64,
-	by WatchOptions,
+	options WatchOptions,
 ) *Registry {
-	g := newRegistry(core, eventLoop, addr, max(version, noVersion), by)
+	g := newRegistry(core, eventLoop, addr, max(version, noVersion), options)
 	core.UpdateRoutes(scheduler.UpdateStale, routes)
 	eventLoop.Post(g.resume)
 	return g
 }
 
-// firstPollDelay is the delay of the first poll of an incarnation that knows an earlier list.
-func (g *Registry) firstPollDelay(by WatchOptions) time.Duration {
-	return min(g.refusedBackoff.InitialDelay(), by.Grace/2, maxFirstPollDelay)
+// firstPollDelay returns the delay of the first poll of an incarnation that starts with an earlier list.
+func (g *Registry) firstPollDelay(options WatchOptions) time.Duration {
+	return min(g.errorBackoff.InitialDelay(), options.Grace/2, maxFirstPollDelay)
 }
 
-// suspend stops sending by the unconfirmed list.
+// suspend stops new attempts to the endpoints of the unconfirmed list.
 func (g *Registry) suspend() {
 	if g.unconfirmed != nil && g.state != watchStopped {
 		g.suspended = true
@@ -158,7 +159,7 @@
 	}
 }
 
-// confirm takes the unconfirmed list as valid from here on.
+// confirm treats the unconfirmed list as valid from here on.
 func (g *Registry) confirm() {
 	if g.unconfirmed != nil && g.suspended && g.state != watchStopped {
 		g.core.UpdateRoutes(scheduler.UpdateStale, g.unconfirmed)
@@ -166,7 +167,7 @@
 	g.unconfirmed = nil
 }
 
-// Seq is the version of the list; under 0: there is none.
+// Seq returns the version of the list. It is negative if there is none.
 func (g *Registry) Seq() int64 { return g.version }
 
 // Stop ends the watch.
@@ -177,23 +178,23 @@
 	}
 }
 
-// Move changes to another agent. It is polled for the whole list, since the old agent's versions
-// may mean something else there.
+// Move changes to another agent. That agent is polled for the whole list, since it may number its
+// versions differently.
 func (g *Registry) Move(addr string) {
 	if addr == g.addr || g.state == watchStopped {
 		return
 	}
 	old := g.link
 	g.addr, g.version, g.link, g.state = addr, noVersion, nil, watchIdle
-	g.refusedBackoff.Reset()
-	g.failedBackoff.Reset()
+	g.errorBackoff.Reset()
+	g.noResponseBackoff.Reset()
 	g.poll()
 	if old != nil {
 		old.abort()
 	}
 }
 
-// resume polls after a gap, unless Move has done so meanwhile: a link carries one request at a
+// resume polls after an interval, unless Move has done so meanwhile: a link carries one request at a
 // time.
 func (g *Registry) resume() {
 	if g.state == watchIdle {
@@ -201,17 +202,18 @@
 	}
 }
 
+// poll sends a poll to the agent.
 func (g *Registry) poll() {
 	if g.link == nil || g.link.conn.Dead() {
 		g.link = dial(g.reactor, g.addr, agentTimeout, maxAgentResponse)
 	}
 	path, timeout := g.nextPoll()
-	polled := g.link
+	pollLink := g.link
 	var timer timers.Timer
-	g.reactor.Arm(&timer, timeout, 0, timers.Func(polled.abort))
-	polled.send(func(response *http1.Response, err error) {
+	g.reactor.Arm(&timer, timeout, 0, timers.Func(pollLink.abort))
+	pollLink.send(func(response *http1.Response, err error) {
 		g.reactor.Disarm(&timer)
-		g.finishPoll(polled, response, err)
+		g.finishPoll(pollLink, response, err)
 	}, getRequest(path, g.addr))
 }
 
@@ -223,17 +225,17 @@
 		return path, agentTimeout
 	}
 	g.state = watchOpen
-	waitMs := watchWaitMs
+	waitMs := pollWaitMs
 	if g.unconfirmed != nil {
-		waitMs = firstWaitMs
+		waitMs = firstPollWaitMs
 	}
 	path += "?index=" + strconv.FormatInt(g.version, 10) + "&wait=" + strconv.Itoa(waitMs)
-	return path, time.Duration(waitMs)*time.Millisecond + watchMargin
+	return path, time.Duration(waitMs)*time.Millisecond + pollMargin
 }
 
-// finishPoll applies the response to a poll and plans the next one.
-func (g *Registry) finishPoll(polled *link, response *http1.Response, err error) {
-	if g.link != polled || g.state == watchStopped { // the watch has moved or ended
+// finishPoll applies the response to a poll and schedules the next one.
+func (g *Registry) finishPoll(pollLink *link, response *http1.Response, err error) {
+	if g.link != pollLink || g.state == watchStopped { // there is another agent, or the watch was stopped
 		return
 	}
 	g.state = watchIdle
@@ -241,31 +243,31 @@
 		err = g.apply(response)
 	}
 	if err == nil {
-		g.refusedBackoff.Reset()
-		g.failedBackoff.Reset()
-		g.reactor.Post(g.resume) // later: the link is not free until this has returned
+		g.errorBackoff.Reset()
+		g.noResponseBackoff.Reset()
+		g.reactor.Post(g.resume) // deferred, since the link is not free until this has returned
 		return
 	}
-	polled.conn.Close()
+	pollLink.conn.Close()
 	g.link = nil
-	backoff := g.failedBackoff
+	backoff := g.noResponseBackoff
 	if response.Status != 0 {
-		backoff = g.refusedBackoff
+		backoff = g.errorBackoff
 	}
 	g.reactor.After(backoff.NextDelay(), g.resume)
 }
 
-// apply takes over the endpoint list of a response.
+// apply applies the endpoint list of a response to the route table.
 func (g *Registry) apply(response *http1.Response) error {
 	if response.Status != statusOK {
-		return fmt.Errorf("registry: status %d", response.Status)
+		return fmt.Errorf("registry: unexpected status %d", response.Status)
 	}
 	var list struct {
 		config.List
 		Seq *int64 `json:"seq"`
 	}
 	if err := json.Unmarshal(response.Body, &list); err != nil {
-		return fmt.Errorf("registry: %w", err)
+		return fmt.Errorf("registry: decoding the endpoint list: %w", err)
 	}
 	kind := scheduler.UpdatePatch
 	if list.Whole {
@@ -276,14 +278,15 @@
 	if list.Whole || len(list.Hosts) > 0 {
 		g.core.UpdateRoutes(kind, Routes(list.List))
 	}
-	if list.Seq == nil || *list.Seq < 0 { // there is no version to watch from
+	if list.Seq == nil || *list.Seq < 0 { // the next poll cannot wait for a change
 		g.version = noVersion
-		return errors.New("registry: a list without a version")
+		return errors.New("registry: endpoint list has no version")
 	}
 	g.version = *list.Seq
 	return nil
 }
 
+// getRequest returns a GET request without a body.
 func getRequest(path, host string) []byte {
 	return []byte("GET " + path + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n")
 }
--- a/internal/net/platform/response.go
+++ b/internal/net/platform/response.go
@@ -10,26 +10,26 @@
 	"brackendale/sender"
 )
 
-// The statuses with a meaning of their own in the platform's protocol.
+// The HTTP statuses that have a special meaning in the platform's protocol.
 const (
-	statusOK          = 200
-	statusNoContent   = 204
-	statusGone        = 410
-	statusTooMany     = 429
-	statusUnavailable = 503
-	statusTimeout     = 504
+	statusOK                 = 200
+	statusNoContent          = 204
+	statusGone               = 410
+	statusTooManyRequests    = 429
+	statusServiceUnavailable = 503
+	statusGatewayTimeout     = 504
 )
 
 const (
-	backoffHeader    = "X-Backoff-Ms"  // milliseconds in which nothing may be sent to the route
-	egressFullHeader = "X-Egress-Full" // 1: the endpoint's connections are all in use
-	loadHeader       = "Srv-Load"
+	backoffHeader    = "X-Backoff-Ms"  // Retry-After: for how many milliseconds nothing may be sent to the route
+	egressFullHeader = "X-Egress-Full" // 1: all of the endpoint's connections are in use
+	loadHeader       = "Srv-Load"      // a load report
 )
 
 // fullRetryAfterMs is the Retry-After, in milliseconds, of a response with egressFullHeader.
 const fullRetryAfterMs = 1
 
-// parseResponse translates a whole response into the result that the call's attempts share.
+// parseResponse translates a complete response into the result that the call's attempts share.
 func (c *call) parseResponse(response *http1.Response) sender.AttemptResult {
 	result := sender.AttemptResult{
 		Endpoint:     c.route.Addr,
@@ -40,14 +40,14 @@
 	switch response.Status {
 	case statusOK:
 		result.Outcome = sender.OutcomeSuccess
-	case statusTooMany:
+	case statusTooManyRequests:
 		result.Outcome = sender.OutcomeRejected
-	case statusUnavailable:
+	case statusServiceUnavailable:
 		result.Outcome = sender.OutcomeRejected
 		if response.Int(egressFullHeader) == 1 {
 			result.Outcome, result.RetryAfterMs = sender.OutcomeNotSent, fullRetryAfterMs
 		}
-	case statusTimeout:
+	case statusGatewayTimeout:
 		result.Outcome = sender.OutcomeNotSent
 	case statusGone:
 		result.Outcome, result.Final = sender.OutcomeNotSent, true
@@ -55,36 +55,37 @@
 	return result
 }
 
-// parseBundle reads the lines of a bundle's response into the final word of each message by its ID.
-// The response must name each message of the call and nothing else, each with a word that is known;
-// otherwise none of it is trusted and the map is empty. untilClose tells that only the connection's
-// end marked the end of the body: then the last line must be complete.
-func (c *call) parseBundle(body []byte, untilClose bool) map[string]string {
-	words := map[string]string{}
+// parseBundle parses the lines of a bundle's response and returns the status of each message by its ID.
+// The response must list each message of the call and no other, each with a known status; otherwise
+// nothing in it is trusted and the map is empty. endedByClose reports that the body was delimited by the
+// connection's end: then the last line must be complete.
+func (c *call) parseBundle(body []byte, endedByClose bool) map[string]string {
+	statuses := map[string]string{}
 	for line := range bytes.Lines(body) {
-		id, word, _ := bytes.Cut(bytes.TrimSpace(line), []byte{' '})
-		outcome, _ := bundleOutcome(string(word))
+		id, status, _ := bytes.Cut(bytes.TrimSpace(line), []byte{' '})
+		outcome, _ := bundleOutcome(string(status))
 		if outcome != "" {
-			words[string(id)] = string(word)
-		} else if len(id)+len(word) > 0 {
+			statuses[string(id)] = string(status)
+		} else if len(id)+len(status) > 0 {
 			return map[string]string{}
 		}
 	}
-	mayBeCut := c.link.trailingData || untilClose
-	if len(words) != len(c.attempts) || mayBeCut && !bytes.HasSuffix(body, crlf) {
+	mayBeTruncated := c.link.trailingData || endedByClose
+	if len(statuses) != len(c.attempts) || mayBeTruncated && !bytes.HasSuffix(body, crlf) {
 		return map[string]string{}
 	}
 	for _, attempt := range c.attempts {
-		if words[attempt.ID] == "" {
+		if statuses[attempt.ID] == "" {
 			return map[string]string{}
 		}
 	}
-	return words
+	return statuses
 }
 
-// bundleOutcome translates a message's word in a bundle's response; "" if the word is not known.
-func bundleOutcome(word string) (outcome sender.Outcome, final bool) {
-	switch word {
+// bundleOutcome translates a message's status in a bundle's response. The outcome is "" if the status is
+// unknown.
+func bundleOutcome(status string) (outcome sender.Outcome, final bool) {
+	switch status {
 	case "done":
 		return sender.OutcomeSuccess, false
 	case "busy":
@@ -99,8 +100,9 @@
 	return "", false
 }
 
-// parseLoadReport reads a load report into the order of the settings. It is nil if a field is
-// missing or not a finite number from 0 up, since a zero in its place would be taken for a load.
+// parseLoadReport returns the values of a load report in the order of the settings. It returns nil if a
+// field is missing or is not a finite number of at least 0: with a zero in its place, the endpoint would
+// count as idle.
 func (e *Egress) parseLoadReport(response *http1.Response) []float64 {
 	const missing = -1
 	raw := response.Get(loadHeader)
@@ -118,7 +120,7 @@
 			continue
 		}
 		load, err := strconv.ParseFloat(string(value), 64)
-		if err != nil || !(load >= 0) || math.IsInf(load, 1) { // not load < 0: NaN is none either
+		if err != nil || !(load >= 0) || math.IsInf(load, 1) { // not load < 0, which is false for NaN
 			return nil
 		}
 		loads[i] = load
--- a/internal/net/platform/response_test.go
+++ b/internal/net/platform/response_test.go
@@ -19,205 +19,210 @@
 	"brackendale/sender"
 )
 
-// Each end of a bundle is its own; a bundle's answer that lacks one, or says what is not known, is
-// spoilt and proves nothing, also where it says that a message never ran.
-func TestBundleEnds(t *testing.T) {
+// Each message of a bundle has a status of its own. A response that lacks one, or has an unknown one, is
+// malformed and proves nothing, even where it states that a message has not run.
+func TestParseBundle(t *testing.T) {
 	c := &call{link: &link{}, attempts: []sender.Attempt{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d"}, {ID: "e"}}}
 	const body = "a done\r\nb busy\r\nc void\r\nd used_up\r\ne failed"
-	ends := c.parseBundle([]byte(body), false)
+	statuses := c.parseBundle([]byte(body), false)
 	for id, want := range map[string]sender.Outcome{
 		"a": sender.OutcomeSuccess, "b": sender.OutcomeRejected, "c": sender.OutcomeNotSent, "d": sender.OutcomeNotSent,
 		"e": sender.OutcomeFailed,
 	} {
-		if got, over := bundleOutcome(ends[id]); got != want || over != (id == "c") {
+		if got, final := bundleOutcome(statuses[id]); got != want || final != (id == "c") {
 			t.Errorf("%s: %s", id, got)
 		}
 	}
-	for _, bad := range []string{body[:len(body)-1], body[:len(body)-10], body + "\r\nf done", "", body + "\r\nnoise"} {
-		if got := c.parseBundle([]byte(bad), false); len(got) > 0 {
-			t.Errorf("%q: %v", bad, got)
+	for _, malformed := range []string{
+		body[:len(body)-1], body[:len(body)-10], body + "\r\nf done", "", body + "\r\nnoise",
+	} {
+		if got := c.parseBundle([]byte(malformed), false); len(got) > 0 {
+			t.Errorf("%q: %v", malformed, got)
 		}
 	}
-	for cut, want := range map[string]int{body: 0, body + "\r": 0, body + "\r\n": 5} { // by the connection's end
-		if got := c.parseBundle([]byte(cut), true); len(got) != want {
-			t.Errorf("%q, ended by its connection: %v", cut, got)
+	// Bodies that are delimited by the connection's end.
+	for truncated, want := range map[string]int{body: 0, body + "\r": 0, body + "\r\n": 5} {
+		if got := c.parseBundle([]byte(truncated), true); len(got) != want {
+			t.Errorf("%q, delimited by the connection's end: %v", truncated, got)
 		}
 	}
 	if c.link.trailingData = true; len(c.parseBundle([]byte(body), false)) > 0 {
-		t.Error("cut off by its length, it was taken")
+		t.Error("accepted although its Content-Length truncated it")
 	}
 }
 
-// A report that cannot be read was taken for a load of 0, the best there is.
-func TestUnreadableReport(t *testing.T) {
-	e := &Egress{loadFields: []string{"x0", "x1"}}
+// A malformed load report once counted as a load of 0, the lowest possible.
+func TestMalformedLoadReport(t *testing.T) {
+	egress := &Egress{loadFields: []string{"x0", "x1"}}
 	for text, want := range map[string]int{
 		"x0=0.4, x1=25": 2, "x0=nan,x1=1": 0, "x0=1,x1=+Inf": 0,
 		"x0=-1,x1=1": 0, "x0=1": 0, "x0=?,x1=1": 0, "": 0,
 	} {
-		var a http1.Response
-		if _, err := a.Parse([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nSrv-Load: "+text+"\r\n\r\n"),
-			false); err != nil || len(e.parseLoadReport(&a)) != want {
-			t.Errorf("%q: %v %v", text, e.parseLoadReport(&a), err)
+		var response http1.Response
+		if _, err := response.Parse([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nSrv-Load: "+text+"\r\n\r\n"),
+			false); err != nil || len(egress.parseLoadReport(&response)) != want {
+			t.Errorf("%q: %v %v", text, egress.parseLoadReport(&response), err)
 		}
 	}
 }
 
-// peer is an endpoint of raw bytes: each request that it reads is reported with its connection's
-// number, and answered with the next of the texts; the connection stays open.
-func (w *world) peer(texts ...string) (seen chan int) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// startRawEndpoint starts an endpoint that responds to each request with the next of the responses, byte for
+// byte, and leaves the connection open. It returns a channel with the connection number of each request.
+func (env *testEnv) startRawEndpoint(responses ...string) (connNumbers chan int) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		w.t.Fatal(err)
+		env.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { ln.Close() })
-	w.dial = ln.Addr().String()
-	seen = make(chan int, 100)
+	env.t.Cleanup(func() { listener.Close() })
+	env.endpointAddr = listener.Addr().String()
+	connNumbers = make(chan int, 100)
 	var mu sync.Mutex
 	go func() {
-		for n := 0; ; n++ {
-			c, err := ln.Accept()
+		for number := 0; ; number++ {
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
-				in := bufio.NewReader(c)
+				reader := bufio.NewReader(conn)
 				for {
-					r, err := http.ReadRequest(in)
+					r, err := http.ReadRequest(reader)
 					if err != nil {
 						return
 					}
 					_, _ = io.Copy(io.Discard, r.Body)
 					mu.Lock()
-					if len(texts) > 0 {
-						_, _ = io.WriteString(c, texts[0])
-						texts = texts[1:]
+					if len(responses) > 0 {
+						_, _ = io.WriteString(conn, responses[0])
+						responses = responses[1:]
 					}
 					mu.Unlock()
-					seen <- n
+					connNumbers <- number
 				}
 			}()
 		}
 	}()
-	return seen
+	return connNumbers
 }
 
-// A spoilt answer on a connection that stays open held its slot until the time-out. It may have
-// run, so a charge fails at once, but where its first line says 200 that is true.
-func TestSpoiltAnswers(t *testing.T) {
-	const good, first = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 200 OK\r\n"
-	for _, c := range []struct {
-		text string
-		ran  bool
+// A malformed response on a connection that stays open once occupied a slot until the timeout. The message
+// may have run, so an unsafe one must fail at once. A complete status line with 200 counts as delivery.
+func TestMalformedResponses(t *testing.T) {
+	const complete, statusLine = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 200 OK\r\n"
+	for _, test := range []struct {
+		text      string
+		delivered bool
 	}{
 		{"\x01noise", false},
 		{"HTTP/1.1 500 E\r\nContent-Length: 9\r\n\r\nshort", false},
 		{"HTTP/1.1 50", false},
-		{first + "half a he", true},
-		{first + "A: half", true},
-		{first + "Content-Length: -4\r\n\r\n", true},
-		{first + "Content-Length: 3000000000\r\n\r\nxxx", true},
-		{first + "Content-Length: 9\r\n\r\nshort", true},
-		{good + "noise", true},
-		{strings.Repeat("HTTP/1.1 102 P\r\n\r\n", 3) + good, true},
+		{statusLine + "half a he", true},
+		{statusLine + "A: half", true},
+		{statusLine + "Content-Length: -4\r\n\r\n", true},
+		{statusLine + "Content-Length: 3000000000\r\n\r\nxxx", true},
+		{statusLine + "Content-Length: 9\r\n\r\nshort", true},
+		{complete + "noise", true},
+		{strings.Repeat("HTTP/1.1 102 P\r\n\r\n", 3) + complete, true},
 	} {
-		w := newWorld(t)
-		w.peer(c.text)
-		addr, _ := w.start()
-		w.submit(addr, "m1", "once", "60000")
-		if !c.ran {
-			if got := wait(t, w.finals); got != `{"id":"m1","state":"failed"}` {
-				t.Fatalf("%q: %s", c.text, got)
+		env := newTestEnv(t)
+		env.startRawEndpoint(test.text)
+		addr, _ := env.startSender()
+		env.submit(addr, "m1", "once", "60000")
+		if !test.delivered {
+			if got := receive(t, env.notices); got != `{"id":"m1","state":"failed"}` {
+				t.Fatalf("%q: %s", test.text, got)
 			}
 			continue
 		}
-		for end := time.Now().Add(standin.Long); w.delivered() != 1; time.Sleep(time.Millisecond) {
-			if time.Now().After(end) {
-				t.Fatalf("%q: not delivered", c.text)
+		for deadline := time.Now().Add(standin.Long); env.deliveredCount() != 1; time.Sleep(time.Millisecond) {
+			if time.Now().After(deadline) {
+				t.Fatalf("%q: not delivered", test.text)
 			}
 		}
 	}
 }
 
-// delivered returns how many messages the sender has delivered.
-func (w *world) delivered() uint64 {
-	n := make(chan uint64, 1)
-	w.core.Post(func() { n <- w.core.State().Delivered })
-	return wait(w.t, n)
+// deliveredCount returns the number of messages that the sender has delivered.
+func (env *testEnv) deliveredCount() uint64 {
+	count := make(chan uint64, 1)
+	env.core.Post(func() { count <- env.core.State().Delivered })
+	return receive(env.t, count)
 }
 
-// What comes on an idle connection is not the answer to the next request, which goes out on another
-// one.
-func TestSecondCopy(t *testing.T) {
-	const good = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-	w := newWorld(t)
-	seen := w.peer(good+good, "\x00")
-	addr, _ := w.start()
-	w.submit(addr, "m1", "once", "60000")
-	wait(t, seen)
-	w.submit(addr, "m2", "once", "60000")
-	if n := wait(t, seen); n != 1 {
-		t.Fatal("m2 went out on connection", n)
+// Surplus data on an idle connection must not be parsed as the response to the next request, which is sent
+// on another connection.
+func TestSurplusResponse(t *testing.T) {
+	const complete = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+	env := newTestEnv(t)
+	connNumbers := env.startRawEndpoint(complete+complete, "\x00")
+	addr, _ := env.startSender()
+	env.submit(addr, "m1", "once", "60000")
+	receive(t, connNumbers)
+	env.submit(addr, "m2", "once", "60000")
+	if number := receive(t, connNumbers); number != 1 {
+		t.Fatal("m2 was sent on connection", number)
 	}
-	if got := wait(t, w.finals); got != `{"id":"m2","state":"failed"}` {
+	if got := receive(t, env.notices); got != `{"id":"m2","state":"failed"}` {
 		t.Fatal(got)
 	}
 }
 
-// A call ends when the first of its messages has no time left: an answer after that is of none that
-// its endpoint still counts, and took messages that had time left for delivered.
-func TestBundleEndsWithItsFirstMessage(t *testing.T) {
-	w, end := newWorld(t), make(chan bool)
-	w.answer = func(http.ResponseWriter, *http.Request, string) { <-end }
-	defer close(end)
-	out := make(chan int)
-	standin.Start(t, w.dir, func(core *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
-		e := NewEgress(core, r, standin.Settings(), conntable.NewRoom(100))
-		var look func()
-		look = func() {
-			if len(e.calls) > 0 {
-				r.After(time.Millisecond, look)
+// A call ends at the earliest deadline of its messages. A response after that once counted as delivery of
+// the messages with a later deadline, although the endpoint no longer counts the call.
+func TestBundleEndsAtEarliestDeadline(t *testing.T) {
+	env, release := newTestEnv(t), make(chan bool)
+	env.respond = func(http.ResponseWriter, *http.Request, string) { <-release }
+	defer close(release)
+	callCount := make(chan int)
+	standin.Start(t, env.stateDir, func(
+		core *sender.Sender, eventLoop *reactor.Reactor,
+	) func(*reactor.Conn) reactor.Handler {
+		egress := NewEgress(core, eventLoop, standin.Settings(), conntable.NewRoom(100))
+		var checkEnded func()
+		checkEnded = func() {
+			if len(egress.calls) > 0 {
+				eventLoop.After(time.Millisecond, checkEnded)
 				return
 			}
-			out <- len(e.calls)
+			callCount <- len(egress.calls)
 		}
-		r.Post(func() {
-			now, to := core.Now(), Routes(w.hosts("active"))[0]
-			e.UpdateRoutes([]sender.Route{to})
-			e.Send(to, []sender.Attempt{
+		eventLoop.Post(func() {
+			now, route := core.Now(), Routes(env.endpointList("active"))[0]
+			egress.UpdateRoutes([]sender.Route{route})
+			egress.Send(route, []sender.Attempt{
 				{ID: "charge", TimeoutUs: 300e6, Deadline: now + 300e6},
 				{ID: "state", TimeoutUs: 1e6, Deadline: now + 20_000},
 			})
-			look()
+			checkEnded()
 		})
 		return func(*reactor.Conn) reactor.Handler { return nil }
 	})
-	wait(t, out)
+	receive(t, callCount)
 }
 
-// An endpoint whose answer never ends is cut off; the charge may have run.
-func TestEndlessAnswer(t *testing.T) {
-	w := newWorld(t)
-	w.answer = func(rw http.ResponseWriter, r *http.Request, _ string) {
-		rw.WriteHeader(http.StatusInternalServerError) // a first line with 200 would be a delivery
+// A response that never ends is aborted, and an unsafe message fails, since it may have run.
+func TestEndlessResponse(t *testing.T) {
+	env := newTestEnv(t)
+	env.respond = func(rw http.ResponseWriter, r *http.Request, _ string) {
+		rw.WriteHeader(http.StatusInternalServerError) // a status line with 200 would count as delivery
 		for r.Context().Err() == nil {
 			if _, err := rw.Write(make([]byte, 64<<10)); err != nil {
 				return
 			}
 		}
 	}
-	addr, _ := w.start()
-	w.submit(addr, "m1", "once", "30000")
-	if got := wait(t, w.finals); got != `{"id":"m1","state":"failed"}` {
+	addr, _ := env.startSender()
+	env.submit(addr, "m1", "once", "30000")
+	if got := receive(t, env.notices); got != `{"id":"m1","state":"failed"}` {
 		t.Fatal(got)
 	}
 }
 
-// The forms in which an answer may tell to wait, or not: any case, blanks, twice, naught, a
-// fraction, what is no number.
-func TestFormsOfAWait(t *testing.T) {
-	b := newBench(t)
-	for text, want := range map[string]clock.Instant{
+// The valid and invalid forms of a Retry-After header: letter case, white space, repeated headers, zero,
+// fractions and malformed numbers.
+func TestRetryAfterForms(t *testing.T) {
+	h := newEgressHarness(t)
+	for header, wantMs := range map[string]clock.Instant{
 		"X-Backoff-Ms: 250":                       250,
 		"x-backoff-ms:250":                        250,
 		"X-BACKOFF-MS: \t 250 \t":                 250,
@@ -241,20 +246,20 @@
 		"X-Backoff-Ms-2: 250":                     0,
 	} {
 		var until, before clock.Instant
-		b.do(func() {
-			b.e.Gate = admission.New(standin.Settings())
-			b.e.UpdateRoutes([]sender.Route{b.to})
-			b.e.Send(b.to, b.attempt("a"))
-			before = b.core.Now()
+		h.runOnLoop(func() {
+			h.egress.Gate = admission.New(standin.Settings())
+			h.egress.UpdateRoutes([]sender.Route{h.route})
+			h.egress.Send(h.route, h.newAttempt("a"))
+			before = h.core.Now()
 		})
-		wait(t, b.s.turns).say("HTTP/1.1 429 R\r\n" + text + "\r\nContent-Length: 0\r\n\r\n")
-		b.until("it has ended", func() bool { return b.e.calls["a"] == nil })
-		b.do(func() { until = b.e.Gate.RetryAfterUntil(b.to.Endpoint) })
+		receive(t, h.endpoint.requests).respond("HTTP/1.1 429 R\r\n" + header + "\r\nContent-Length: 0\r\n\r\n")
+		h.waitUntil("it has ended", func() bool { return h.egress.calls["a"] == nil })
+		h.runOnLoop(func() { until = h.egress.Gate.RetryAfterUntil(h.route.Endpoint) })
 		switch {
-		case want == 0 && until != 0:
-			t.Errorf("%q: a wait of %d us", text, until-before)
-		case want > 0 && (until < before+want*1000 || until > b.core.Now()+want*1000+1):
-			t.Errorf("%q: a wait of %d us, want %d ms", text, until-before, want)
+		case wantMs == 0 && until != 0:
+			t.Errorf("%q: a Retry-After of %d us", header, until-before)
+		case wantMs > 0 && (until < before+wantMs*1000 || until > h.core.Now()+wantMs*1000+1):
+			t.Errorf("%q: a Retry-After of %d us, want %d ms", header, until-before, wantMs)
 		}
 	}
 }
--- a/internal/net/platform/routes.go
+++ b/internal/net/platform/routes.go
@@ -8,7 +8,7 @@
 	"brackendale/sender"
 )
 
-// Routes translates a list of the registry into routes.
+// Routes translates an endpoint list of the registry into routes.
 func Routes(list config.List) []sender.Route {
 	var routes []sender.Route
 	for _, host := range list.Hosts {
@@ -32,8 +32,8 @@
 	return routes
 }
 
-// endpointStatus translates the registry's word for an endpoint's health. An endpoint with an
-// unknown word takes no new attempts.
+// endpointStatus translates the registry's value for an endpoint's health. An endpoint with an unknown
+// value accepts no new attempts.
 func endpointStatus(health string) scheduler.EndpointStatus {
 	switch health {
 	case "active":
@@ -45,8 +45,8 @@
 	}
 }
 
-// draining returns a copy of the routes by which nothing is sent, since no endpoint takes new
-// attempts. Messages for their destinations are still accepted.
+// draining returns a copy of the routes in which all live endpoints are draining, so that no new
+// attempts are sent. Messages for their destinations are still accepted.
 func draining(routes []sender.Route) []sender.Route {
 	routes = slices.Clone(routes)
 	for i := range routes {
--- a/internal/net/platform/silent_test.go
+++ b/internal/net/platform/silent_test.go
@@ -8,27 +8,28 @@
 	"time"
 )
 
-// badClientLimit is the time in which a client that sends no whole command is owed an error or a close.
-const badClientLimit = 3 * time.Second
+// maxCloseDelay is the time within which the protocol requires that a client without a complete command gets an error
+// or is disconnected.
+const maxCloseDelay = 3 * time.Second
 
-// Silent clients are closed within the page's time, however many they are: their ends in portions once waited for the
-// timer's slack between two portions.
-func TestManySilentClients(t *testing.T) {
-	const silent = 700
-	w := newWorld(t)
-	w.most = 2 * silent
-	addr, _ := w.start()
-	var wg sync.WaitGroup
-	for i := range silent {
-		c := dialRaw(t, addr)
-		began := time.Now()
-		wg.Add(1)
+// Clients that send nothing are disconnected within the time that the protocol requires, however many they are. They
+// are disconnected in batches; the timer's slack between two batches once added up.
+func TestManyClientsWithoutCommand(t *testing.T) {
+	const clients = 700
+	env := newTestEnv(t)
+	env.maxClients = 2 * clients
+	addr, _ := env.startSender()
+	var pending sync.WaitGroup
+	for i := range clients {
+		c := dialClient(t, addr)
+		start := time.Now()
+		pending.Add(1)
 		go func() {
-			defer wg.Done()
-			if _, err := c.line(); !errors.Is(err, io.EOF) || time.Since(began) > badClientLimit {
-				t.Errorf("client %d: %v after %v", i, err, time.Since(began))
+			defer pending.Done()
+			if _, err := c.readLine(); !errors.Is(err, io.EOF) || time.Since(start) > maxCloseDelay {
+				t.Errorf("client %d: %v after %v", i, err, time.Since(start))
 			}
 		}()
 	}
-	wg.Wait()
+	pending.Wait()
 }
