--- a/internal/net/failure/failure.go
+++ b/internal/net/failure/failure.go
@@ -1,5 +1,5 @@
-// Package failure classifies the errors of system calls: what a failed call on the way to a peer proves of the
-// request, and whether an operation on this machine may succeed later. It keeps no state; any goroutine may call it.
+// Package failure classifies the errors of system calls: what a failed network operation proves about the request, and
+// whether a failed operation on this machine may succeed later. It has no state; any goroutine may call it.
 package failure
 
 import (
@@ -10,60 +10,61 @@
 // Call is the operation that failed.
 type Call uint8
 
-// The calls.
+// The operations.
 const (
-	Connect Call = iota // socket, bind, connect, and joining the event loop: nothing was written yet
+	Connect Call = iota // socket, bind, connect, and registration with the event loop: nothing was written
 	Write               // the request's last byte was not sent
 	Read                // the request was sent completely
 )
 
-// Blame is where the cause of a failure lies.
+// Blame is the place of a failure's cause.
 type Blame uint8
 
-// The places a failure may come from.
+// The places of a failure's cause.
 const (
-	Peer    Blame = iota // the peer, or the network right before it
-	Path                 // the network path to it, or a rule of this machine for that path
-	Machine              // this machine: it was short of a resource, or its call was interrupted
+	Peer    Blame = iota // the peer, or the network close to it
+	Path                 // the network path to the peer, or a rule of this machine for that path
+	Machine              // this machine: it lacked a resource, or the system call was interrupted
 )
 
-// Proof is what a failure proves of a request.
+// Proof is what a failure proves about a request.
 type Proof struct {
 	MayHaveRun bool // the outcome is ambiguous
 	Blame      Blame
 }
 
-// machine are the errors of calls that this machine could not carry out; they prove nothing of any peer.
+// machineErrors are the errors of system calls that this machine could not execute. They prove nothing about the peer.
 var machineErrors = []syscall.Errno{
-	syscall.EMFILE, syscall.ENFILE, // no descriptor
+	syscall.EMFILE, syscall.ENFILE, // no free descriptor
 	syscall.ENOBUFS, syscall.ENOMEM, // no memory
-	syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN, // no local port, or no room for another route
-	syscall.ENOSPC, // no room for another watch of the event loop
+	syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN, // no free local port, or no room for another route
+	syscall.ENOSPC, // no room for another descriptor in the event loop
 	syscall.EINTR,
 	syscall.ENETDOWN,
 }
 
-// path are the errors of a network path that this machine lacks or must not use: the peer was not
-// reached. They may pass soon, or concern that peer alone.
+// pathErrors are the errors of a network path that this machine lacks or must not use: the peer was not reached. They
+// may pass soon, or concern that peer alone.
 var pathErrors = []syscall.Errno{syscall.ENETUNREACH, syscall.EACCES, syscall.EPERM}
 
 // Of returns what the error of a call proves.
-func Of(call Call, err error) Proof {
-	proof := Proof{MayHaveRun: call == Read}
-	if call != Connect { // an established connection broke: the cause isn't this machine's
-		return proof
+func Of(operation Call, err error) Proof {
+	result := Proof{MayHaveRun: operation == Read}
+	if operation != Connect { // an established connection failed, for which this machine is not the cause
+		return result
 	}
 	switch {
 	case isOneOf(err, machineErrors):
-		proof.Blame = Machine
+		result.Blame = Machine
 	case isOneOf(err, pathErrors):
-		proof.Blame = Path
+		result.Blame = Path
 	}
-	return proof
+	return result
 }
 
-func isOneOf(err error, list []syscall.Errno) bool {
-	for _, errno := range list {
+// isOneOf reports whether err is one of the errnos.
+func isOneOf(err error, errnos []syscall.Errno) bool {
+	for _, errno := range errnos {
 		if errors.Is(err, errno) {
 			return true
 		}
--- a/internal/net/failure/failure_test.go
+++ b/internal/net/failure/failure_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// What each documented error of connect, and of the calls around it, proves; and that none of them
-// proves anything of a request that has left.
-func TestWhatAnErrorProves(t *testing.T) {
+// Each documented error of connect and of the related system calls has its classification for a connect.
+// None of them proves anything about a request that was sent.
+func TestClassify(t *testing.T) {
 	for errno, want := range map[syscall.Errno]Blame{
 		syscall.EMFILE: Machine, syscall.ENFILE: Machine, syscall.ENOBUFS: Machine, syscall.ENOMEM: Machine,
 		syscall.EADDRNOTAVAIL: Machine,
@@ -31,7 +31,7 @@
 			t.Errorf("read: %v: %+v", errno, got)
 		}
 	}
-	if got := Of(Connect, errors.New("a time-out of our own")); got != (Proof{false, Peer}) {
+	if got := Of(Connect, errors.New("timeout without an errno")); got != (Proof{false, Peer}) {
 		t.Error(got)
 	}
 }
--- a/internal/net/http1/body.go
+++ b/internal/net/http1/body.go
@@ -5,40 +5,40 @@
 	"strconv"
 )
 
-// body reads the body of a head that ends at an offset, and returns the response's end; 0 means that more bytes are
-// needed.
-func (r *Response) body(data []byte, at int, ended bool) (int, error) {
+// readBody reads the body that starts at offset. It returns the offset of the response's end, or 0 if more bytes are
+// needed. eof reports that no more will follow.
+func (r *Response) readBody(data []byte, offset int, eof bool) (int, error) {
 	if bytes.EqualFold(r.Get("Transfer-Encoding"), []byte("chunked")) {
-		return r.chunks(data, at)
+		return r.readChunks(data, offset)
 	}
 	size := 0
 	if length := r.Get("Content-Length"); length != nil {
-		stated, err := strconv.ParseUint(string(length), 10, 32)
-		if err != nil || stated > MaxBody {
+		declared, err := strconv.ParseUint(string(length), 10, 32)
+		if err != nil || declared > MaxBody {
 			return 0, ErrBody
 		}
-		size = int(stated)
+		size = int(declared)
 	} else if r.Status != statusNoContent && r.Status != statusNotModified {
-		if r.Close = true; len(data)-at > MaxBody {
+		if r.Close = true; len(data)-offset > MaxBody {
 			return 0, ErrBody
 		}
-		if !ended {
+		if !eof {
 			return 0, nil
 		}
-		size, r.Ended = len(data)-at, true
+		size, r.Ended = len(data)-offset, true
 	}
-	if len(data) < at+size {
+	if len(data) < offset+size {
 		return 0, nil
 	}
-	r.Body = data[at : at+size]
-	return at + size, nil
+	r.Body = data[offset : offset+size]
+	return offset + size, nil
 }
 
-// chunks reads a chunked body and its trailers; it returns as body does.
-func (r *Response) chunks(data []byte, at int) (int, error) {
+// readChunks reads a chunked body and its trailers. It returns the same as readBody.
+func (r *Response) readChunks(data []byte, offset int) (int, error) {
 	var body []byte
 	for {
-		size, start, err := chunkSize(data, at)
+		size, start, err := readChunkSize(data, offset)
 		if start == 0 || err != nil {
 			return 0, err
 		}
@@ -60,39 +60,41 @@
 			return 0, ErrBody
 		}
 		body = append(body, data[start:end]...)
-		at = end + len(crlf)
+		offset = end + len(crlf)
 	}
 }
 
-// chunkSize reads a chunk's line. start is where its bytes begin; 0 means that more are needed.
-func chunkSize(data []byte, at int) (size, start int, err error) {
-	line, _, ok := bytes.Cut(data[at:min(len(data), at+maxChunkLine)], crlf)
+// readChunkSize reads the line that starts a chunk. start is the offset of the chunk's data, or 0 if more bytes are
+// needed.
+func readChunkSize(data []byte, offset int) (size, start int, err error) {
+	line, _, ok := bytes.Cut(data[offset:min(len(data), offset+maxChunkLine)], crlf)
 	if !ok {
-		if len(data)-at >= maxChunkLine {
+		if len(data)-offset >= maxChunkLine {
 			return 0, 0, ErrBody
 		}
 		return 0, 0, nil
 	}
 	digits, _, _ := bytes.Cut(line, []byte{';'})
-	stated, err := strconv.ParseUint(string(digits), 16, 32)
+	declared, err := strconv.ParseUint(string(digits), 16, 32)
 	if err != nil {
 		return 0, 0, ErrBody
 	}
-	return int(stated), at + len(line) + len(crlf), nil
+	return int(declared), offset + len(line) + len(crlf), nil
 }
 
-// skipTrailers returns the end of the empty line behind a chunked body's trailers; 0 means that more bytes are needed.
-func skipTrailers(data []byte, at int) (int, error) {
+// skipTrailers returns the offset behind the empty line that ends a chunked body's trailers, or 0 if more bytes are
+// needed.
+func skipTrailers(data []byte, offset int) (int, error) {
 	for {
-		length := bytes.Index(data[at:], crlf)
+		length := bytes.Index(data[offset:], crlf)
 		if length < 0 {
-			if len(data)-at > maxHead {
+			if len(data)-offset > maxHead {
 				return 0, ErrBody
 			}
 			return 0, nil
 		}
-		if at += length + len(crlf); length == 0 {
-			return at, nil
+		if offset += length + len(crlf); length == 0 {
+			return offset, nil
 		}
 	}
 }
--- a/internal/net/http1/head.go
+++ b/internal/net/http1/head.go
@@ -2,51 +2,52 @@
 
 import "bytes"
 
-// The first line up to its status code: x is any digit, and so is 0, but for the status code's first digit.
+// The status line up to its status code. Both x and 0 stand for any digit, except that the status code does not start
+// with 0.
 const (
-	firstLine = "HTTP/1.x 000"
-	minorAt   = 7 // of the minor version's digit
-	statusAt  = 9 // of the status code
+	statusLinePattern  = "HTTP/1.x 000"
+	minorVersionOffset = 7 // the minor version's digit
+	statusCodeOffset   = 9 // the status code's first digit
 )
 
-// readHead reads the first line and the headers, and returns the bytes used; 0 means that more are needed. The headers
-// whose lines are complete are kept in any case.
+// readHead reads the status line and the headers. It returns the number of bytes read, or 0 if more are needed. The
+// headers whose lines are complete are kept in any case.
 func (r *Response) readHead(data []byte) (int, error) {
 	lineStart, headersStart := 0, 0
-	inName := true // whether a header's name is being read
+	inName := true // a header's name is being read, and not its value
 	defer func() {
 		if headersStart > 0 && r.headers == nil {
 			r.headers = data[headersStart:lineStart]
 		}
 	}()
-	for i, c := range data[:min(len(data), maxHead)] {
-		at := i - lineStart
+	for i, char := range data[:min(len(data), maxHead)] {
+		offset := i - lineStart
 		switch {
 		case i > 0 && data[i-1] == '\r':
-			if c != '\n' {
+			if char != '\n' {
 				return 0, ErrHead
 			}
-			if at == 1 { // an empty line ends the head
+			if offset == 1 { // an empty line ends the head
 				r.headers = data[headersStart : i-1]
-				r.Close = data[minorAt] == '0' || bytes.EqualFold(r.Get("Connection"), []byte("close"))
+				r.Close = data[minorVersionOffset] == '0' || bytes.EqualFold(r.Get("Connection"), []byte("close"))
 				return i + 1, nil
 			}
 			if lineStart == 0 {
-				r.Status = status(data)
+				r.Status = parseStatusCode(data)
 				headersStart = i + 1
 			}
 			lineStart, inName = i+1, true
-		case lineStart == 0 && at <= len(firstLine):
-			if !fitsFirstLine(at, c) {
+		case lineStart == 0 && offset <= len(statusLinePattern):
+			if !matchesStatusLine(offset, char) {
 				return 0, ErrHead
 			}
-		case lineStart > 0 && inName && (at > 0 || c != '\r'):
-			if c == ':' && at > 0 {
+		case lineStart > 0 && inName && (offset > 0 || char != '\r'):
+			if char == ':' && offset > 0 {
 				inName = false
-			} else if !token(c) {
+			} else if !isTokenChar(char) {
 				return 0, ErrHead
 			}
-		case control(c):
+		case isControl(char):
 			return 0, ErrHead
 		}
 	}
@@ -56,32 +57,33 @@
 	return 0, nil
 }
 
-// status is the status code of a complete first line.
-func status(line []byte) int {
+// parseStatusCode returns the status code of a complete status line.
+func parseStatusCode(line []byte) int {
 	code := 0
-	for _, c := range line[statusAt:len(firstLine)] {
-		code = code*10 + int(c-'0')
+	for _, char := range line[statusCodeOffset:len(statusLinePattern)] {
+		code = code*10 + int(char-'0')
 	}
 	return code
 }
 
-// fitsFirstLine tells whether char may be at a position of the first line, up to the byte behind the status code.
-func fitsFirstLine(at int, char byte) bool {
-	if at == len(firstLine) {
+// matchesStatusLine reports whether char is allowed at an offset of the status line, up to the byte behind the status
+// code.
+func matchesStatusLine(offset int, char byte) bool {
+	if offset == len(statusLinePattern) {
 		return char == ' ' || char == '\r'
 	}
-	if at == statusAt && char == '0' {
+	if offset == statusCodeOffset && char == '0' {
 		return false
 	}
-	expected := firstLine[at]
+	expected := statusLinePattern[offset]
 	return char == expected || char >= '0' && char <= '9' && (expected == '0' || expected == 'x')
 }
 
-// control tells whether c is a control character that no line may hold.
-func control(c byte) bool { return c < ' ' && c != '\t' && c != '\r' || c == 0x7f }
+// isControl reports whether char is a control character that is not allowed in a line.
+func isControl(char byte) bool { return char < ' ' && char != '\t' && char != '\r' || char == 0x7f }
 
-// token tells whether a header's name may hold c.
-func token(c byte) bool {
-	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' ||
-		bytes.IndexByte([]byte("!#$%&'*+-.^_`|~"), c) >= 0
+// isTokenChar reports whether char is allowed in a header's name.
+func isTokenChar(char byte) bool {
+	return char >= 'a' && char <= 'z' || char >= 'A' && char <= 'Z' || char >= '0' && char <= '9' ||
+		bytes.IndexByte([]byte("!#$%&'*+-.^_`|~"), char) >= 0
 }
--- a/internal/net/http1/http1.go
+++ b/internal/net/http1/http1.go
@@ -1,4 +1,5 @@
-// Package http1 parses HTTP/1.1 responses in place, as far as a client needs them. A Response is for one goroutine.
+// Package http1 parses HTTP/1.1 responses in place, as far as a client needs it. A Response must be used by one
+// goroutine at a time.
 package http1
 
 import (
@@ -9,45 +10,45 @@
 )
 
 const (
-	// maxHead bounds a response's head, and a chunked body's trailers, in bytes.
+	// maxHead limits a response's head, and a chunked body's trailers, in bytes.
 	maxHead = 16 << 10
-	// maxInterim bounds the 1xx responses ahead of the final one.
+	// maxInterim limits the number of 1xx responses before the final one.
 	maxInterim = 8
-	// MaxBody bounds a response's body, in bytes; the longest endpoint list is far below it.
+	// MaxBody limits a response's body, in bytes. The longest endpoint list is far shorter.
 	MaxBody = 4 << 20
-	// maxChunkLine bounds a chunk's line of size and extensions, in bytes.
+	// maxChunkLine limits the line with a chunk's size and extensions, in bytes.
 	maxChunkLine = 64
-	// maxDigits bounds a number in a header.
+	// maxDigits limits the digits of a number in a header.
 	maxDigits = 9
-	// maxNumber is the largest number of maxDigits digits.
+	// maxNumber is the largest number with maxDigits digits.
 	maxNumber = 999_999_999
 )
 
-// The status codes that a response's framing depends on.
+// The status codes that determine how a response ends.
 const (
-	firstFinalStatus  = 200 // below it a response is interim
+	firstFinalStatus  = 200 // responses with a lower status are interim
 	statusNoContent   = 204
 	statusNotModified = 304
 )
 
-// The errors of a malformed response; the connection can't be used any more.
+// The errors of a malformed response, after which the connection must not be reused.
 var (
 	ErrHead = errors.New("http1: malformed response head")
 	ErrBody = errors.New("http1: malformed or oversize response body")
 )
 
-// Response is one parsed response. Its slices are parts of the buffer given to Parse, but for the body
-// of a chunked response.
+// Response is one parsed response. Its slices refer to the buffer that was passed to Parse, except for the
+// body of a chunked response.
 type Response struct {
 	Status int
 	Close  bool // the connection ends with this response
-	Ended  bool // the body ends with the connection: it may be incomplete
+	Ended  bool // the body is delimited by the connection's end: it may be incomplete
 	Body   []byte
 
-	headers []byte // from the second line on, without the empty line
+	headers []byte // the lines between the status line and the empty line
 }
 
-// Get returns the value of the first header of that name, without the blanks around it; nil if there is none.
+// Get returns the value of the first header with that name, without white space around it, or nil if there is none.
 func (r *Response) Get(name string) []byte {
 	for value := range r.All(name) {
 		return value
@@ -55,8 +56,8 @@
 	return nil
 }
 
-// All yields the values of the headers of that name, in order. Of an incomplete or malformed response they are those
-// whose lines were complete before that.
+// All yields the values of the headers with that name, in order. For an incomplete or malformed response, these are the
+// headers whose lines were complete.
 func (r *Response) All(name string) iter.Seq[[]byte] {
 	return func(yield func([]byte) bool) {
 		for remaining := r.headers; len(remaining) > 0; {
@@ -70,12 +71,12 @@
 	}
 }
 
-// Longest returns the longest time among the headers of that name, in whole units, rounded up; 0 if there is none. A
-// value is a decimal number, with or without a fraction; one of more than maxDigits digits counts as maxNumber.
+// Longest returns the largest number among the headers with that name, rounded up, or 0 if there is none. A value is a
+// decimal number with or without a fraction; one of more than maxDigits digits counts as maxNumber.
 func (r *Response) Longest(name string) (longest int64) {
 	for value := range r.All(name) {
 		whole, decimals, hasFraction := bytes.Cut(value, []byte{'.'})
-		if len(whole) == 0 || !digits(whole) || hasFraction && (len(decimals) == 0 || !digits(decimals)) {
+		if len(whole) == 0 || !isDigits(whole) || hasFraction && (len(decimals) == 0 || !isDigits(decimals)) {
 			continue
 		}
 		units := int64(maxNumber)
@@ -90,8 +91,8 @@
 	return longest
 }
 
-// digits tells whether a text holds nothing but decimal digits.
-func digits(text []byte) bool {
+// isDigits reports whether a text consists only of decimal digits.
+func isDigits(text []byte) bool {
 	for _, c := range text {
 		if c < '0' || c > '9' {
 			return false
@@ -100,7 +101,7 @@
 	return true
 }
 
-// Int returns the header of that name if it is a whole number of at most maxDigits digits, and 0 otherwise.
+// Int returns the first header with that name if it is a whole number of at most maxDigits digits, and 0 otherwise.
 func (r *Response) Int(name string) int64 {
 	value := r.Get(name)
 	number, err := strconv.ParseInt(string(value), 10, 64)
@@ -112,26 +113,26 @@
 
 var crlf = []byte("\r\n")
 
-// Parse reads one response from the start of data. It returns the bytes used; 0 means that more bytes are needed.
-// ended tells that no more will come, which ends a body of no stated length. A malformed head is an error at its first
-// wrong byte, not only when maxHead is reached. Status is set as soon as the first line is complete, also where what
-// follows it is malformed.
-func (r *Response) Parse(data []byte, ended bool) (int, error) {
-	at, interim := 0, 0
+// Parse parses one response from the start of data. It returns the number of bytes read, or 0 if more are needed. eof
+// reports that no more will follow, which delimits a body without a declared length. A malformed head is an error at
+// its first invalid byte, not only when maxHead is reached. Status is set as soon as the status line is complete, even
+// if the data after it is malformed.
+func (r *Response) Parse(data []byte, eof bool) (int, error) {
+	offset, interim := 0, 0
 	for ; ; interim++ {
 		*r = Response{}
-		used, err := r.readHead(data[at:])
-		if used == 0 && err == nil && ended && len(data) > 0 || interim > maxInterim {
+		used, err := r.readHead(data[offset:])
+		if used == 0 && err == nil && eof && len(data) > 0 || interim > maxInterim {
 			err = ErrHead
 		}
 		if used == 0 || err != nil {
 			return 0, err
 		}
-		if at += used; r.Status >= firstFinalStatus {
+		if offset += used; r.Status >= firstFinalStatus {
 			break
 		}
 	}
-	end, err := r.body(data, at, ended)
+	end, err := r.readBody(data, offset, eof)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/net/http1/http1_test.go
+++ b/internal/net/http1/http1_test.go
@@ -8,9 +8,9 @@
 )
 
 func TestParse(t *testing.T) {
-	for _, c := range []struct {
-		in     string
-		ended  bool
+	for _, test := range []struct {
+		input  string
+		eof    bool
 		status int
 		body   string
 		closes bool
@@ -37,8 +37,8 @@
 		{"HTTP/2 200 OK\r\n\r\n", false, 0, "", false, ErrHead},
 		{"HTTP/1.1 2x0 OK\r\n\r\n", false, 0, "", false, ErrHead},
 		{"HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", maxHead), false, 0, "", false, ErrHead},
-		// Noise on a connection that stays open held its slot until the time-out: the first byte that cannot be
-		// must be enough.
+		// Malformed data on a connection that stays open once occupied a slot until the timeout: the first invalid
+		// byte must be an error.
 		{"\x00", false, 0, "", false, ErrHead},
 		{"HTTP/1.1 20x", false, 0, "", false, ErrHead},
 		{"HTTP/1.1 200 OK\n", false, 0, "", false, ErrHead},
@@ -47,26 +47,27 @@
 		{"HTTP/1.1 200 OK\r\n\rx", false, 0, "", false, ErrHead},
 		{strings.Repeat("HTTP/1.1 100 C\r\n\r\n", maxInterim+1), false, 0, "", false, ErrHead},
 	} {
-		var r Response
-		n, err := r.Parse([]byte(c.in), c.ended)
-		same := err == c.err //nolint:errorlint // the parser returns the error itself, not a wrapped one
-		if !same || err == nil && (n != len(c.in) || r.Status != c.status || string(r.Body) != c.body ||
-			r.Close != c.closes) {
-			t.Errorf("%.60q: %d used, %+v, %v", c.in, n, r, err)
+		var response Response
+		used, err := response.Parse([]byte(test.input), test.eof)
+		same := err == test.err //nolint:errorlint // the parser returns the error itself, not a wrapped one
+		if !same || err == nil && (used != len(test.input) || response.Status != test.status ||
+			string(response.Body) != test.body || response.Close != test.closes) {
+			t.Errorf("%.60q: %d bytes read, %+v, %v", test.input, used, response, err)
 		}
 	}
-	var r Response
-	for in, want := range map[string]int{
+	var response Response
+	for input, want := range map[string]int{
 		"HTTP/1.1 200 OK\r\nhalf a head": 200, "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n": 200,
 		"HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 O": 0, "HTTP/1.1 200": 0,
 	} {
-		if _, _ = r.Parse([]byte(in), true); r.Status != want { // a first line that says 200 is true whatever follows
-			t.Errorf("%q: status %d", in, r.Status)
+		// A complete status line with 200 counts whatever follows it.
+		if _, _ = response.Parse([]byte(input), true); response.Status != want {
+			t.Errorf("%q: status %d", input, response.Status)
 		}
 	}
-	if _, err := r.Parse([]byte("HTTP/1.1 429 No\r\nX-Backoff-Ms: 250\r\nX: 12345678901\r\nY: -4\r\n"+
+	if _, err := response.Parse([]byte("HTTP/1.1 429 No\r\nX-Backoff-Ms: 250\r\nX: 12345678901\r\nY: -4\r\n"+
 		"Content-Length: 0\r\n\r\n"), false); err != nil ||
-		r.Int("x-backoff-ms") != 250 || r.Int("X") != 0 || r.Int("Y") != 0 || r.Int("Z") != 0 {
+		response.Int("x-backoff-ms") != 250 || response.Int("X") != 0 || response.Int("Y") != 0 || response.Int("Z") != 0 {
 		t.Fatal(err)
 	}
 }
@@ -84,17 +85,19 @@
 			f.Add(fmt.Appendf(nil, "HTTP/1.1 200 OK\r\n%s\r\n\r\n%s", noise, noise), true)
 		}
 	}
-	f.Fuzz(func(t *testing.T, b []byte, ended bool) {
-		var r, s Response
-		n, err := r.Parse(b, ended)
-		if n < 0 || n > len(b) || err != nil && n != 0 || n > 0 && (r.Status < 200 || len(r.Body) > len(b)) {
-			t.Fatal(n, err)
+	f.Fuzz(func(t *testing.T, data []byte, eof bool) {
+		var response, again Response
+		used, err := response.Parse(data, eof)
+		if used < 0 || used > len(data) || err != nil && used != 0 ||
+			used > 0 && (response.Status < 200 || len(response.Body) > len(data)) {
+			t.Fatal(used, err)
 		}
-		r.Get("Any")
-		if n > 0 && !r.Close { // what was whole is not changed by what follows
-			if m, err := s.Parse(append(append([]byte(nil), b[:n]...), "more"...), false); m != n || err != nil ||
-				s.Status != r.Status {
-				t.Fatal(m, n, err)
+		response.Get("Any")
+		if used > 0 && !response.Close { // data after a complete response does not change it
+			if usedAgain, err := again.Parse(
+				append(append([]byte(nil), data[:used]...), "more"...), false,
+			); usedAgain != used || err != nil || again.Status != response.Status {
+				t.Fatal(usedAgain, used, err)
 			}
 		}
 	})
--- a/internal/net/resp/resp.go
+++ b/internal/net/resp/resp.go
@@ -1,4 +1,4 @@
-// Package resp parses RESP2 commands in place. It keeps no state; any goroutine may call it.
+// Package resp parses RESP2 commands in place. It has no state; any goroutine may call it.
 package resp
 
 import (
@@ -7,76 +7,76 @@
 	"strconv"
 )
 
-// MaxBulk bounds a word, in bytes: the largest body of a message.
+// MaxBulk limits a bulk string, in bytes. It is the largest body of a message.
 const MaxBulk = 64 << 10
 
 const (
-	// maxWords bounds a command's words.
-	maxWords = 16
-	// maxLengthText bounds the digits and the sign of a length.
-	maxLengthText = 8
-	// maxCommand bounds a whole command, in bytes: a body and a few short words.
+	// maxElements limits the elements of a command.
+	maxElements = 16
+	// maxLengthChars limits the digits and the sign of a length.
+	maxLengthChars = 8
+	// maxCommand limits a command, in bytes. It has room for a body and a few short elements.
 	maxCommand = MaxBulk + 8<<10
 )
 
-// crlfSize is the size of a line's end, in bytes.
+// crlfSize is the size of a line ending, in bytes.
 const crlfSize = 2
 
-// The errors of a malformed command; their texts are the error replies, after which the connection is closed.
+// The errors of a malformed command. Their texts are the error replies, after which the connection is closed.
 var (
 	ErrProtocol = errors.New("ERR Protocol error: expected an array of bulk strings")
 	ErrLength   = errors.New("ERR Protocol error: invalid length")
 	ErrTooLong  = errors.New("ERR Protocol error: too long")
 )
 
-// Parse reads one command from the start of data. It returns its words, as parts of data and in the memory of words,
-// and the bytes used; 0 used means that more bytes are needed.
-func Parse(data []byte, words [][]byte) ([][]byte, int, error) {
-	words = words[:0]
-	count, at, err := length(data, 0, '*')
-	if err != nil || at == 0 {
-		return words, 0, err
+// Parse parses one command, which is an array of bulk strings, from the start of data. It returns its elements, which
+// refer to data and are stored in the passed slice, and the number of bytes read, which is 0 if more are needed.
+func Parse(data []byte, elements [][]byte) ([][]byte, int, error) {
+	elements = elements[:0]
+	count, offset, err := readLength(data, 0, '*')
+	if err != nil || offset == 0 {
+		return elements, 0, err
 	}
-	if count < 1 || count > maxWords {
-		return words, 0, ErrLength
+	if count < 1 || count > maxElements {
+		return elements, 0, ErrLength
 	}
 	for range count {
-		size, start, err := length(data, at, '$')
+		size, start, err := readLength(data, offset, '$')
 		if err != nil || start == 0 {
-			return words, 0, err
+			return elements, 0, err
 		}
 		if size < 0 {
-			return words, 0, ErrLength
+			return elements, 0, ErrLength
 		}
 		end := start + size
 		if size > MaxBulk || end > maxCommand {
-			return words, 0, ErrTooLong
+			return elements, 0, ErrTooLong
 		}
 		if len(data) < end+crlfSize {
-			return words, 0, nil
+			return elements, 0, nil
 		}
 		if data[end] != '\r' || data[end+1] != '\n' {
-			return words, 0, ErrProtocol
+			return elements, 0, ErrProtocol
 		}
-		words = append(words, data[start:end])
-		at = end + crlfSize
+		elements = append(elements, data[start:end])
+		offset = end + crlfSize
 	}
-	return words, at, nil
+	return elements, offset, nil
 }
 
-// length reads a marker and a number that ends in CRLF. next is the offset behind them; 0 means that more bytes are
+// readLength reads a type marker and a number that ends in CRLF. next is the offset behind them, or 0 if more bytes are
 // needed.
-func length(data []byte, at int, marker byte) (number, next int, err error) {
-	if at >= len(data) {
+func readLength(data []byte, offset int, marker byte) (number, next int, err error) {
+	if offset >= len(data) {
 		return 0, 0, nil
 	}
-	if data[at] != marker {
+	if data[offset] != marker {
 		return 0, 0, ErrProtocol
 	}
-	line := data[at+1:]
-	end := bytes.IndexByte(line[:min(len(line), maxLengthText+crlfSize)], '\n')
+	line := data[offset+1:]
+	end := bytes.IndexByte(line[:min(len(line), maxLengthChars+crlfSize)], '\n')
 	if end < 0 {
-		if len(line) >= maxLengthText+crlfSize {
+		if len(line) >= maxLengthChars+crlfSize {
 			return 0, 0, ErrLength
 		}
 		return 0, 0, nil
@@ -88,5 +88,5 @@
 	if err != nil || line[0] == '+' {
 		return 0, 0, ErrLength
 	}
-	return number, at + 1 + end + 1, nil
+	return number, offset + 1 + end + 1, nil
 }
