--- a/internal/net/http1/body.go
+++ b/internal/net/http1/body.go
@@ -25,7 +25,7 @@
 		if !eof {
 			return 0, nil
 		}
-		size, r.Ended = len(data)-offset, true
+		size, r.EndedByClose = len(data)-offset, true
 	}
 	if len(data) < offset+size {
 		return 0, nil
--- a/internal/net/http1/http1.go
+++ b/internal/net/http1/http1.go
@@ -18,10 +18,10 @@
 	MaxBody = 4 << 20
 	// maxChunkLine limits the line with a chunk's size and extensions, in bytes.
 	maxChunkLine = 64
-	// maxDigits limits the digits of a number in a header.
-	maxDigits = 9
-	// maxNumber is the largest number with maxDigits digits.
-	maxNumber = 999_999_999
+	// maxHeaderDigits limits the digits of a number in a header.
+	maxHeaderDigits = 9
+	// maxHeaderNumber is the largest number with maxHeaderDigits digits.
+	maxHeaderNumber = 999_999_999
 )
 
 // The status codes that determine how a response ends.
@@ -40,25 +40,25 @@
 // Response is one parsed response. Its slices refer to the buffer that was passed to Parse, except for the
 // body of a chunked response.
 type Response struct {
-	Status int
-	Close  bool // the connection ends with this response
-	Ended  bool // the body is delimited by the connection's end: it may be incomplete
-	Body   []byte
+	Status       int
+	Close        bool // the connection ends with this response
+	EndedByClose bool // the body is delimited by the connection's end: it may be incomplete
+	Body         []byte
 
 	headers []byte // the lines between the status line and the empty line
 }
 
 // Get returns the value of the first header with that name, without white space around it, or nil if there is none.
 func (r *Response) Get(name string) []byte {
-	for value := range r.All(name) {
+	for value := range r.Values(name) {
 		return value
 	}
 	return nil
 }
 
-// All yields the values of the headers with that name, in order. For an incomplete or malformed response, these are the
-// headers whose lines were complete.
-func (r *Response) All(name string) iter.Seq[[]byte] {
+// Values yields the values of the headers with that name, in order. For an incomplete or malformed response, these are
+// the headers whose lines were complete.
+func (r *Response) Values(name string) iter.Seq[[]byte] {
 	return func(yield func([]byte) bool) {
 		for remaining := r.headers; len(remaining) > 0; {
 			var line []byte
@@ -71,24 +71,24 @@
 	}
 }
 
-// Longest returns the largest number among the headers with that name, rounded up, or 0 if there is none. A value is a
-// decimal number with or without a fraction; one of more than maxDigits digits counts as maxNumber.
-func (r *Response) Longest(name string) (longest int64) {
-	for value := range r.All(name) {
+// MaxNumber returns the largest number among the headers with that name, rounded up, or 0 if there is none. A value is
+// a decimal number with or without a fraction; one of more than maxHeaderDigits digits counts as maxHeaderNumber.
+func (r *Response) MaxNumber(name string) (largest int64) {
+	for value := range r.Values(name) {
 		whole, decimals, hasFraction := bytes.Cut(value, []byte{'.'})
 		if len(whole) == 0 || !isDigits(whole) || hasFraction && (len(decimals) == 0 || !isDigits(decimals)) {
 			continue
 		}
-		units := int64(maxNumber)
-		if whole = bytes.TrimLeft(whole, "0"); len(whole) <= maxDigits {
+		units := int64(maxHeaderNumber)
+		if whole = bytes.TrimLeft(whole, "0"); len(whole) <= maxHeaderDigits {
 			units, _ = strconv.ParseInt("0"+string(whole), 10, 64)
 			if len(bytes.Trim(decimals, "0")) > 0 {
 				units++
 			}
 		}
-		longest = max(longest, units)
+		largest = max(largest, units)
 	}
-	return longest
+	return largest
 }
 
 // isDigits reports whether a text consists only of decimal digits.
@@ -101,11 +101,12 @@
 	return true
 }
 
-// Int returns the first header with that name if it is a whole number of at most maxDigits digits, and 0 otherwise.
+// Int returns the first header with that name if it is a whole number of at most maxHeaderDigits digits, and 0
+// otherwise.
 func (r *Response) Int(name string) int64 {
 	value := r.Get(name)
 	number, err := strconv.ParseInt(string(value), 10, 64)
-	if err != nil || len(value) > maxDigits || number < 0 {
+	if err != nil || len(value) > maxHeaderDigits || number < 0 {
 		return 0
 	}
 	return number
--- a/internal/net/platform/call.go
+++ b/internal/net/platform/call.go
@@ -133,7 +133,7 @@
 	} else {
 		shared = c.parseResponse(response)
 		if response.Status == statusOK && len(c.attempts) > 1 {
-			bundleStatuses = c.parseBundle(response.Body, response.Ended)
+			bundleStatuses = c.parseBundle(response.Body, response.EndedByClose)
 		}
 	}
 	c.egress.applyRetryAfter(c.route, shared)
@@ -151,7 +151,7 @@
 func (c *call) failedResult(response *http1.Response, err error) sender.AttemptResult {
 	result := sender.AttemptResult{Endpoint: c.route.Addr, Outcome: c.failedOutcome(response, err)}
 	if response != nil {
-		result.RetryAfterMs = response.Longest(backoffHeader)
+		result.RetryAfterMs = response.MaxNumber(backoffHeader)
 	}
 	return result
 }
--- a/internal/net/platform/client.go
+++ b/internal/net/platform/client.go
@@ -56,7 +56,7 @@
 // reply.
 func (cl *client) Evict(reason conntable.Reason) {
 	if cl.buffer.Len() > 0 && (reason == conntable.Slow || reason == conntable.Silent) {
-		cl.refuse(errCommandTimeout)
+		cl.rejectCommand(errCommandTimeout)
 		return
 	}
 	cl.closing = true
@@ -81,7 +81,7 @@
 			err = resp.ErrTooLong
 		}
 		if err != nil {
-			cl.refuse(err)
+			cl.rejectCommand(err)
 			return
 		}
 		if size == 0 {
@@ -135,10 +135,10 @@
 	cl.replies = append(cl.replies, &reply{client: cl, text: []byte(text)})
 }
 
-// refuse replies with an error to a malformed or overdue command, and closes the connection after all
+// rejectCommand replies with an error to a malformed or overdue command, and closes the connection after all
 // pending replies. Requests of the same read are not submitted; those submitted before are withdrawn
 // if they still can be.
-func (cl *client) refuse(err error) {
+func (cl *client) rejectCommand(err error) {
 	text := "-" + err.Error() + "\r\n"
 	in := cl.ingress
 	for _, pending := range cl.replies {
@@ -196,15 +196,15 @@
 // is requested. It reports whether it has updated the connection table.
 func (cl *client) flush() bool {
 	pending := len(cl.replies)
-	due := 0
-	for due < pending && cl.replies[due].text != nil {
-		due++
+	ready := 0
+	for ready < pending && cl.replies[ready].text != nil {
+		ready++
 	}
-	if due > 0 && cl.write(due) != nil || cl.closing && len(cl.replies) == 0 {
+	if ready > 0 && cl.write(ready) != nil || cl.closing && len(cl.replies) == 0 {
 		cl.close()
 		return true
 	}
-	if due > 0 || pending > 0 && cl.Class() != conntable.Busy {
+	if ready > 0 || pending > 0 && cl.Class() != conntable.Busy {
 		cl.updateClass()
 		return true
 	}
@@ -214,8 +214,8 @@
 // write writes the first count replies and removes them.
 func (cl *client) write(count int) error {
 	texts := make([][]byte, count)
-	for i, due := range cl.replies[:count] {
-		texts[i] = due.text
+	for i, ready := range cl.replies[:count] {
+		texts[i] = ready.text
 	}
 	if cl.replies = cl.replies[count:]; len(cl.replies) == 0 {
 		cl.replies = nil
--- a/internal/net/platform/egress.go
+++ b/internal/net/platform/egress.go
@@ -120,8 +120,9 @@
 // applyRetryAfter records a Retry-After and aborts the route's calls whose request was started but not
 // completely sent: they were admitted before the Retry-After was known.
 func (e *Egress) applyRetryAfter(route sender.Route, result sender.AttemptResult) {
-	slotsOnly := result.Outcome == sender.OutcomeNotSent && result.RetryAfterMs == fullRetryAfterMs
-	if result.RetryAfterMs <= 0 || slotsOnly {
+	// A Retry-After with egressFullHeader concerns only this endpoint's connections, not the whole route.
+	endpointFull := result.Outcome == sender.OutcomeNotSent && result.RetryAfterMs == fullRetryAfterMs
+	if result.RetryAfterMs <= 0 || endpointFull {
 		return
 	}
 	now := e.core.Now()
--- a/internal/net/platform/response.go
+++ b/internal/net/platform/response.go
@@ -34,7 +34,7 @@
 	result := sender.AttemptResult{
 		Endpoint:     c.route.Addr,
 		Outcome:      sender.OutcomeFailed,
-		RetryAfterMs: response.Longest(backoffHeader),
+		RetryAfterMs: response.MaxNumber(backoffHeader),
 		LoadReport:   c.egress.parseLoadReport(response),
 	}
 	switch response.Status {
