--- a/internal/net/amqpfront/brokerlink.go
+++ b/internal/net/amqpfront/brokerlink.go
@@ -93,7 +93,7 @@
 
 // Down ends all attempts of the connection.
 func (l *brokerLink) Down(_ *reactor.Conn, err error) {
-	if !l.connected && failure.Of(failure.Connect, err).Blame != failure.Peer { // it says nothing of the broker
+	if !l.connected && failure.Classify(failure.Connect, err).Origin != failure.Peer { // it says nothing of the broker
 		for _, p := range l.waiting {
 			p.report(sender.OutcomeNotSent)
 		}
--- a/internal/net/failure/failure.go
+++ b/internal/net/failure/failure.go
@@ -7,30 +7,30 @@
 	"syscall"
 )
 
-// Call is the operation that failed.
-type Call uint8
+// Operation is a step of sending a request to a peer.
+type Operation uint8
 
-// The operations.
+// The operations that may fail.
 const (
-	Connect Call = iota // socket, bind, connect, and registration with the event loop: nothing was written
-	Write               // the request's last byte was not sent
-	Read                // the request was sent completely
+	Connect Operation = iota // socket, bind, connect, and registration with the event loop: nothing was written
+	Write                    // the request's last byte was not sent
+	Read                     // the request was sent completely
 )
 
-// Blame is the place of a failure's cause.
-type Blame uint8
+// Origin is the place of a failure's cause.
+type Origin uint8
 
 // The places of a failure's cause.
 const (
-	Peer    Blame = iota // the peer, or the network close to it
-	Path                 // the network path to the peer, or a rule of this machine for that path
-	Machine              // this machine: it lacked a resource, or the system call was interrupted
+	Peer    Origin = iota // the peer, or the network close to it
+	Path                  // the network path to the peer, or a rule of this machine for that path
+	Machine               // this machine: it lacked a resource, or the system call was interrupted
 )
 
 // Proof is what a failure proves about a request.
 type Proof struct {
 	MayHaveRun bool // the outcome is ambiguous
-	Blame      Blame
+	Origin     Origin
 }
 
 // machineErrors are the errors of system calls that this machine could not execute. They prove nothing about the peer.
@@ -47,17 +47,17 @@
 // may pass soon, or concern that peer alone.
 var pathErrors = []syscall.Errno{syscall.ENETUNREACH, syscall.EACCES, syscall.EPERM}
 
-// Of returns what the error of a call proves.
-func Of(operation Call, err error) Proof {
+// Classify returns what the error of an operation proves about the request.
+func Classify(operation Operation, err error) Proof {
 	result := Proof{MayHaveRun: operation == Read}
 	if operation != Connect { // an established connection failed, for which this machine is not the cause
 		return result
 	}
 	switch {
 	case isOneOf(err, machineErrors):
-		result.Blame = Machine
+		result.Origin = Machine
 	case isOneOf(err, pathErrors):
-		result.Blame = Path
+		result.Origin = Path
 	}
 	return result
 }
--- a/internal/net/failure/failure_test.go
+++ b/internal/net/failure/failure_test.go
@@ -10,7 +10,7 @@
 // Each documented error of connect and of the related system calls has its classification for a connect.
 // None of them proves anything about a request that was sent.
 func TestClassify(t *testing.T) {
-	for errno, want := range map[syscall.Errno]Blame{
+	for errno, want := range map[syscall.Errno]Origin{
 		syscall.EMFILE: Machine, syscall.ENFILE: Machine, syscall.ENOBUFS: Machine, syscall.ENOMEM: Machine,
 		syscall.EADDRNOTAVAIL: Machine,
 		syscall.EADDRINUSE:    Machine, syscall.EAGAIN: Machine, syscall.EINTR: Machine, syscall.ENETDOWN: Machine,
@@ -21,17 +21,17 @@
 		syscall.ECONNABORTED: Peer, syscall.EPIPE: Peer, syscall.EIO: Peer,
 	} {
 		err := fmt.Errorf("dialling: %w", errno)
-		if got := Of(Connect, err); got != (Proof{false, want}) {
+		if got := Classify(Connect, err); got != (Proof{false, want}) {
 			t.Errorf("connect: %v: %+v", errno, got)
 		}
-		if got := Of(Write, err); got != (Proof{false, Peer}) {
+		if got := Classify(Write, err); got != (Proof{false, Peer}) {
 			t.Errorf("write: %v: %+v", errno, got)
 		}
-		if got := Of(Read, err); got != (Proof{true, Peer}) {
+		if got := Classify(Read, err); got != (Proof{true, Peer}) {
 			t.Errorf("read: %v: %+v", errno, got)
 		}
 	}
-	if got := Of(Connect, errors.New("timeout without an errno")); got != (Proof{false, Peer}) {
+	if got := Classify(Connect, errors.New("timeout without an errno")); got != (Proof{false, Peer}) {
 		t.Error(got)
 	}
 }
--- a/internal/net/platform/call.go
+++ b/internal/net/platform/call.go
@@ -202,9 +202,9 @@
 		return true
 	}
 	if c.link.connected {
-		return failure.Of(failure.Write, err).Blame != failure.Peer
+		return failure.Classify(failure.Write, err).Origin != failure.Peer
 	}
-	switch failure.Of(failure.Connect, err).Blame {
+	switch failure.Classify(failure.Connect, err).Origin {
 	case failure.Machine:
 		return true
 	case failure.Path:
