--- a/internal/app/transport.go
+++ b/internal/app/transport.go
@@ -88,7 +88,7 @@
 	if t.registry == nil {
 		return -1
 	}
-	return t.registry.Seq()
+	return t.registry.Version()
 }
 
 // cancel cancels an attempt in flight.
@@ -116,7 +116,7 @@
 }
 
 // inFlight is the number of attempts in flight.
-func (t *transport) inFlight() int { return t.platformEgress.Out() + t.amqpEgress.Out() }
+func (t *transport) inFlight() int { return t.platformEgress.InFlight() + t.amqpEgress.Out() }
 
 // consoleView is what the console shows of the transport. It waits for the loop and may be called on any other
 // goroutine.
@@ -146,10 +146,10 @@
 	if t.registry == nil {
 		core.UpdateRoutes(scheduler.UpdateFull, platform.Routes(cfg.Known))
 	} else {
-		t.registry.Move(cfg.Discovery)
+		t.registry.SetAgent(cfg.Discovery)
 	}
 	if t.platformIngress != nil {
-		t.platformIngress.Move(finalsAddr(cfg))
+		t.platformIngress.SetAgent(finalsAddr(cfg))
 	}
 	if t.amqpIngress != nil {
 		t.amqpIngress.Follow(cfg.Policy)
--- a/internal/app/transport_start.go
+++ b/internal/app/transport_start.go
@@ -75,13 +75,13 @@
 		return
 	}
 	watched := platform.WatchOptions{
-		Senders: params.cfg.Settings.Senders,
-		Seed:    int64(params.cfg.Seed),
-		Grace:   microseconds(params.cfg.Settings.Rules.DrainWithinUs),
-		Age:     unknownDowntime,
+		Senders:    params.cfg.Settings.Senders,
+		Seed:       int64(params.cfg.Seed),
+		DrainGrace: microseconds(params.cfg.Settings.Rules.DrainWithinUs),
+		ListAge:    unknownDowntime,
 	}
 	if downtime, ok := params.core.Downtime(); ok {
-		watched.Age = downtime
+		watched.ListAge = downtime
 	}
 	if params.handover == nil {
 		t.registry = platform.Watch(params.core, params.reactor, params.cfg.Discovery, params.cfg.Known, watched)
@@ -91,7 +91,7 @@
 	if params.handover.Discovery != params.cfg.Discovery {
 		version = noListVersion // versions of different registries do not compare
 	}
-	t.registry = platform.Follow(params.core, params.reactor, params.cfg.Discovery, routes, version, watched)
+	t.registry = platform.ResumeWatch(params.core, params.reactor, params.cfg.Discovery, routes, version, watched)
 }
 
 func (t *transport) startPlatformIngress(params transportParams) error {
@@ -105,7 +105,7 @@
 	params.core.AddIngress(platform.Front, t.platformIngress)
 	var noRoomReply []byte // of clients beyond the connection limit; the platform's hear nothing
 	if appliance {
-		noRoomReply = platform.TurnedAway
+		noRoomReply = platform.NoRoomReply
 	}
 	if params.cfg.AcceptFD > 0 {
 		listener, err := params.reactor.ListenInherited(params.cfg.AcceptFD, noRoomReply, t.platformIngress.Accept)
--- a/internal/net/platform/egress.go
+++ b/internal/net/platform/egress.go
@@ -147,8 +147,8 @@
 	}
 }
 
-// Out returns the number of messages in flight.
-func (e *Egress) Out() int { return len(e.calls) }
+// InFlight returns the number of messages in flight.
+func (e *Egress) InFlight() int { return len(e.calls) }
 
 // acquire returns the most recently used idle link to an endpoint, or opens a new one; it returns nil
 // if the descriptor budget is used up. An idle link that has received data or the endpoint's close is
--- a/internal/net/platform/golden_test.go
+++ b/internal/net/platform/golden_test.go
@@ -98,7 +98,7 @@
 		core.AddIngress(Front, f.ingress)
 		core.AddEgress(Proto, NewEgress(core, eventLoop, standin.Settings(), conntable.NewRoom(100)))
 		Watch(core, eventLoop, agent.addr(), env.endpointList("active"),
-			WatchOptions{Senders: 1, Seed: 1, Grace: 2 * time.Second})
+			WatchOptions{Senders: 1, Seed: 1, DrainGrace: 2 * time.Second})
 		return f.ingress.Accept
 	})
 	return f
@@ -187,7 +187,7 @@
 	exchange(submit("m3", validFields), "+OK\r\n", nothing)
 	exchange("*1\r\n$99999999\r\n", nothing)
 	exchange("*0\r\n", nothing)
-	fmt.Fprintf(&out, "turned away: %q\n", TurnedAway)
+	fmt.Fprintf(&out, "turned away: %q\n", NoRoomReply)
 	golden.Check(t, "resp.txt", out.String())
 }
 
@@ -253,7 +253,7 @@
 	) func(*reactor.Conn) reactor.Handler {
 		ingress := NewIngress(core, eventLoop, agent.addr(), conntable.NewRoom(100).NewTable(Limits(100)), true)
 		core.AddIngress(Front, ingress)
-		Follow(core, eventLoop, agent.addr(), nil, -1, WatchOptions{Senders: 1, Seed: 1, Grace: 2 * time.Second})
+		ResumeWatch(core, eventLoop, agent.addr(), nil, -1, WatchOptions{Senders: 1, Seed: 1, DrainGrace: 2 * time.Second})
 		return ingress.Accept
 	})
 	golden.Check(t, "watch.txt", maskRequest(receive(t, agent.requests)))
--- a/internal/net/platform/ingress.go
+++ b/internal/net/platform/ingress.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// TurnedAway is sent to a new connection that exceeds the limit: its client may retry after 500 ms.
-var TurnedAway = []byte("-BUSY 500\r\n")
+// NoRoomReply is sent to a new connection that exceeds the limit: its client may retry after 500 ms.
+var NoRoomReply = []byte("-BUSY 500\r\n")
 
 var errCommandTimeout = errors.New("ERR no whole command in time")
 
@@ -80,8 +80,8 @@
 	}
 }
 
-// Move changes the agent to which notices are sent.
-func (in *Ingress) Move(discovery string) { in.notices.setAgent(discovery) }
+// SetAgent changes the agent to which notices are sent.
+func (in *Ingress) SetAgent(discovery string) { in.notices.setAgent(discovery) }
 
 // Accept admits a client's connection, and evicts an idle one for it if the limit is reached. It
 // returns nil if the connection is to be closed.
@@ -91,7 +91,7 @@
 		return cl
 	}
 	if in.sendRetryAfter {
-		return in.reactor.RejectWith(TurnedAway)
+		return in.reactor.RejectWith(NoRoomReply)
 	}
 	return nil
 }
--- a/internal/net/platform/notices_test.go
+++ b/internal/net/platform/notices_test.go
@@ -56,7 +56,7 @@
 	) func(*reactor.Conn) reactor.Handler {
 		ingress := NewIngress(core, eventLoop, unresponsive.Addr().String(),
 			conntable.NewRoom(100).NewTable(Limits(100)), false)
-		setAgent = func() { eventLoop.Post(func() { ingress.Move(agent) }) }
+		setAgent = func() { eventLoop.Post(func() { ingress.SetAgent(agent) }) }
 		core.AddIngress(Front, ingress)
 		core.AddEgress(Proto, NewEgress(core, eventLoop, standin.Settings(), conntable.NewRoom(100)))
 		core.UpdateRoutes("whole", Routes(env.endpointList("active")))
--- a/internal/net/platform/platform_test.go
+++ b/internal/net/platform/platform_test.go
@@ -105,7 +105,7 @@
 		core.AddIngress(Front, ingress)
 		core.AddEgress(Proto, NewEgress(core, eventLoop, standin.Settings(), conntable.NewRoom(100)))
 		env.registry = Watch(core, eventLoop, agent, env.endpointList("active"),
-			WatchOptions{Senders: env.senders, Seed: 1, Grace: env.drainGrace, Age: env.listAge})
+			WatchOptions{Senders: env.senders, Seed: 1, DrainGrace: env.drainGrace, ListAge: env.listAge})
 		return ingress.Accept
 	})
 }
--- a/internal/net/platform/registry.go
+++ b/internal/net/platform/registry.go
@@ -80,10 +80,10 @@
 
 // WatchOptions describe the watching sender.
 type WatchOptions struct {
-	Senders int           // the number of senders that poll the registry, by which the polls are spread
-	Seed    int64         // of the jitter
-	Grace   time.Duration // how long new attempts may still be sent to an endpoint after it began to drain
-	Age     time.Duration // time since a process of this sender last had, or would have had, a response of the agent
+	Senders    int           // the number of senders that poll the registry, by which the polls are spread
+	Seed       int64         // of the jitter
+	DrainGrace time.Duration // how long new attempts may still be sent to an endpoint after it began to drain
+	ListAge    time.Duration // time since a process of this sender last had, or would have had, a response of the agent
 }
 
 func newRegistry(
@@ -117,7 +117,7 @@
 	}
 	g.unconfirmed = Routes(lastList)
 	firstPoll := g.firstPollDelay(options)
-	trustedFor := options.Grace - options.Age - maxProcessPause
+	trustedFor := options.DrainGrace - options.ListAge - maxProcessPause
 	if trustedFor > 0 {
 		core.UpdateRoutes(scheduler.UpdateStale, g.unconfirmed)
 	} else {
@@ -134,9 +134,9 @@
 	return g
 }
 
-// Follow starts a watch with the route table of another process and the version of its list; a negative
+// ResumeWatch starts a watch with the route table of another process and the version of its list; a negative
 // version is none. Any goroutine may call it.
-func Follow(
+func ResumeWatch(
 	core *sender.Sender, eventLoop *reactor.Reactor, addr string, routes []sender.Route, version int64,
 	options WatchOptions,
 ) *Registry {
@@ -148,7 +148,7 @@
 
 // firstPollDelay returns the delay of the first poll of an incarnation that starts with an earlier list.
 func (g *Registry) firstPollDelay(options WatchOptions) time.Duration {
-	return min(g.errorBackoff.InitialDelay(), options.Grace/2, maxFirstPollDelay)
+	return min(g.errorBackoff.InitialDelay(), options.DrainGrace/2, maxFirstPollDelay)
 }
 
 // suspend stops new attempts to the endpoints of the unconfirmed list.
@@ -167,8 +167,8 @@
 	g.unconfirmed = nil
 }
 
-// Seq returns the version of the list. It is negative if there is none.
-func (g *Registry) Seq() int64 { return g.version }
+// Version returns the version of the list. It is negative if there is none.
+func (g *Registry) Version() int64 { return g.version }
 
 // Stop ends the watch.
 func (g *Registry) Stop() {
@@ -178,9 +178,9 @@
 	}
 }
 
-// Move changes to another agent. That agent is polled for the whole list, since it may number its
+// SetAgent changes to another agent. That agent is polled for the whole list, since it may number its
 // versions differently.
-func (g *Registry) Move(addr string) {
+func (g *Registry) SetAgent(addr string) {
 	if addr == g.addr || g.state == watchStopped {
 		return
 	}
@@ -194,7 +194,7 @@
 	}
 }
 
-// resume polls after an interval, unless Move has done so meanwhile: a link carries one request at a
+// resume polls after an interval, unless SetAgent has done so meanwhile: a link carries one request at a
 // time.
 func (g *Registry) resume() {
 	if g.state == watchIdle {
--- a/internal/net/platform/watch_test.go
+++ b/internal/net/platform/watch_test.go
@@ -68,7 +68,8 @@
 				Hosts: []config.Host{{Host: "e1", Block: 7, Class: "k", Health: "active", Dial: "127.0.0.1:1"}},
 			}
 			h.runOnLoop(func() {
-				Watch(h.core, h.eventLoop, agent.listener.Addr().String(), known, WatchOptions{Senders: 1, Grace: 2 * time.Second})
+				Watch(h.core, h.eventLoop, agent.listener.Addr().String(), known,
+					WatchOptions{Senders: 1, DrainGrace: 2 * time.Second})
 			})
 			first := receive(t, agent.requests)
 			if want := "/registry/instances?index=1&wait=1"; first.path != want {
@@ -131,7 +132,7 @@
 	for _, grace := range []time.Duration{0, 200 * time.Millisecond, 2 * time.Second, time.Minute} {
 		maxDelay := time.Duration(0)
 		for seed := range int64(300) {
-			options := WatchOptions{Senders: 300, Seed: seed, Grace: grace}
+			options := WatchOptions{Senders: 300, Seed: seed, DrainGrace: grace}
 			delay := newRegistry(nil, nil, "", 1, options).firstPollDelay(options)
 			if maxDelay = max(maxDelay, delay); delay > grace/2 || delay > maxFirstPollDelay {
 				t.Fatalf("grace %v, seed %d: the first poll is delayed by %v", grace, seed, delay)
@@ -250,7 +251,7 @@
 	env.senders = 8 // up to 280 ms
 	env.startSender()
 	other := newTestEnv(t)
-	env.eventLoop.Post(func() { env.registry.Move(other.agent.Listener.Addr().String()) })
+	env.eventLoop.Post(func() { env.registry.SetAgent(other.agent.Listener.Addr().String()) })
 	if version := receive(t, other.polledVersions); version != "" {
 		t.Fatalf("polled from version %q", version)
 	}
