--- a/internal/net/platform/close_test.go
+++ b/internal/net/platform/close_test.go
@@ -32,14 +32,14 @@
 // no message that arrived then is accepted.
 func TestBytesArriveDuringShutdownClose(t *testing.T) {
 	for name, test := range map[string]struct{ before, duringClose, want string }{
-		"nothing, on one that rests":             {"", "", ""},
-		"a request, on one that rests":           {"", submitCommand("late"), ""},
-		"half a request, on one that rests":      {"", submitCommand("late")[:20], ""},
-		"many requests, on one that rests":       {"", strings.Repeat(submitCommand("late"), 40), ""},
-		"a request, on one that was just used":   {"*1\r\n$4\r\nPING\r\n", submitCommand("late"), "+PONG\r\n"},
-		"noise, on one that was just used":       {"*1\r\n$4\r\nPING\r\n", "\x00\xff\r\n", "+PONG\r\n"},
-		"the rest of a command that was begun":   {submitCommand("late")[:30], submitCommand("late")[30:], ""},
-		"a flood, on one that was just answered": {"*1\r\n$4\r\nPING\r\n", strings.Repeat("x", 100_000), "+PONG\r\n"},
+		"nothing, idle connection":                 {"", "", ""},
+		"a request, idle connection":               {"", submitCommand("late"), ""},
+		"partial request, idle connection":         {"", submitCommand("late")[:20], ""},
+		"many requests, idle connection":           {"", strings.Repeat(submitCommand("late"), 40), ""},
+		"a request, connection after a reply":      {"*1\r\n$4\r\nPING\r\n", submitCommand("late"), "+PONG\r\n"},
+		"malformed data, connection after a reply": {"*1\r\n$4\r\nPING\r\n", "\x00\xff\r\n", "+PONG\r\n"},
+		"the rest of a partial command":            {submitCommand("late")[:30], submitCommand("late")[30:], ""},
+		"a flood, connection after a reply":        {"*1\r\n$4\r\nPING\r\n", strings.Repeat("x", 100_000), "+PONG\r\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			env := newTestEnv(t)
--- a/internal/net/platform/crossing_test.go
+++ b/internal/net/platform/crossing_test.go
@@ -231,8 +231,8 @@
 // A call times out or is canceled while its response is unread. The response's Retry-After must be applied.
 func TestUnreadRetryAfterWhenCallAborted(t *testing.T) {
 	for name, end := range map[string]func(*egressHarness){
-		"called off": func(h *egressHarness) { h.egress.Cancel("a", 0) },
-		"timed out":  func(h *egressHarness) { h.egress.calls["a"].abort(sender.OutcomeTimedOut) },
+		"canceled":  func(h *egressHarness) { h.egress.Cancel("a", 0) },
+		"timed out": func(h *egressHarness) { h.egress.calls["a"].abort(sender.OutcomeTimedOut) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newEgressHarness(t)
@@ -299,9 +299,9 @@
 // down. The rest must not be sent, and the outcome must be that the request was not sent.
 func TestPartlyWrittenRequestAborted(t *testing.T) {
 	for name, forbid := range map[string]func(*egressHarness, *scriptedRequest){
-		"wait":     func(h *egressHarness, request *scriptedRequest) { request.respond(retryAfterResponse) },
-		"shutdown": func(h *egressHarness, _ *scriptedRequest) { h.runOnLoop(h.egress.Stop) },
-		"window": func(h *egressHarness, _ *scriptedRequest) {
+		"Retry-After": func(h *egressHarness, request *scriptedRequest) { request.respond(retryAfterResponse) },
+		"shutdown":    func(h *egressHarness, _ *scriptedRequest) { h.runOnLoop(h.egress.Stop) },
+		"idempotency window": func(h *egressHarness, _ *scriptedRequest) {
 			h.runOnLoop(func() { h.egress.calls["half"].admission.StartBy = h.core.Now() })
 		},
 	} {
@@ -338,7 +338,7 @@
 				t.Fatal(err)
 			}
 			defer conn.Close()
-			h.waitUntil("a part has left", func() bool { return h.egress.calls["half"].link.requestStarted })
+			h.waitUntil("a part was sent", func() bool { return h.egress.calls["half"].link.requestStarted })
 			h.runOnLoop(func() {
 				if h.egress.calls["half"].link.sent() {
 					t.Error("the request was completely sent, so the test proves nothing")
--- a/internal/net/platform/egress_test.go
+++ b/internal/net/platform/egress_test.go
@@ -46,7 +46,7 @@
 // idle.
 func TestLateConnection(t *testing.T) {
 	for _, withRetryAfter := range []bool{true, false} {
-		t.Run(fmt.Sprint("wait ", withRetryAfter), func(t *testing.T) { testLateConnection(t, withRetryAfter) })
+		t.Run(fmt.Sprint("Retry-After ", withRetryAfter), func(t *testing.T) { testLateConnection(t, withRetryAfter) })
 	}
 }
 
@@ -224,13 +224,13 @@
 		"left the list": func(h *egressHarness) {
 			updateRoute(h, func(r *sender.Route) { r.State = "dead" })
 		},
-		"of another destination now": func(h *egressHarness) {
+		"moved to another destination": func(h *egressHarness) {
 			updateRoute(h, func(r *sender.Route) { r.Destination++ })
 		},
-		"shutdown":    func(h *egressHarness) { h.egress.Stop() },
-		"Retry-After": func(h *egressHarness) { h.egress.Gate.SetRetryAfter(h.route.Endpoint, 0, 1<<62) },
-		"window over": func(h *egressHarness) { h.egress.calls["late"].admission.StartBy = 1 },
-		"time up":     func(h *egressHarness) { h.egress.calls["late"].admission.Deadline = 1 },
+		"shutdown":                 func(h *egressHarness) { h.egress.Stop() },
+		"Retry-After":              func(h *egressHarness) { h.egress.Gate.SetRetryAfter(h.route.Endpoint, 0, 1<<62) },
+		"idempotency window ended": func(h *egressHarness) { h.egress.calls["late"].admission.StartBy = 1 },
+		"deadline passed":          func(h *egressHarness) { h.egress.calls["late"].admission.Deadline = 1 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newEgressHarness(t)
--- a/internal/net/platform/platform_test.go
+++ b/internal/net/platform/platform_test.go
@@ -24,13 +24,13 @@
 	t                 *testing.T
 	agent             *httptest.Server
 	endpoint          *httptest.Server
-	notices           chan string
-	calls             chan *http.Request
-	respond           func(w http.ResponseWriter, r *http.Request, body string)
+	notices           chan string                                               // acknowledged by the agent
+	calls             chan *http.Request                                        // received by the endpoint
+	respond           func(w http.ResponseWriter, r *http.Request, body string) // the endpoint's handler
 	mu                sync.Mutex
 	agentUnresponsive bool        // the agent responds only when a list is published
-	rejectedNotices   int         // how many notices get an error before one is acknowledged
-	polledVersions    chan string // of the polls
+	rejectedNotices   int         // the number of notice requests that get an error before one is acknowledged
+	polledVersions    chan string // the list version of each poll
 	updates           chan string // lists to be published by the agent
 	published         []agentList // with a version, in the order of publication
 	truncateNext      chan int    // the byte at which the agent's next response is truncated
--- a/internal/net/platform/watch_test.go
+++ b/internal/net/platform/watch_test.go
@@ -43,21 +43,21 @@
 	for name, test := range map[string]struct {
 		response string
 		close    bool
-		next     string // the query of the next poll, up to the wait; "": none
+		next     string // the query of the next poll before "&wait"; "": no query
 	}{
-		"news":                        {complete, false, "index=2"},
-		"news, and closed":            {complete, true, "index=2"},
-		"closed without a word":       {"", true, "index=1"},
-		"closed in the head":          {complete[:30], true, "index=1"},
-		"closed in half a line":       {complete[:len(complete)-30], true, "index=1"},
-		"silent":                      {"", false, "index=1"},
-		"silent in the head":          {complete[:30], false, "index=1"},
-		"silent in half a line":       {complete[:len(complete)-30], false, "index=1"},
-		"refused":                     {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", false, "index=1"},
-		"no list":                     {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n[1,2]", false, "index=1"},
-		"noise":                       {"\x00\x01\x02", false, "index=1"},
-		"no version":                  {"HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\n{\"hosts\":[]}", false, ""},
-		"news, and more than belongs": {complete + "HTTP/1.1 200 OK\r\n", false, "index=2"},
+		"change":                    {complete, false, "index=2"},
+		"change, then closed":       {complete, true, "index=2"},
+		"closed without a response": {"", true, "index=1"},
+		"closed in the head":        {complete[:30], true, "index=1"},
+		"closed in the body":        {complete[:len(complete)-30], true, "index=1"},
+		"unresponsive":              {"", false, "index=1"},
+		"unresponsive in the head":  {complete[:30], false, "index=1"},
+		"unresponsive in the body":  {complete[:len(complete)-30], false, "index=1"},
+		"error response":            {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", false, "index=1"},
+		"not a list":                {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n[1,2]", false, "index=1"},
+		"malformed response":        {"\x00\x01\x02", false, "index=1"},
+		"no version":                {"HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\n{\"hosts\":[]}", false, ""},
+		"change, then surplus data": {complete + "HTTP/1.1 200 OK\r\n", false, "index=2"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -88,16 +88,16 @@
 				next.path != want+"?"+test.next+"&wait=3000" {
 				t.Fatalf("the next poll is %q, want %q", next.path, test.next)
 			}
-			if next.conn == request.conn != (name == "news") {
+			if next.conn == request.conn != (name == "change") {
 				t.Errorf("on the same connection: %v", next.conn == request.conn)
 			}
 			_, _ = request.conn.Write([]byte(listResponse(9, "left"))) // ignored: the poll has ended
 			next.respond(listResponse(3, "active"))
 			third := receive(t, agent.requests)
-			if want := "/registry/instances?index=3&wait=3000"; third.path != want && name != "news" {
+			if want := "/registry/instances?index=3&wait=3000"; third.path != want && name != "change" {
 				t.Errorf("the last poll is %q, want %q", third.path, want)
 			}
-			if got := h.routeHealth(); got != "live" && name != "news" {
+			if got := h.routeHealth(); got != "live" && name != "change" {
 				t.Errorf("e1 is %s", got)
 			}
 		})
