--- a/internal/net/platform/crossing_test.go
+++ b/internal/net/platform/crossing_test.go
@@ -153,11 +153,11 @@
 			h.egress.Send(h.route, h.newAttempt(fmt.Sprint("warm", i)))
 		}
 	})
-	var turns []*scriptedRequest
+	var requests []*scriptedRequest
 	for range count {
-		turns = append(turns, receive(h.t, h.endpoint.requests))
+		requests = append(requests, receive(h.t, h.endpoint.requests))
 	}
-	for _, request := range turns {
+	for _, request := range requests {
 		request.respond("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	}
 	h.waitUntil("all are idle", func() bool {
--- a/internal/net/platform/golden_test.go
+++ b/internal/net/platform/golden_test.go
@@ -183,7 +183,7 @@
 	paused := make(chan bool)
 	f.core.Post(func() { f.core.Pause(true); close(paused) })
 	<-paused
-	const nothing = "" // the connection must be closed without further data
+	const nothing = "" // nothing more is sent: the connection must be closed
 	exchange(submit("m3", validFields), "+OK\r\n", nothing)
 	exchange("*1\r\n$99999999\r\n", nothing)
 	exchange("*0\r\n", nothing)
