--- a/internal/net/amqp/amqp.go
+++ b/internal/net/amqp/amqp.go
@@ -1,5 +1,6 @@
-// Package amqp reads and writes AMQP 0-9-1: frames in place, methods by the grammar, content headers and bodies. Its
-// faults carry the specification's reply codes. Its types are for one goroutine at a time; its functions keep no state.
+// Package amqp encodes and decodes AMQP 0-9-1: frames, methods, content headers and bodies. Frames are decoded in
+// place, without a copy of their payload. Protocol errors carry the reply codes of the specification. The types are for
+// one goroutine at a time; the functions keep no state.
 package amqp
 
 import (
@@ -8,17 +9,17 @@
 	"fmt"
 )
 
-// Fault is a protocol error with its reply code. A soft one ends the channel, another one the connection.
+// Fault is a protocol error with its reply code. A soft one closes the channel, any other closes the connection.
 type Fault struct {
 	Code   uint16
 	Text   string
-	Method Key // the method that caused it; 0: not known
+	Method Key // the method that caused it; 0: unknown
 }
 
-// Error names the reply code.
+// Error returns the reply code and the text.
 func (f *Fault) Error() string { return fmt.Sprintf("amqp: %d %s", f.Code, f.Text) }
 
-// Soft tells whether this code ends a channel, and not the connection, by the specification.
+// Soft reports whether the code is one that closes only the channel, by the specification.
 func (f *Fault) Soft() bool {
 	switch f.Code {
 	case ContentTooLarge, NoRoute, NoConsumers, AccessRefused, NotFound, ResourceLocked, PreconditionFailed:
@@ -27,7 +28,7 @@
 	return false
 }
 
-// The specification's reply codes.
+// The reply codes of the specification.
 const (
 	ReplySuccess       = 200
 	ContentTooLarge    = 311
@@ -49,12 +50,12 @@
 	InternalError      = 541
 )
 
-// Errorf makes a fault.
+// Errorf returns a fault with a formatted text.
 func Errorf(code uint16, format string, args ...any) *Fault {
 	return &Fault{Code: code, Text: fmt.Sprintf(format, args...)}
 }
 
-// The kinds of frames.
+// The frame types.
 const (
 	FrameMethod = 1
 	FrameHeader = 2
@@ -62,35 +63,35 @@
 	FrameBeat   = 8 // a heartbeat
 )
 
-// The layout of a frame: kind, channel, payload size, payload, end.
+// The layout of a frame: a header of type, channel and payload size, the payload, and the end octet.
 const (
-	frameEnd = 0xCE
-	headSize = 7 // in bytes
-	endSize  = 1 // in bytes
-	sizeAt   = 3 // offset of the payload size
+	frameEnd          = 0xCE
+	frameHeaderSize   = 7 // in bytes
+	frameEndSize      = 1 // in bytes
+	payloadSizeOffset = 3 // in bytes, from the start of the frame
 )
 
 const (
 	// FrameMin is the smallest frame-max that a peer may set, in bytes.
 	FrameMin = 4096
-	// FrameMax is the largest frame that is accepted, in bytes.
+	// FrameMax is the largest frame that is accepted, in bytes, with its header and end octet.
 	FrameMax = 128 << 10
-	// MaxBody bounds a content's body, in bytes.
+	// MaxBody is the largest body of a content that is accepted, in bytes.
 	MaxBody = 64 << 10
 )
 
-// Preamble is what a client sends first on a connection.
+// Preamble is the protocol header, which a client sends first on a connection.
 const Preamble = "AMQP\x00\x00\x09\x01"
 
-// Frame is one frame; its payload is a part of the buffer it was read from.
+// Frame is one frame. Its payload is a slice of the buffer from which it was decoded.
 type Frame struct {
 	Kind    byte
 	Channel uint16
 	Payload []byte
 }
 
-// ParseFrame reads one frame of at most frameMax bytes from the start of data. It returns the bytes used; 0 means that
-// more are needed.
+// ParseFrame decodes one frame of at most frameMax bytes from the start of data. It returns the number of bytes
+// consumed; 0 means that the frame is incomplete.
 func ParseFrame(data []byte, frameMax uint32) (Frame, int, error) {
 	if len(data) == 0 {
 		return Frame{}, 0, nil
@@ -100,87 +101,88 @@
 	default:
 		return Frame{}, 0, Errorf(FrameError, "unknown kind of frame %d", kind)
 	}
-	if len(data) < headSize {
+	if len(data) < frameHeaderSize {
 		return Frame{}, 0, nil
 	}
-	size := binary.BigEndian.Uint32(data[sizeAt:])
-	if size > frameMax-headSize-endSize {
+	size := binary.BigEndian.Uint32(data[payloadSizeOffset:])
+	if size > frameMax-frameHeaderSize-frameEndSize {
 		return Frame{}, 0, Errorf(FrameError, "a frame of %d bytes, above frame-max", size)
 	}
-	end := headSize + int(size)
+	end := frameHeaderSize + int(size)
 	if len(data) <= end {
 		return Frame{}, 0, nil
 	}
 	if data[end] != frameEnd {
 		return Frame{}, 0, Errorf(FrameError, "a frame without its end")
 	}
-	frame := Frame{Kind: data[0], Channel: binary.BigEndian.Uint16(data[1:]), Payload: data[headSize:end]}
+	frame := Frame{Kind: data[0], Channel: binary.BigEndian.Uint16(data[1:]), Payload: data[frameHeaderSize:end]}
 	if frame.Kind == FrameBeat && (frame.Channel != 0 || size != 0) {
 		return Frame{}, 0, Errorf(FrameError, "malformed heartbeat")
 	}
-	return frame, end + endSize, nil
+	return frame, end + frameEndSize, nil
 }
 
-// AppendFrame writes a frame whose payload fill appends.
-func AppendFrame(out []byte, kind byte, channel uint16, fill func([]byte) []byte) []byte {
-	out, at := beginFrame(out, kind, channel)
-	if fill != nil {
-		out = fill(out)
+// AppendFrame appends a frame. appendPayload appends its payload; nil means an empty payload.
+func AppendFrame(out []byte, kind byte, channel uint16, appendPayload func([]byte) []byte) []byte {
+	out, start := beginFrame(out, kind, channel)
+	if appendPayload != nil {
+		out = appendPayload(out)
 	}
-	return endFrame(out, at)
+	return endFrame(out, start)
 }
 
-// beginFrame writes a frame's head without its payload size, and returns the frame's offset.
+// beginFrame appends a frame header whose payload size is still 0, and returns the offset of the frame.
 func beginFrame(out []byte, kind byte, channel uint16) ([]byte, int) {
 	return append(out, kind, byte(channel>>8), byte(channel), 0, 0, 0, 0), len(out)
 }
 
-// endFrame completes the frame that begins at an offset.
-func endFrame(out []byte, at int) []byte {
-	binary.BigEndian.PutUint32(out[at+sizeAt:], uint32(len(out)-at-headSize))
+// endFrame completes the frame that starts at an offset: it sets the payload size and appends the end octet.
+func endFrame(out []byte, start int) []byte {
+	binary.BigEndian.PutUint32(out[start+payloadSizeOffset:], uint32(len(out)-start-frameHeaderSize))
 	return append(out, frameEnd)
 }
 
-// AppendMessage writes a method with its content, in frames of at most frameMax bytes.
+// AppendMessage appends a method with its content, in frames of at most frameMax bytes.
 func AppendMessage(
 	out []byte, channel uint16, method Key, props *Props, body []byte, frameMax uint32, args ...any,
 ) []byte {
 	return appendContent(AppendMethod(out, channel, method, args...), channel, props, body, frameMax)
 }
 
-// appendContent writes a content's header and body frames.
+// appendContent appends the header frame and the body frames of a content.
 func appendContent(out []byte, channel uint16, props *Props, body []byte, frameMax uint32) []byte {
-	out, at := beginFrame(out, FrameHeader, channel)
-	out = endFrame(props.append(out, uint64(len(body))), at)
-	for maxPayload := int(frameMax) - headSize - endSize; len(body) > 0; {
+	out, start := beginFrame(out, FrameHeader, channel)
+	out = endFrame(props.append(out, uint64(len(body))), start)
+	for maxPayload := int(frameMax) - frameHeaderSize - frameEndSize; len(body) > 0; {
 		size := min(maxPayload, len(body))
-		out, at = beginFrame(out, FrameBody, channel)
-		out = endFrame(append(out, body[:size]...), at)
+		out, start = beginFrame(out, FrameBody, channel)
+		out = endFrame(append(out, body[:size]...), start)
 		body = body[size:]
 	}
 	return out
 }
 
-// Assembly joins the frames of one channel to messages. Its zero value is ready.
+// Assembly joins the frames of one channel to messages. Its zero value is ready to use.
 type Assembly struct {
-	content  *content
-	bodySize uint64 // of the body in bytes, once the header has arrived
+	content  *content // nil while no content is incomplete
+	bodySize uint64   // as announced by the content header, in bytes
 }
 
-// content is an incomplete message.
+// content is a message whose content is incomplete.
 type content struct {
 	Message
 	props Props
 }
 
-// Message is a method, with its content if it has one. Without one its bytes are the frame's.
+// Message is a method, with its content if it has one. Without a content, its arguments are slices of the frame's
+// payload.
 type Message struct {
 	Method
-	Props *Props // nil without a content
+	Props *Props // nil for a method without content
 	Body  []byte
 }
 
-// Pending is the number of bytes that an incomplete content holds.
+// Pending returns the number of bytes of memory that an incomplete content occupies.
 func (a *Assembly) Pending() int {
 	if a.content == nil {
 		return 0
@@ -188,7 +190,7 @@
 	return len(a.content.raw) + cap(a.content.Body)
 }
 
-// Add takes the next frame of the channel; the message is nil until it is complete.
+// Add adds the next frame of the channel. It returns the message that the frame completes, or nil.
 func (a *Assembly) Add(frame Frame) (*Message, error) {
 	switch frame.Kind {
 	case FrameMethod:
@@ -212,7 +214,7 @@
 	return &pending.Message, nil
 }
 
-// addMethod returns a method without a content, and begins the content of another.
+// addMethod returns a method that has no content. For one with content it starts the content and returns nil.
 func (a *Assembly) addMethod(payload []byte) (*Message, error) {
 	if a.content != nil {
 		return nil, Errorf(UnexpectedFrame, "a method inside a content")
@@ -224,11 +226,12 @@
 	if !hasContent(method.Key) {
 		return &Message{Method: method}, nil
 	}
-	method.raw = bytes.Clone(method.raw) // it outlives the frame
+	method.raw = bytes.Clone(method.raw) // it is used after the frame's buffer is reused
 	a.content = &content{Message: Message{Method: method}}
 	return nil, nil
 }
 
+// addHeader decodes the content header, which must follow the method.
 func (a *Assembly) addHeader(payload []byte) error {
 	pending := a.content
 	if pending == nil || pending.Props != nil {
@@ -250,6 +253,7 @@
 	return nil
 }
 
+// addBody appends a body frame to the content, whose header must have arrived.
 func (a *Assembly) addBody(payload []byte) error {
 	pending := a.content
 	if pending == nil || pending.Props == nil {
--- a/internal/net/amqp/grammar.go
+++ b/internal/net/amqp/grammar.go
@@ -6,13 +6,15 @@
 	"strings"
 )
 
-// grammar lists all methods of AMQP 0-9-1, one a line: who may send it, its class and name, its number, and its
-// arguments by name and kind. An indented line continues the one before. The encoder, the decoder, the test of the
-// constants, the ingress and the egress all use this list.
-// Sources: the specification's section 1 (classes and methods) of the generated reference; for confirm, nack, blocked,
-// update-secret, exchange.bind and unbind RabbitMQ's documented extensions.
+// grammar lists all methods of AMQP 0-9-1, one per line: which side may send it, its class and name, its class and
+// method ID, and its arguments by name and kind. An indented line continues the line before it. The encoder, the
+// decoder and the tests of this package, of the AMQP front and of the conformance suite are derived from this list.
 //
-// Senders: S the server, C the client, B both. A = behind the number names the method that must answer it, if any.
+// The methods are those of section 1 (classes and methods) of the specification's generated reference, and of
+// RabbitMQ's documented extensions: confirm, basic.nack, connection.blocked and unblocked, connection.update-secret,
+// exchange.bind and exchange.unbind.
+//
+// Sides: S the server, C the client, B both. An = after the IDs names the method that must answer it, if there is one.
 // Kinds: o octet, s short, l long, L longlong, b bit (adjacent bits share an octet), S short string, X long string,
 // T table. A * at the end means that a content follows.
 const grammar = `
@@ -85,42 +87,42 @@
 S tx.rollback-ok 90.31
 `
 
-// Spec is the grammar's description of one method.
+// Spec describes one method, as the grammar lists it.
 type Spec struct {
 	Key
-	Name string // as class.method
+	Name string // "class.method"
 	Args []Arg
 
 	FromServer bool // the server may send it
-	FromClient bool
-	Content    bool // a header and a body follow
+	FromClient bool // the client may send it
+	Content    bool // a content header and a body follow
 	Answer     Key  // the method that must answer it; 0: none
 
-	kinds string // of Args
+	kinds string // the kinds of Args, one byte each
 }
 
-// Arg is one argument's name and kind.
+// Arg is the name and kind of one argument.
 type Arg struct {
 	Name string
 	Kind byte // one of o, s, l, L, b, S, X and T, as in the grammar
 }
 
-var specs = readGrammar(grammar)
+var specs = parseGrammar(grammar)
 
-// SpecOf returns the description of a method; ok is false for an unknown one.
+// SpecOf returns the description of a method; ok is false for an unknown method.
 func SpecOf(method Key) (spec *Spec, ok bool) {
 	spec, ok = specs[method]
 	return spec, ok
 }
 
-// Specs calls visit for each method, in no order.
+// Specs calls visit for each method, in an arbitrary order.
 func Specs(visit func(*Spec)) {
 	for _, spec := range specs {
 		visit(spec)
 	}
 }
 
-// String is the method's name, or its numbers if it is unknown.
+// String returns the name of the method, or its class and method ID if it is unknown.
 func (k Key) String() string {
 	if s, ok := specs[k]; ok {
 		return s.Name
@@ -128,8 +130,8 @@
 	return fmt.Sprintf("method %d.%d", k.Class(), k.ID())
 }
 
-// readGrammar parses the grammar. It panics on an error: the text is this package's own.
-func readGrammar(text string) map[Key]*Spec {
+// parseGrammar parses the grammar. It panics on an error, because the text is a constant of this package.
+func parseGrammar(text string) map[Key]*Spec {
 	byKey, byName := map[Key]*Spec{}, map[string]*Spec{}
 	answers := map[*Spec]string{}
 	text = strings.ReplaceAll(text, "\n  ", " ") // continued lines
@@ -138,7 +140,7 @@
 		sender, name := fields[0], fields[1]
 		class, id, _ := strings.Cut(fields[2], ".")
 		spec := &Spec{
-			Key:        key(number(class), number(id)),
+			Key:        methodKey(parseNumber(class), parseNumber(id)),
 			Name:       name,
 			FromServer: sender != "C",
 			FromClient: sender != "S",
@@ -163,8 +165,8 @@
 	return byKey
 }
 
-// number parses a class's or method's number.
-func number(text string) uint32 {
+// parseNumber parses a class ID or method ID.
+func parseNumber(text string) uint32 {
 	parsed, err := strconv.ParseUint(text, 10, 16)
 	if err != nil {
 		panic(err)
--- a/internal/net/amqp/grammar_test.go
+++ b/internal/net/amqp/grammar_test.go
@@ -12,45 +12,45 @@
 
 func TestMain(m *testing.M) { testkit.Seeded(m, "100") }
 
-// The grammar holds the specification's 64 methods and RabbitMQ's documented ones, each with an answer where one must
-// follow, by either side that can give it.
-func TestGrammarIsWhole(t *testing.T) {
+// The grammar has all 64 methods, those of the specification and RabbitMQ's documented extensions. The answer to a
+// method is one of the same class that the other side may send.
+func TestGrammarIsComplete(t *testing.T) {
 	classes := map[uint16]int{}
-	Specs(func(s *Spec) {
-		classes[s.Class()]++
-		if a, ok := SpecOf(s.Answer); s.Answer != 0 &&
-			(!ok || a.FromServer != s.FromClient && !s.FromServer || a.Class() != s.Class()) {
-			t.Errorf("%s is answered by %s", s.Name, s.Answer)
+	Specs(func(spec *Spec) {
+		classes[spec.Class()]++
+		if answer, ok := SpecOf(spec.Answer); spec.Answer != 0 &&
+			(!ok || answer.FromServer != spec.FromClient && !spec.FromServer || answer.Class() != spec.Class()) {
+			t.Errorf("%s: answer %s is unknown, of another class, or not sent by the other side", spec.Name, spec.Answer)
 		}
 	})
-	for class, n := range map[uint16]int{10: 14, 20: 6, 40: 8, 50: 10, 60: 18, 85: 2, 90: 6} {
-		if classes[class] != n {
-			t.Errorf("class %d has %d methods, not %d", class, classes[class], n)
+	for class, count := range map[uint16]int{10: 14, 20: 6, 40: 8, 50: 10, 60: 18, 85: 2, 90: 6} {
+		if classes[class] != count {
+			t.Errorf("class %d: got %d methods, want %d", class, classes[class], count)
 		}
 	}
-	for k, name := range map[Key]string{
+	for method, name := range map[Key]string{
 		ExchangeUnbindOk: "exchange.unbind-ok", QueueUnbind: "queue.unbind", GetEmpty: "basic.get-empty",
 		RecoverOk: "basic.recover-ok", TxRollbackOk: "tx.rollback-ok", ConnSecretOk: "connection.update-secret-ok",
 		Key(99 << 16): "method 99.0",
 	} {
-		if k.String() != name {
-			t.Errorf("%q is not %q", k, name)
+		if method.String() != name {
+			t.Errorf("method name: got %q, want %q", method, name)
 		}
 	}
 }
 
-// Whatever the grammar allows is read as it was written, argument by argument, bits packed or not.
-func TestEveryMethodThereAndBack(t *testing.T) {
+// Every method with any arguments that the grammar allows decodes to what was encoded. Adjacent bits share an octet.
+func TestEveryMethodRoundTrips(t *testing.T) {
 	var all []*Spec
-	Specs(func(s *Spec) { all = append(all, s) })
+	Specs(func(spec *Spec) { all = append(all, spec) })
 	slices.SortFunc(all, func(a, b *Spec) int { return cmp.Compare(a.Key, b.Key) })
 	if len(all) != 64 {
 		t.Fatal("methods:", len(all))
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		for _, s := range all {
+		for _, spec := range all {
 			var args []any
-			for _, a := range s.Args {
+			for _, a := range spec.Args {
 				switch a.Kind {
 				case 'b':
 					args = append(args, rapid.Bool().Draw(t, a.Name))
@@ -65,25 +65,25 @@
 					args = append(args, rapid.Uint64().Draw(t, a.Name)>>(64-bits))
 				}
 			}
-			raw := AppendMethod(nil, 7, s.Key, args...)
-			f, n, err := ParseFrame(raw, FrameMax)
-			if err != nil || n != len(raw) || f.Channel != 7 {
-				t.Fatal(s.Name, n, err)
+			encoded := AppendMethod(nil, 7, spec.Key, args...)
+			frame, size, err := ParseFrame(encoded, FrameMax)
+			if err != nil || size != len(encoded) || frame.Channel != 7 {
+				t.Fatal(spec.Name, size, err)
 			}
-			m, err := ParseMethod(f.Payload)
-			if err != nil || m.Key != s.Key {
-				t.Fatal(s.Name, err)
+			decoded, err := ParseMethod(frame.Payload)
+			if err != nil || decoded.Key != spec.Key {
+				t.Fatal(spec.Name, err)
 			}
-			for i, a := range s.Args {
-				var same bool
+			for i, a := range spec.Args {
+				var equal bool
 				if a.Kind != 'T' {
-					same = m.Arg(i) == args[i]
+					equal = decoded.Arg(i) == args[i]
 				} else {
-					want, got := args[i].(Table), m.Table(i)
-					same = got["a"] == want["a"] && got["s"] == "x" && got["in"].(Table)["yes"] == true
+					want, got := args[i].(Table), decoded.Table(i)
+					equal = got["a"] == want["a"] && got["s"] == "x" && got["in"].(Table)["yes"] == true
 				}
-				if !same {
-					t.Fatalf("%s %s: %v, not %v", s.Name, a.Name, m.Arg(i), args[i])
+				if !equal {
+					t.Fatalf("%s %s: got %v, want %v", spec.Name, a.Name, decoded.Arg(i), args[i])
 				}
 			}
 		}
--- a/internal/net/amqp/keys.go
+++ b/internal/net/amqp/keys.go
@@ -1,18 +1,18 @@
 package amqp
 
-// Key is a method's class and number.
+// Key identifies a method by its class ID (upper 16 bits) and its method ID (lower 16 bits).
 type Key uint32
 
-// key makes a Key of its two numbers.
-func key(class, method uint32) Key { return Key(class<<16 | method) }
+// methodKey returns the Key of a class ID and a method ID.
+func methodKey(class, method uint32) Key { return Key(class<<16 | method) }
 
-// Class is the number of the method's class.
+// Class returns the class ID.
 func (k Key) Class() uint16 { return uint16(k >> 16) }
 
-// ID is the method's number in its class.
+// ID returns the method ID, which is unique within the class.
 func (k Key) ID() uint16 { return uint16(k) }
 
-// The known methods, by class and number.
+// The known methods.
 const (
 	ConnStart         = Key(10<<16 | 10)
 	ConnStartOk       = Key(10<<16 | 11)
@@ -80,7 +80,7 @@
 	TxRollbackOk      = Key(90<<16 | 31)
 )
 
-// hasContent tells whether a header and a body follow the method.
+// hasContent reports whether a content header and a body follow the method.
 func hasContent(k Key) bool {
 	spec, ok := specs[k]
 	return ok && spec.Content
--- a/internal/net/amqp/method.go
+++ b/internal/net/amqp/method.go
@@ -6,36 +6,37 @@
 	"math"
 )
 
-// The kinds of arguments in the grammar.
+// The kinds of arguments, as the grammar writes them.
 const (
 	kindOctet       = 'o'
 	kindShort       = 's' // 16 bits
 	kindLong        = 'l' // 32 bits
 	kindLongLong    = 'L' // 64 bits
 	kindBit         = 'b' // adjacent bits share an octet
-	kindShortString = 'S' // up to 255 bytes, behind an octet with the length
-	kindLongString  = 'X' // behind 32 bits with the length
-	kindTable       = 'T' // as a long string
+	kindShortString = 'S' // a length of 8 bits, then up to 255 bytes
+	kindLongString  = 'X' // a length of 32 bits, then the bytes
+	kindTable       = 'T' // a length of 32 bits, then the fields
 )
 
 const (
 	octetBits  = 8
-	lengthSize = 4 // of the length of a long string, table or array, in bytes
-	keySize    = 4 // of a method's class and number, in bytes
+	lengthSize = 4 // size of the length of a long string, table or array, in bytes
+	keySize    = 4 // size of a method's class ID and method ID, in bytes
 )
 
-// Method is one method. Its arguments are decoded when they are asked for: most are read once, and some never. The
-// index of an argument is its position in the grammar.
+// Method is one method. Each argument is decoded on access, because most are read once and some never. The index of an
+// argument is its position in the grammar.
 type Method struct {
 	Key
-	kinds string // of the arguments
-	raw   []byte // the arguments, which ParseMethod has checked
+	kinds string // the kinds of the arguments
+	raw   []byte // the encoded arguments, validated by ParseMethod
 }
 
-// locate returns an argument's kind, the bytes that begin with it, and for a bit its number in the first octet.
+// locate returns the kind of an argument, the encoded arguments from it on and, for a bit, its position in the first
+// octet of these.
 func (m *Method) locate(index int) (kind byte, data []byte, bit uint8) {
 	data = m.raw
-	bits := uint8(octetBits) // used of the current octet of bits
+	bits := uint8(octetBits) // bits used in the current octet of bits
 	for i := range len(m.kinds) {
 		kind = m.kinds[i]
 		if kind == kindBit {
@@ -58,7 +59,8 @@
 	return 0, nil, 0
 }
 
-// argSize is the size of the argument at the start of data, in bytes; more than data has where it is incomplete.
+// argSize returns the size of the argument at the start of data, in bytes. It exceeds len(data) if the argument is
+// incomplete.
 func argSize(kind byte, data []byte) int {
 	switch kind {
 	case kindOctet:
@@ -81,7 +83,7 @@
 	return lengthSize
 }
 
-// Int returns a numeric argument; 0 for one of another kind.
+// Int returns a numeric argument, or 0 for an argument of another kind.
 func (m *Method) Int(index int) (number uint64) {
 	kind, data, _ := m.locate(index)
 	switch kind {
@@ -93,13 +95,13 @@
 	return number
 }
 
-// Bool returns a bit.
+// Bool returns a bit argument, or false for an argument of another kind.
 func (m *Method) Bool(index int) bool {
 	kind, data, bit := m.locate(index)
 	return kind == kindBit && data[0]>>bit&1 == 1
 }
 
-// Bytes returns the bytes of a string argument, as a part of the frame; nil for an argument of another kind.
+// Bytes returns the bytes of a string argument, without a copy, or nil for an argument of another kind.
 func (m *Method) Bytes(index int) []byte {
 	switch kind, data, _ := m.locate(index); kind {
 	case kindShortString:
@@ -113,7 +115,7 @@
 // Str returns a copy of a string argument.
 func (m *Method) Str(index int) string { return string(m.Bytes(index)) }
 
-// Table returns a table argument; nil for one of another kind.
+// Table returns a table argument, or nil for an argument of another kind.
 func (m *Method) Table(index int) Table {
 	if kind, data, _ := m.locate(index); kind == kindTable {
 		return (&reader{data: data}).table(0)
@@ -121,7 +123,7 @@
 	return nil
 }
 
-// Arg returns an argument in the type of its kind: uint64, bool, string or Table.
+// Arg returns an argument as the Go type of its kind: uint64, bool, string or Table.
 func (m *Method) Arg(index int) any {
 	switch kind, _, _ := m.locate(index); kind {
 	case kindBit:
@@ -134,7 +136,8 @@
 	return m.Int(index)
 }
 
-// ParseMethod reads the payload of a method frame and checks its arguments. The method keeps the payload's bytes.
+// ParseMethod decodes the payload of a method frame and validates the encoding of its arguments. The method refers to
+// the payload's bytes and does not copy them.
 func ParseMethod(payload []byte) (Method, error) {
 	if len(payload) < keySize {
 		return Method{}, Errorf(SyntaxError, "a method without its number")
@@ -149,14 +152,14 @@
 		}
 	}
 	m.kinds = spec.kinds
-	if !fits(spec.kinds, m.raw) {
-		return m, malformed(m.Key)
+	if !wellFormed(spec.kinds, m.raw) {
+		return m, malformedArgs(m.Key)
 	}
 	return m, nil
 }
 
-// fits tells whether data is the encoding of arguments of these kinds, and of nothing else.
-func fits(kinds string, data []byte) bool {
+// wellFormed reports whether data is exactly the encoding of arguments of these kinds.
+func wellFormed(kinds string, data []byte) bool {
 	bits := 0
 	for i := range len(kinds) {
 		kind := kinds[i]
@@ -164,7 +167,7 @@
 			if bits++; bits < octetBits && i+1 < len(kinds) && kinds[i+1] == kindBit {
 				continue
 			}
-			kind, bits = kindOctet, 0 // the last bit of its octet
+			kind, bits = kindOctet, 0 // the last bit of the octet: skip the octet
 		}
 		size := argSize(kind, data)
 		if size > len(data) {
@@ -180,21 +183,21 @@
 	return len(data) == 0
 }
 
-// malformed is the fault of a method whose arguments don't have the encoding that the grammar requires.
-func malformed(k Key) error {
+// malformedArgs returns the fault for a method whose arguments are not encoded as the grammar requires.
+func malformedArgs(k Key) error {
 	return &Fault{Code: SyntaxError, Text: "malformed arguments of " + k.String(), Method: k}
 }
 
-// AppendMethod writes a method frame. Numbers may be int, uint16, uint32 or uint64; it panics on an argument of a
-// wrong type.
+// AppendMethod appends a method frame. Numeric arguments may be int, uint16, uint32 or uint64; an argument of a wrong
+// type causes a panic.
 func AppendMethod(out []byte, channel uint16, method Key, args ...any) []byte {
 	return AppendFrame(out, FrameMethod, channel, func(payload []byte) []byte {
 		payload = binary.BigEndian.AppendUint32(payload, uint32(method))
 		spec, ok := specs[method]
-		if !ok { // an unknown method has no known arguments either
+		if !ok { // the arguments of an unknown method are unknown
 			return payload
 		}
-		bits := octetBits // used of the current octet of bits
+		bits := octetBits // bits used in the current octet of bits
 		for i, kind := range spec.kinds {
 			if kind != kindBit {
 				bits = octetBits
@@ -213,7 +216,7 @@
 	})
 }
 
-// appendArg writes an argument that is no bit.
+// appendArg appends an argument of any kind but a bit.
 func appendArg(out []byte, kind rune, arg any) []byte {
 	switch kind {
 	case kindOctet:
@@ -234,12 +237,12 @@
 	return out
 }
 
-// WidenAck changes the basic.ack at the end of out to acknowledge all deliveries up to a tag.
+// WidenAck rewrites the basic.ack at the end of out so that it acknowledges all deliveries up to a tag.
 func WidenAck(out []byte, tag uint64) {
 	const tagSize, bitsSize = 8, 1
-	at := len(out) - tagSize - bitsSize - endSize
-	binary.BigEndian.PutUint64(out[at:], tag)
-	out[at+tagSize] = 1
+	tagOffset := len(out) - tagSize - bitsSize - frameEndSize
+	binary.BigEndian.PutUint64(out[tagOffset:], tag)
+	out[tagOffset+tagSize] = 1
 }
 
 // toUint64 converts an argument of a numeric kind.
@@ -254,6 +257,6 @@
 	case uint64:
 		return number
 	}
-	// a mistake in the calling code; naming the argument would have every argument allocated
-	panic("amqp: an argument is no whole number")
+	// A mistake in the calling code. Printing the argument would make every argument escape to the heap.
+	panic("amqp: argument is not an integer")
 }
--- a/internal/net/amqp/props.go
+++ b/internal/net/amqp/props.go
@@ -2,7 +2,7 @@
 
 import "encoding/binary"
 
-// Props are the properties of a basic content; a zero value is absent.
+// Props are the properties of a content of the basic class. A property with its zero value is absent.
 type Props struct {
 	ContentType     string
 	ContentEncoding string
@@ -13,14 +13,14 @@
 	ReplyTo         string
 	Expiration      string // milliseconds, as a decimal number
 	MessageID       string
-	Timestamp       uint64 // seconds since 1970
+	Timestamp       uint64 // seconds since the Unix epoch
 	Type            string
 	UserID          string
 	AppID           string
 	ClusterID       string
 }
 
-// The properties' bits in a content header's flags, counted from the highest.
+// The bits of the properties in the property flags of a content header, counted from the highest bit.
 const (
 	flagContentType = iota
 	flagContentEncoding
@@ -38,14 +38,14 @@
 	flagClusterID
 
 	highestFlag  = 15
-	unknownFlags = 3 // those of no property
+	unknownFlags = 3 // mask of the bits that belong to no property
 )
 
-// maxSharedHeader is the largest content header whose properties share one copy of its text, in bytes: a larger copy
-// would stay in memory for as long as one of them.
+// maxSharedHeader is the largest content header whose string properties share one copy of it, in bytes. A larger copy
+// is not shared, because it would stay in memory as long as any one of them is in use.
 const maxSharedHeader = 1 << 10
 
-// parse reads the content header of a method into p, and returns the size of the body in bytes.
+// parse decodes the content header of a method into p, and returns the size of the body in bytes.
 func (p *Props) parse(payload []byte, method Key) (uint64, error) {
 	r := &reader{data: payload}
 	class, _, size, flags := r.number(2), r.number(2), r.number(8), r.number(2)
@@ -55,21 +55,21 @@
 	if uint16(class) != method.Class() {
 		return 0, Errorf(UnexpectedFrame, "a content header of class %d", class)
 	}
-	text := ""
+	sharedText := ""
 	if len(r.data) <= maxSharedHeader {
-		text = string(r.data)
+		sharedText = string(r.data)
 	}
 	propsSize := len(r.data)
 	has := func(bit uint) bool { return flags>>(highestFlag-bit)&1 != 0 }
-	str := func(bit uint, to *string) {
+	str := func(bit uint, field *string) {
 		if !has(bit) {
 			return
 		}
 		value := r.take(r.number(1))
-		if end := propsSize - len(r.data); text != "" && !r.failed {
-			*to = text[end-len(value) : end]
+		if end := propsSize - len(r.data); sharedText != "" && !r.failed {
+			*field = sharedText[end-len(value) : end]
 		} else {
-			*to = string(value)
+			*field = string(value)
 		}
 	}
 	str(flagContentType, &p.ContentType)
@@ -100,12 +100,12 @@
 	return size, nil
 }
 
-// append writes a content header for a body of a size in bytes.
+// append appends a content header that announces a body of bodySize bytes.
 func (p *Props) append(out []byte, bodySize uint64) []byte {
 	out = binary.BigEndian.AppendUint16(out, Publish.Class())
 	out = binary.BigEndian.AppendUint16(out, 0)
 	out = binary.BigEndian.AppendUint64(out, bodySize)
-	flagsAt, flags := len(out), uint16(0)
+	flagsOffset, flags := len(out), uint16(0)
 	out = append(out, 0, 0)
 	str := func(bit int, value string) {
 		if value != "" {
@@ -139,6 +139,6 @@
 	str(flagUserID, p.UserID)
 	str(flagAppID, p.AppID)
 	str(flagClusterID, p.ClusterID)
-	binary.BigEndian.PutUint16(out[flagsAt:], flags)
+	binary.BigEndian.PutUint16(out[flagsOffset:], flags)
 	return out
 }
--- a/internal/net/amqp/table.go
+++ b/internal/net/amqp/table.go
@@ -7,26 +7,26 @@
 	"slices"
 )
 
-// Table is a field table. Its values are of the types that reader.value returns; appendTable writes bool, int64,
-// string and Table.
+// Table is a field table. A decoded table has values of the types that reader.value returns. A table to be encoded may
+// have values of the types bool, int64, string and Table.
 type Table map[string]any
 
-// maxShort is the largest length of a short string, in bytes.
+// maxShort is the maximum length of a short string, in bytes.
 const maxShort = 255
 
-// appendShort writes a short string; what is beyond maxShort is cut off.
+// appendShort appends a short string, truncated to maxShort bytes.
 func appendShort(out []byte, text string) []byte {
 	text = text[:min(len(text), maxShort)]
 	return append(append(out, byte(len(text))), text...)
 }
 
-// appendLong writes a long string.
+// appendLong appends a long string.
 func appendLong(out []byte, text string) []byte {
 	return append(binary.BigEndian.AppendUint32(out, uint32(len(text))), text...)
 }
 
-// appendTable writes a table with its length, the fields in the order of their names. A value of a type that
-// isn't listed here is written as void.
+// appendTable appends a table with its length, its fields sorted by name. A value of an unsupported type is encoded as
+// void.
 func appendTable(out []byte, table Table) []byte {
 	start := len(out)
 	out = append(out, 0, 0, 0, 0)
@@ -52,7 +52,7 @@
 	return out
 }
 
-// ParseTable reads the fields of a table without its length, as in AMQPLAIN's response.
+// ParseTable decodes the fields of a table that has no length before it, as in the response of the AMQPLAIN mechanism.
 func ParseTable(fields []byte) (Table, error) {
 	r := &reader{data: append(binary.BigEndian.AppendUint32(nil, uint32(len(fields))), fields...)}
 	table := r.table(0)
@@ -62,13 +62,13 @@
 	return table, nil
 }
 
-// reader decodes a payload from its start.
+// reader decodes a payload from its start. Errors are sticky: the caller checks failed once, at the end.
 type reader struct {
-	data   []byte // not decoded yet
-	failed bool   // the payload was too short or malformed; what was decoded is void
+	data   []byte // the remaining bytes
+	failed bool   // the payload was too short or malformed; the decoded values are invalid
 }
 
-// take returns the next bytes; nil if there are fewer.
+// take consumes and returns the next size bytes, or nil if fewer remain.
 func (r *reader) take(size uint64) []byte {
 	if size > uint64(len(r.data)) {
 		r.failed, r.data = true, nil
@@ -79,7 +79,7 @@
 	return taken
 }
 
-// number decodes a number of a size in bytes.
+// number decodes an unsigned number of size bytes.
 func (r *reader) number(size uint64) (number uint64) {
 	for _, octet := range r.take(size) {
 		number = number<<octetBits | uint64(octet)
@@ -87,25 +87,25 @@
 	return number
 }
 
-// text decodes a string behind a length of a size in bytes.
+// text decodes a string that follows its length, which is a number of size bytes.
 func (r *reader) text(size uint64) string { return string(r.take(r.number(size))) }
 
-// maxTableDepth bounds the nesting of tables and arrays.
+// maxTableDepth is the maximum nesting depth of tables and arrays.
 const maxTableDepth = 8
 
-// table decodes a table inside so many others.
+// table decodes a table at a nesting depth; the outermost has depth 0.
 func (r *reader) table(depth int) Table {
-	in := &reader{data: r.take(r.number(4)), failed: depth > maxTableDepth}
+	nested := &reader{data: r.take(r.number(4)), failed: depth > maxTableDepth}
 	table := Table{}
-	for len(in.data) > 0 && !in.failed {
-		name := in.text(1)
-		table[name] = in.value(depth)
+	for len(nested.data) > 0 && !nested.failed {
+		name := nested.text(1)
+		table[name] = nested.value(depth)
 	}
-	r.failed = r.failed || in.failed
+	r.failed = r.failed || nested.failed
 	return table
 }
 
-// value decodes a table's or array's value by its kind.
+// value decodes a field value of a table or array: an octet with its type, then the value.
 func (r *reader) value(depth int) any {
 	switch kind := r.number(1); kind {
 	case 't':
@@ -137,12 +137,12 @@
 	case 'F':
 		return r.table(depth + 1)
 	case 'A':
-		in := &reader{data: r.take(r.number(4)), failed: depth >= maxTableDepth}
+		nested := &reader{data: r.take(r.number(4)), failed: depth >= maxTableDepth}
 		var list []any
-		for len(in.data) > 0 && !in.failed {
-			list = append(list, in.value(depth+1))
+		for len(nested.data) > 0 && !nested.failed {
+			list = append(list, nested.value(depth+1))
 		}
-		r.failed = r.failed || in.failed
+		r.failed = r.failed || nested.failed
 		return list
 	case 'V':
 		return nil
