--- a/internal/net/amqpfront/brokerchannel.go
+++ b/internal/net/amqpfront/brokerchannel.go
@@ -11,41 +11,42 @@
 	"brackendale/sender"
 )
 
-// The bounds of channels to a broker.
+// The limits of channels to a broker.
 const (
-	maxTargetChannels  = 64 // of one connection
-	maxSharedPublishes = 32 // unconfirmed on one channel
+	maxTargetChannels  = 64 // channels of one connection
+	maxSharedPublishes = 32 // unconfirmed publishes on one channel
 )
 
-// retireTimeout is how long a channel with a given-up publish waits for the confirms of the others.
+// retireTimeout is how long a channel on which one publish was given up stays open for the confirms of the others.
 const retireTimeout = 200 * time.Millisecond
 
-// persistent is the delivery mode of messages that the broker keeps on disk.
+// persistent is the delivery mode of messages that the broker stores on disk.
 const persistent = 2
 
 // channelState is the state of a channel to a broker.
 type channelState uint8
 
 const (
-	channelOpening  channelState = iota
-	channelOpen                  // publisher confirms are selected
-	channelRetiring              // it takes no publish and waits for the confirms that are still wanted
-	channelClosing               // channel.close was sent
+	channelOpening  channelState = iota // channel.open was sent
+	channelOpen                         // publisher confirms are selected
+	channelRetiring                     // no further publish; waits for the confirms that are still awaited
+	channelClosing                      // channel.close was sent
 )
 
 // brokerChannel is one channel to a broker.
 type brokerChannel struct {
-	id         uint16
-	state      channelState
-	paused     bool // by channel.flow
-	ledger     ledger
-	assembly   amqp.Assembly
-	closeTimer timers.Timer // of retiring, then of the broker's channel.close-ok
+	id             uint16
+	state          channelState
+	paused         bool // by channel.flow
+	confirmTracker confirmTracker
+	assembly       amqp.Assembly
+	closeTimer     timers.Timer // bounds channelRetiring, then the wait for channel.close-ok
 }
 
-func (c *brokerChannel) busy() bool { return len(c.ledger.unconfirmed) > 0 }
+// busy reports whether the channel has unconfirmed publishes.
+func (c *brokerChannel) busy() bool { return len(c.confirmTracker.unconfirmed) > 0 }
 
-// accepts tells whether a publish may go out on the channel now.
+// accepts reports whether a publish may be sent on the channel now.
 func (c *brokerChannel) accepts(next *publishAttempt) bool {
 	switch {
 	case c.state != channelOpen || c.paused:
@@ -53,18 +54,18 @@
 	case !c.busy():
 		return true
 	}
-	first := c.ledger.unconfirmed[0].publish
-	return next.shareable && first.shareable && len(c.ledger.unconfirmed) < maxSharedPublishes
+	first := c.confirmTracker.unconfirmed[0].publish
+	return next.shareable && first.shareable && len(c.confirmTracker.unconfirmed) < maxSharedPublishes
 }
 
-// endAll ends each unconfirmed publish by end, which may take it off the ledger.
+// endAll calls end for each unconfirmed publish; end may remove the publish from the tracker.
 func (c *brokerChannel) endAll(end func(*publishAttempt)) {
-	for _, entry := range slices.Clone(c.ledger.unconfirmed) {
+	for _, entry := range slices.Clone(c.confirmTracker.unconfirmed) {
 		end(entry.publish)
 	}
 }
 
-// channelByID returns the channel with this number, or nil.
+// channelByID returns the channel with this ID, or nil.
 func (l *brokerLink) channelByID(id uint16) *brokerChannel {
 	i := slices.IndexFunc(l.channels, func(c *brokerChannel) bool { return c.id == id })
 	if i < 0 {
@@ -73,8 +74,8 @@
 	return l.channels[i]
 }
 
-// openChannel opens a channel. Numbers are used in rotation, so that a late frame for a closed channel
-// doesn't meet a new one.
+// openChannel opens a channel. Channel IDs are used in rotation, so that a late frame for a closed channel
+// is not taken for one of a new channel.
 func (l *brokerLink) openChannel() {
 	for {
 		if l.lastChannel++; int(l.lastChannel) > l.maxChannels {
@@ -88,15 +89,15 @@
 	l.writeMethod(l.lastChannel, amqp.ChanOpen, "")
 }
 
-// retire closes a channel with a given-up publish. While the channel has others that are wanted, it
-// takes no more and waits retireTimeout for their confirms; then they are given up with it.
+// retire closes a channel on which a publish was given up. While the confirms of other publishes are awaited, the
+// channel accepts no further publish and stays open for up to retireTimeout; then those are given up too.
 func (l *brokerLink) retire(ch *brokerChannel) {
 	switch {
 	case ch.state == channelClosing:
-	case !ch.busy(): // all that was given up was confirmed after all
+	case !ch.busy(): // all given-up publishes were confirmed in the meantime
 		l.loop.Disarm(&ch.closeTimer)
 		ch.state = channelOpen
-	case !ch.ledger.anyWanted():
+	case !ch.confirmTracker.anyAwaited():
 		l.closeChannel(ch)
 	case ch.state != channelRetiring:
 		ch.state = channelRetiring
@@ -104,23 +105,23 @@
 	}
 }
 
-// closeChannel sends channel.close. With the broker's answer no publish on it can run any more; a
-// broker that doesn't answer within the connect timeout hangs, and its connection is closed.
+// closeChannel sends channel.close. After the broker's channel.close-ok, no publish on the channel can run any more.
+// The connection to a broker that doesn't reply within the connect timeout is closed.
 func (l *brokerLink) closeChannel(ch *brokerChannel) {
 	ch.state = channelClosing
 	l.writeMethod(ch.id, amqp.ChanClose, amqp.ReplySuccess, "given up", 0, 0)
 	l.egress.reactor.Arm(&ch.closeTimer, l.egress.connectTimeout, 0, timers.Func(l.conn.Close))
 }
 
-// removeChannel forgets a channel that has ended.
+// removeChannel drops a channel that is closed.
 func (l *brokerLink) removeChannel(ch *brokerChannel) {
 	l.loop.Disarm(&ch.closeTimer)
 	l.channels = slices.DeleteFunc(l.channels, func(c *brokerChannel) bool { return c == ch })
 }
 
-// publish writes basic.publish with its content; the message expires at the attempt's deadline.
+// publish writes basic.publish with its content. The message's expiration is the time until the attempt's deadline.
 func (l *brokerLink) publish(ch *brokerChannel, next *publishAttempt) {
-	ch.ledger.add(next)
+	ch.confirmTracker.add(next)
 	next.channel = ch
 	expirationMs := max(1, next.attempt.Deadline.Sub(l.egress.core.Now()).Milliseconds())
 	props := &amqp.Props{
@@ -151,7 +152,7 @@
 		ch.paused = !msg.Bool(0)
 		l.writeMethod(ch.id, amqp.ChanFlowOk, msg.Bool(0))
 	case amqp.Return:
-		if p := ch.ledger.find(msg.Props.MessageID); p != nil {
+		if p := ch.confirmTracker.find(msg.Props.MessageID); p != nil {
 			p.returnCode = uint16(msg.Int(0))
 		}
 		return nil
@@ -163,8 +164,8 @@
 		l.handleChannelClose(ch, msg.Int(0))
 	case amqp.ChanCloseOk:
 		l.removeChannel(ch)
-		ch.endAll(func(p *publishAttempt) { // those not given up had retireTimeout for their confirm
-			p.report(cmp.Or(p.givenUpAs, sender.OutcomeCanceled))
+		ch.endAll(func(p *publishAttempt) { // those that were not given up had retireTimeout for their confirm
+			p.report(cmp.Or(p.giveUpOutcome, sender.OutcomeCanceled))
 		})
 	default:
 		return &amqp.Fault{Code: amqp.CommandInvalid, Text: "out of place", Method: msg.Key}
@@ -175,7 +176,7 @@
 
 // handleConfirm ends the publishes that a basic.ack or basic.nack confirms.
 func (l *brokerLink) handleConfirm(ch *brokerChannel, msg *amqp.Message) error {
-	settled, ok := ch.ledger.settle(msg.Int(0), msg.Bool(1))
+	settled, ok := ch.confirmTracker.settle(msg.Int(0), msg.Bool(1))
 	if !ok {
 		return &amqp.Fault{Code: amqp.PreconditionFailed, Text: "unknown delivery tag", Method: msg.Key}
 	}
@@ -188,8 +189,8 @@
 	return nil
 }
 
-// handleChannelClose answers a broker's channel.close. One that came in place of channel.open-ok
-// refuses the attempt that has waited longest.
+// handleChannelClose replies to a broker's channel.close. One that came instead of channel.open-ok
+// rejects the attempt that has waited longest for a channel.
 func (l *brokerLink) handleChannelClose(ch *brokerChannel, code uint64) {
 	l.writeMethod(ch.id, amqp.ChanCloseOk)
 	l.removeChannel(ch)
--- a/internal/net/amqpfront/brokerlink.go
+++ b/internal/net/amqpfront/brokerlink.go
@@ -15,31 +15,31 @@
 	"brackendale/sender"
 )
 
-// maxBrokerHeartbeat is the heartbeat asked of a broker that wants none or a longer one.
+// maxBrokerHeartbeat is the heartbeat interval that is negotiated with a broker that proposes none or a longer one.
 const maxBrokerHeartbeat = 10 * time.Second
 
 // brokerLink is one connection to a broker.
 type brokerLink struct {
 	conntable.Entry
-	peer
+	amqpConn
 
 	egress *Egress
-	key    string // in Egress.links
+	key    string // key in Egress.links
 	target amqp.Target
 
-	connected bool // the handshake may still be under way
-	ready     bool // the handshake is over
+	connected bool // the transport is connected
+	ready     bool // the AMQP handshake is complete
 	blocked   bool // by connection.blocked
-	closing   bool
+	closing   bool // connection.close was sent, or the connection has ended
 
 	maxChannels int
-	lastChannel uint16 // the number of the channel that was opened last
+	lastChannel uint16 // the ID of the channel that was opened last
 	channels    []*brokerChannel
-	waiting     []*publishAttempt // for a channel, in order
+	waiting     []*publishAttempt // attempts that wait for a channel, in order
 	assembly    amqp.Assembly     // of channel 0
 }
 
-// Due ends a handshake that takes too long; after it, it runs the heartbeats.
+// Due closes a connection whose handshake takes too long. After the handshake it runs the heartbeats.
 func (l *brokerLink) Due(*timers.Timer) {
 	if !l.ready {
 		l.conn.Close()
@@ -48,7 +48,7 @@
 	l.checkHeartbeat(l)
 }
 
-// idle tells whether no attempt is on the connection or waits for it.
+// idle reports whether no attempt is in flight on the connection or waits for it.
 func (l *brokerLink) idle() bool {
 	return len(l.waiting) == 0 && !slices.ContainsFunc(l.channels, (*brokerChannel).busy)
 }
@@ -56,23 +56,23 @@
 // Evict closes a connection that no attempt uses.
 func (l *brokerLink) Evict(conntable.Reason) { l.closeIdle() }
 
-// MarkArrived marks what the peer has sent until now.
+// MarkArrived marks the end of the bytes that have arrived from the peer.
 func (l *brokerLink) MarkArrived() (known bool) { return l.conn.MarkArrived() }
 
-// MarkHandled tells whether all before the mark was handled.
+// MarkHandled reports whether all bytes before the mark were handled.
 func (l *brokerLink) MarkHandled() bool { return l.conn.MarkHandled() }
 
-// Up sends the protocol header.
+// Up sends the protocol header once the transport is connected.
 func (l *brokerLink) Up(*reactor.Conn) {
 	l.connected = true
 	l.write([]byte(amqp.Preamble))
 }
 
-// Data handles the frames that are whole.
+// Data handles the complete frames among the received bytes.
 func (l *brokerLink) Data(conn *reactor.Conn, received []byte) {
 	if !l.ready {
-		head := append(l.partialFrame.Bytes(), received...)
-		if bytes.HasPrefix(head, []byte("AMQP")) { // the broker offers another version
+		beginning := append(l.partialFrame.Bytes(), received...)
+		if bytes.HasPrefix(beginning, []byte("AMQP")) { // the broker replies with the version that it supports
 			conn.Close()
 			return
 		}
@@ -84,16 +84,17 @@
 
 func (l *brokerLink) closeIdle() { l.closeWith(&amqp.Fault{Code: amqp.ReplySuccess, Text: "idle"}) }
 
-// closeWith closes the connection from this side. Publishes in flight are ambiguous.
+// closeWith closes the connection from this side. The outcome of publishes in flight is ambiguous.
 func (l *brokerLink) closeWith(f *amqp.Fault) {
 	l.closing = true
 	l.writeMethod(0, amqp.ConnClose, closeArgs(f)...)
 	l.conn.Close()
 }
 
-// Down ends all attempts of the connection.
+// Down ends all attempts of a connection that has ended or could not be opened.
 func (l *brokerLink) Down(_ *reactor.Conn, err error) {
-	if !l.connected && failure.Of(failure.Connect, err).Blame != failure.Peer { // it says nothing of the broker
+	// An error that isn't the broker's must not count against the broker.
+	if !l.connected && failure.Of(failure.Connect, err).Blame != failure.Peer {
 		for _, p := range l.waiting {
 			p.report(sender.OutcomeNotSent)
 		}
@@ -101,7 +102,7 @@
 	l.end(sender.OutcomeReset)
 }
 
-// end takes the connection out of the egress and reports its attempts; outcome is that of sent ones.
+// end removes the connection from the egress and reports its attempts; outcome is that of the publishes that were sent.
 func (l *brokerLink) end(outcome sender.Outcome) {
 	l.stopTimer()
 	l.partialFrame.Reset()
@@ -121,12 +122,13 @@
 	}
 }
 
+// handleFrame handles a frame other than a heartbeat. A fault that it returns closes the connection.
 func (l *brokerLink) handleFrame(frame amqp.Frame) error {
 	ch := l.channelByID(frame.Channel)
 	assembly := &l.assembly
 	if ch != nil {
 		assembly = &ch.assembly
-	} else if frame.Channel != 0 { // no more than a method may come on an unknown channel
+	} else if frame.Channel != 0 { // on an unknown channel only a method without content is valid
 		assembly = &amqp.Assembly{}
 	}
 	msg, err := assembly.Add(frame)
@@ -137,7 +139,7 @@
 		return l.handleConnection(msg)
 	case ch != nil:
 		return l.handleChannel(ch, msg)
-	case msg.Key == amqp.ChanCloseOk: // both sides closed it
+	case msg.Key == amqp.ChanCloseOk: // both sides closed the channel at the same time
 		return nil
 	}
 	return amqp.Errorf(amqp.ChannelError, "channel %d is not open", frame.Channel)
@@ -153,7 +155,7 @@
 	case amqp.ConnOpenOk:
 		l.ready = true
 		l.stopTimer()
-		l.keepAlive(l.heartbeat, l)
+		l.startHeartbeats(l.heartbeat, l)
 		l.dispatch()
 	case amqp.ConnBlocked:
 		l.blocked = true
@@ -168,7 +170,7 @@
 	return nil
 }
 
-// authenticate answers connection.start, whose mechanisms are separated by spaces.
+// authenticate replies to connection.start. The mechanisms that the broker offers are separated by spaces.
 func (l *brokerLink) authenticate(mechanisms string) error {
 	if !slices.Contains(strings.Fields(mechanisms), "PLAIN") {
 		return amqp.Errorf(amqp.NotAllowed, "no PLAIN among %q", mechanisms)
@@ -179,8 +181,8 @@
 	return nil
 }
 
-// tune answers connection.tune and opens the virtual host. A limit of 0 means none, a heartbeat of 0
-// that the broker wants none.
+// tune replies to connection.tune and opens the virtual host. A limit of 0 means no limit, a heartbeat of 0
+// that the broker proposes none.
 func (l *brokerLink) tune(maxChannels int, maxFrame uint32, heartbeat time.Duration) {
 	l.maxChannels = maxTargetChannels
 	if maxChannels > 0 {
@@ -197,7 +199,7 @@
 	l.heartbeat = heartbeat
 }
 
-// handleClose answers a broker's connection.close with this reply code.
+// handleClose replies to a broker's connection.close, whose reply code is code.
 func (l *brokerLink) handleClose(code uint64) {
 	l.writeMethod(0, amqp.ConnCloseOk)
 	for _, p := range l.waiting {
@@ -208,8 +210,8 @@
 	l.conn.Close()
 }
 
-// dispatch publishes waiting attempts on channels that accept them and opens more where there are too
-// few.
+// dispatch publishes waiting attempts on channels that accept them, and opens as many further channels as the
+// remaining attempts need.
 func (l *brokerLink) dispatch() {
 	if !l.ready || l.blocked || l.closing {
 		return
@@ -217,10 +219,10 @@
 	remaining, notAdmitted := l.publishWaiting()
 	l.waiting = remaining
 	missing := channelsFor(remaining) // before the reports below, which may change l.waiting
-	for _, p := range notAdmitted {   // it never left
+	for _, p := range notAdmitted {
 		p.report(sender.OutcomeNotSent)
 	}
-	if l.conn.Flush() != nil { // at once, not at the end of the turn: the attempts' timeouts run
+	if l.conn.Flush() != nil { // now, not at the end of the loop's turn: the timeouts of the attempts are running
 		l.conn.Close()
 	}
 	for _, ch := range l.channels {
@@ -233,8 +235,8 @@
 	}
 }
 
-// publishWaiting publishes what it can. It returns the attempts that found no channel and those that
-// may no longer be sent.
+// publishWaiting publishes the attempts that find a channel. It returns those that found none, and those that
+// the gate no longer admits.
 func (l *brokerLink) publishWaiting() (remaining, notAdmitted []*publishAttempt) {
 	now := l.egress.core.Now()
 	for _, p := range l.waiting {
@@ -252,7 +254,8 @@
 	return remaining, notAdmitted
 }
 
-// channelsFor is the number of channels that attempts need: one for each that shares none.
+// channelsFor returns the number of channels that attempts need: one for each that can't share a channel, and one
+// for every maxSharedPublishes of the others.
 func channelsFor(attempts []*publishAttempt) int {
 	shareable := 0
 	for _, p := range attempts {
@@ -263,7 +266,7 @@
 	return len(attempts) - shareable + (shareable+maxSharedPublishes-1)/maxSharedPublishes
 }
 
-// removeWaiting takes an attempt out of those that wait for a channel.
+// removeWaiting removes an attempt from those that wait for a channel.
 func (l *brokerLink) removeWaiting(p *publishAttempt) {
 	l.waiting = slices.DeleteFunc(l.waiting, func(other *publishAttempt) bool { return other == p })
 }
--- a/internal/net/amqpfront/channel.go
+++ b/internal/net/amqpfront/channel.go
@@ -14,41 +14,41 @@
 	session  *session
 	id       uint16
 	assembly amqp.Assembly
-	prefetch uint16 // 0 for no limit of the client's
+	prefetch uint16 // set by basic.qos; 0: the client sets no limit
 	confirms bool   // publisher confirms are selected
 	paused   bool   // by channel.flow
-	closing  bool   // channel.close was sent: all but its answer is discarded
-	closed   bool
+	closing  bool   // channel.close was sent: everything but channel.close-ok is discarded
+	closed   bool   // end was called
 
 	published uint64 // the delivery tag of the last publish
 	delivered uint64 // the delivery tag of the last answer
 
-	lastDeclared string // the queue that was declared last
-	directQueue  string // the queue of its direct reply-to
+	lastDeclared string // the name of the queue that was declared last
+	directQueue  string // the name of the queue for direct reply-to; empty without one
 
 	consumers      []*consumer
-	unacked        []delivery        // in the order of their tags
+	unacked        []delivery        // ordered by tag
 	pending        []*sender.Request // submitted, without a verdict
-	tx             *txState          // nil without tx.select
-	pendingCommits int32             // the session's pending count for commits without their answer
+	tx             *txState          // nil unless tx.select was received
+	pendingCommits int32             // the part of session.pending that belongs to commits without a verdict
 }
 
-// delivery is an answer that was delivered and not acknowledged.
+// delivery is an answer that was delivered and is not acknowledged yet.
 type delivery struct {
 	tag    uint64
 	queue  *queue
 	answer *answer
 }
 
-// incomingPublish is a request that knows where its confirm goes.
+// incomingPublish is a client's publish as a request to the core, with the channel and delivery tag of its confirm.
 type incomingPublish struct {
 	sender.Request
 	channel *channel
 	tag     uint64
 }
 
-// unacknowledged counts the answers without an acknowledgement; in a transaction one counts once it is
-// committed.
+// unacknowledged returns the number of answers without an acknowledgement. An acknowledgement in a transaction has
+// no effect until its commit.
 func (ch *channel) unacknowledged() int {
 	n := len(ch.unacked)
 	if ch.tx != nil {
@@ -57,23 +57,23 @@
 	return n
 }
 
-// recordDelivery records an answer that leaves on the channel. Without noAck it waits for the client's
-// acknowledgement; with it, the answer counts as received.
-func (ch *channel) recordDelivery(from *queue, sent *answer, noAck bool) (tag uint64) {
+// recordDelivery records that an answer is sent on the channel, and returns its delivery tag. With noAck the answer
+// counts as acknowledged at once.
+func (ch *channel) recordDelivery(source *queue, outgoing *answer, noAck bool) (tag uint64) {
 	ch.delivered++
-	sent.redelivered = true
+	outgoing.redelivered = true
 	if noAck {
-		ch.session.host.settle(sent.id)
+		ch.session.host.settle(outgoing.id)
 	} else {
-		ch.unacked = append(ch.unacked, delivery{ch.delivered, from, sent})
+		ch.unacked = append(ch.unacked, delivery{ch.delivered, source, outgoing})
 		ch.session.addPending(1)
 	}
 	return ch.delivered
 }
 
-// removePending takes out a publish that has its verdict, and tells whether none before it is pending.
-// Verdicts come in the order of the publishes, except for a message that the core knew already.
-func (ch *channel) removePending(request *sender.Request) (all bool) {
+// removePending removes a publish that has its verdict, and reports whether no earlier one is pending.
+// Verdicts come in the order of the publishes, except for a message whose ID the core already has.
+func (ch *channel) removePending(request *sender.Request) (noneBefore bool) {
 	i := slices.Index(ch.pending, request)
 	if i > 0 {
 		ch.pending = slices.Delete(ch.pending, i, i+1)
@@ -84,7 +84,8 @@
 	return i == 0
 }
 
-// end closes the channel's consumers and puts unacknowledged answers back on their queues.
+// end closes the channel: it rolls back an open transaction, withdraws pending publishes, removes the consumers and
+// requeues unacknowledged answers.
 func (ch *channel) end() {
 	if ch.closed {
 		return
@@ -99,19 +100,19 @@
 	ch.session.addPending(-len(ch.pending) - len(ch.unacked) - int(ch.pendingCommits))
 	ch.pendingCommits = 0
 	batch := &ch.session.ingress.submissions
-	for _, x := range ch.pending {
-		if i := slices.Index(*batch, x); i >= 0 { // the core does not have it yet
+	for _, request := range ch.pending {
+		if i := slices.Index(*batch, request); i >= 0 { // not submitted to the core yet
 			*batch = slices.Delete(*batch, i, i+1)
 			continue
 		}
-		ch.session.ingress.core.Withdraw(x)
+		ch.session.ingress.core.Withdraw(request)
 	}
 	for _, c := range ch.consumers {
-		c.queue.consumers = slices.DeleteFunc(c.queue.consumers, func(o *consumer) bool { return o == c })
+		c.queue.consumers = slices.DeleteFunc(c.queue.consumers, func(other *consumer) bool { return other == c })
 	}
 	ch.session.host.requeue(ch.unacked)
 	for _, c := range ch.consumers {
-		if c.queue.direct {
+		if c.queue.directReply {
 			c.queue.discard()
 		}
 		c.release()
@@ -119,47 +120,47 @@
 	ch.unacked, ch.consumers, ch.pending = nil, nil, nil
 }
 
-// settle handles an acknowledgement or rejection of answers by tag; 0 with multiple means all.
+// settle handles basic.ack, basic.nack or basic.reject of answers by tag; tag 0 with multiple means all.
 func (ch *channel) settle(key amqp.Key, tag uint64, multiple, requeue bool) error {
-	from, found := slices.BinarySearchFunc(ch.unacked, tag,
+	first, found := slices.BinarySearchFunc(ch.unacked, tag,
 		func(d delivery, tag uint64) int { return cmp.Compare(d.tag, tag) })
-	to := from
+	end := first
 	if found {
-		to++
+		end++
 	}
 	if multiple {
-		if from = 0; tag == 0 {
-			to = len(ch.unacked)
+		if first = 0; tag == 0 {
+			end = len(ch.unacked)
 		}
 	}
-	hit := ch.unacked[from:to]
-	if len(hit) == 0 && (!multiple || tag != 0) {
+	covered := ch.unacked[first:end]
+	if len(covered) == 0 && (!multiple || tag != 0) {
 		return &amqp.Fault{
 			Code: amqp.PreconditionFailed, Text: "unknown delivery tag " + strconv.FormatUint(tag, 10),
 			Method: key,
 		}
 	}
 	if ch.tx != nil {
-		for _, d := range hit {
+		for _, d := range covered {
 			ch.tx.acks = append(ch.tx.acks, txAck{d, requeue})
 		}
-		ch.unacked = slices.Delete(ch.unacked, from, to)
+		ch.unacked = slices.Delete(ch.unacked, first, end)
 		return nil
 	}
-	ch.session.addPending(-len(hit))
+	ch.session.addPending(-len(covered))
 	if requeue {
-		hit = slices.Clone(hit)
-		ch.unacked = slices.Delete(ch.unacked, from, to)
-		ch.session.host.requeue(hit)
+		covered = slices.Clone(covered)
+		ch.unacked = slices.Delete(ch.unacked, first, end)
+		ch.session.host.requeue(covered)
 	} else {
-		ids := make([]string, len(hit))
-		for i, d := range hit {
-			ids[i] = d.answer.id
+		messageIDs := make([]string, len(covered))
+		for i, d := range covered {
+			messageIDs[i] = d.answer.id
 		}
-		ch.unacked = slices.Delete(ch.unacked, from, to)
-		ch.session.host.settle(ids...)
+		ch.unacked = slices.Delete(ch.unacked, first, end)
+		ch.session.host.settle(messageIDs...)
 	}
-	for _, c := range ch.consumers { // they may have more now
+	for _, c := range ch.consumers { // there may be room for more unacknowledged answers now
 		c.queue.dispatch()
 	}
 	return nil
--- a/internal/net/amqpfront/egress.go
+++ b/internal/net/amqpfront/egress.go
@@ -15,17 +15,17 @@
 	"brackendale/sender"
 )
 
-// Proto is the protocol of routes that this egress serves.
+// Proto is the protocol of the routes that this egress serves.
 const Proto = "amqp"
 
-// defaultConnectTimeout applies where NewEgress is given none.
+// defaultConnectTimeout is used if NewEgress is called without a timeout.
 const defaultConnectTimeout = 1500 * time.Millisecond
 
-// Egress publishes attempts to brokers. Attempts of idempotent classes share channels, one publish
-// behind another. An unsafe one has a channel of its own while it is in flight, so that giving up
-// another attempt, or a channel closed by the broker, never affects it.
+// Egress publishes attempts to brokers. Attempts of idempotent classes share channels, on which publishes are
+// pipelined. Any other attempt has a channel of its own while it is in flight, so that it is not affected when
+// another attempt is given up or the broker closes another attempt's channel.
 //
-// Once it serves, only the loop's goroutine may call its methods.
+// After the loop has started, only its goroutine may call the methods.
 type Egress struct {
 	core           *sender.Sender
 	reactor        *reactor.Reactor
@@ -36,11 +36,12 @@
 	attempts   map[string]*publishAttempt // without an outcome, by message ID
 	tlsByRoute map[string]*tls.Config
 
-	// Gate judges each publish at the last instant. Other egresses of the same core may share it.
+	// Gate decides whether a publish may still be sent, just before it is. Other egresses of the same core may
+	// share it.
 	Gate *admission.Gate
 }
 
-// NewEgress makes the brokers' side; its connections take their descriptors from room.
+// NewEgress returns an egress whose connections are bounded by room.
 // A connectTimeout of 0 or less means the default.
 func NewEgress(
 	core *sender.Sender, react *reactor.Reactor, connectTimeout time.Duration, room *conntable.Room,
@@ -59,30 +60,30 @@
 	}
 }
 
-// Out is the number of attempts without an outcome.
+// Out returns the number of attempts without an outcome.
 func (e *Egress) Out() int { return len(e.attempts) }
 
-// Secure sets the TLS configuration of each route's connections. Open connections stay as they are.
+// Secure sets the TLS configuration for each route. It does not affect open connections.
 func (e *Egress) Secure(byRoute map[string]*tls.Config) { e.tlsByRoute = byRoute }
 
-// Send publishes attempts, each by itself.
-func (e *Egress) Send(to sender.Route, attempts []sender.Attempt) {
-	target, err := amqp.ParseURL(to.Dial)
+// Send publishes each attempt as a message of its own.
+func (e *Egress) Send(route sender.Route, attempts []sender.Attempt) {
+	target, err := amqp.ParseURL(route.Dial)
 	for _, attempt := range attempts {
 		p := &publishAttempt{
 			egress:    e,
 			attempt:   attempt,
-			route:     to.Addr,
+			routeAddr: route.Addr,
 			target:    target,
 			shareable: e.core.Class(attempt.Class).Idempotency == scheduler.Idempotent,
 			admission: admission.Attempt{
-				Endpoint: to.Endpoint,
+				Endpoint: route.Endpoint,
 				StartBy:  attempt.StartBy,
 				Deadline: attempt.Deadline,
 			},
 		}
 		e.attempts[attempt.ID] = p
-		if err != nil { // the configuration's URLs are validated on load, a registry's are not
+		if err != nil { // URLs of the configuration are validated on load, those of a registry are not
 			p.report(sender.OutcomeConnectFailed)
 			continue
 		}
@@ -90,25 +91,26 @@
 	}
 }
 
-// Cancel gives up the attempt with this number of the message.
+// Cancel gives up an attempt of a message, by its attempt number.
 func (e *Egress) Cancel(id string, number int) {
 	if p := e.attempts[id]; p != nil && p.attempt.Number == number {
 		p.giveUp(sender.OutcomeCanceled)
 	}
 }
 
-// CloseIdle closes the connection to a target if no attempt uses it.
-func (e *Egress) CloseIdle(to sender.Route) {
-	target, err := amqp.ParseURL(to.Dial)
+// CloseIdle closes the connection to a route's target if no attempt uses it.
+func (e *Egress) CloseIdle(route sender.Route) {
+	target, err := amqp.ParseURL(route.Dial)
 	if err != nil {
 		return
 	}
-	if link := e.links[linkKey(to.Addr, target)]; link != nil && link.idle() {
+	if link := e.links[linkKey(route.Addr, target)]; link != nil && link.idle() {
 		link.closeIdle()
 	}
 }
 
-// UpdateRoutes closes idle connections to endpoints that take no new attempts.
+// UpdateRoutes passes changed endpoints to the gate, and closes idle connections to those that accept no new
+// attempts.
 func (e *Egress) UpdateRoutes(changed []sender.Route) {
 	for _, route := range changed {
 		if e.Gate.UpdateEndpoint(route.Endpoint); route.State != scheduler.StatusLive {
@@ -117,8 +119,8 @@
 	}
 }
 
-// Stop lets no further publish leave. The attempts that still wait for a channel are reported as not
-// sent, which says nothing of the broker.
+// Stop prevents any further publish. The attempts that still wait for a channel are reported as not
+// sent, which does not count against the broker.
 func (e *Egress) Stop() {
 	e.Gate.Stop()
 	for _, p := range e.attempts {
@@ -129,7 +131,8 @@
 	}
 }
 
-// linkKey tells connections apart by everything that is settled before the first publish.
+// linkKey returns the key of a connection: everything that is fixed when it is opened. Targets that differ only in
+// exchange and routing key share a connection.
 func linkKey(route string, target amqp.Target) string {
 	key := target.Addr + target.VHost + target.User
 	if target.TLS { // the TLS configuration belongs to the route
@@ -138,14 +141,14 @@
 	return key
 }
 
-// linkTo returns the connection to a target and dials it where there is none. It returns nil when no
-// descriptor is left for it.
+// linkTo returns the connection to a target, and dials one if there is none. It returns nil if no descriptor is
+// available.
 func (e *Egress) linkTo(route string, target amqp.Target) *brokerLink {
 	key := linkKey(route, target)
 	if link := e.links[key]; link != nil {
 		return link
 	}
-	link := &brokerLink{peer: newPeer(e.reactor.Loop), egress: e, key: key, target: target}
+	link := &brokerLink{amqpConn: newAMQPConn(e.reactor.Loop), egress: e, key: key, target: target}
 	victim, _, ok := e.connections.Admit(&link.Entry, link, netip.Addr{}, e.reactor.Now())
 	if victim != nil {
 		victim.Owner().Evict(conntable.ForNewcomer)
@@ -159,12 +162,13 @@
 	return link
 }
 
+// dial opens the transport of a connection, with TLS if the target requires it.
 func (e *Egress) dial(route string, target amqp.Target, link *brokerLink) *reactor.Conn {
 	if !target.TLS {
 		return e.reactor.Dial(target.Addr, e.connectTimeout, link)
 	}
 	config := e.tlsByRoute[route]
-	if config == nil { // an endpoint list without keys: the machine's certificate authorities decide
+	if config == nil { // a route of an endpoint list, without configured keys: use the system's certificate authorities
 		host, _, _ := net.SplitHostPort(target.Addr)
 		config = &tls.Config{ServerName: host, MinVersion: tls.VersionTLS12}
 	}
--- a/internal/net/amqpfront/flowcontrol_test.go
+++ b/internal/net/amqpfront/flowcontrol_test.go
@@ -164,7 +164,7 @@
 			}
 		}
 	}
-	if bytes := opened * amqp.MaxBody; bytes < maxPartial/2 || bytes > 2*maxPartial {
+	if bytes := opened * amqp.MaxBody; bytes < maxPartialBytes/2 || bytes > 2*maxPartialBytes {
 		t.Fatal(opened)
 	}
 	c := dial(t, addr) // whoever sends whole contents is served
--- a/internal/net/amqpfront/idle_test.go
+++ b/internal/net/amqpfront/idle_test.go
@@ -205,10 +205,10 @@
 	list = make([]*session, n)
 	before := testkit.HeapBytes()
 	for i := range list {
-		s := &session{ingress: in, peer: newPeer(l), stage: stageReady}
+		s := &session{ingress: in, amqpConn: newAMQPConn(l), stage: stageReady}
 		s.conn, s.channels = &reactor.Conn{}, []*channel{{session: s, id: 1}}
 		in.table.Admit(&s.Entry, s, netip.Addr{}, 0)
-		s.keepAlive(10*time.Second, s)
+		s.startHeartbeats(10*time.Second, s)
 		list[i] = s
 	}
 	return l, list, (testkit.HeapBytes() - before) / uint64(n)
--- a/internal/net/amqpfront/ingress.go
+++ b/internal/net/amqpfront/ingress.go
@@ -14,39 +14,39 @@
 // Front is the name of this front in the journal.
 const Front = "amqp"
 
-// The bounds of what clients may hold.
+// The limits on clients' resources.
 const (
-	maxConsumers = 64      // of one channel
-	maxQueues    = 1024    // of one virtual host
-	maxName      = 128     // bytes of an ID, a key or the name of a queue
-	maxUnacked   = 256     // answers of one channel, whatever its prefetch is
-	maxPartial   = 4 << 20 // bytes of partial contents of all clients
+	maxConsumers    = 64      // consumers of one channel
+	maxQueues       = 1024    // queues of one virtual host
+	maxNameLength   = 128     // length of an ID, an idempotency key or a queue name, in bytes
+	maxUnacked      = 256     // unacknowledged answers of one channel, whatever its prefetch limit is
+	maxPartialBytes = 4 << 20 // incomplete contents of all clients, in bytes
 )
 
 // Options are the settings of an ingress.
 type Options struct {
 	Policy    *access.Policy // users and virtual hosts
-	Heartbeat time.Duration  // offered to clients
-	Channels  int            // of one connection, 1 to 2047
+	Heartbeat time.Duration  // the interval proposed to clients
+	Channels  int            // maximum number of channels of one connection, 1 to 2047
 }
 
-// frameTimeout bounds the time of a handshake, and that of a frame from its first byte to its last.
+// frameTimeout is the limit on the duration of a handshake, and of a frame from its first byte to its last.
 const frameTimeout = 10 * time.Second
 
-// Limits returns the connection limits of this front for so many connections. An idle connection stays
-// open: it has heartbeats.
+// Limits returns the limits of this front's connection table for up to maxConnections connections. Idle connections
+// have no time limit, because heartbeats detect dead ones.
 func Limits(maxConnections int) conntable.Limits {
 	return conntable.Limits{Most: maxConnections, Keep: 1, First: frameTimeout, Whole: frameTimeout}
 }
 
-// sweepGap is how often the table is searched for connections over a limit.
+// sweepInterval is how often the table is searched for connections over a time limit.
 const sweepInterval = 500 * time.Millisecond
 
-// Ingress serves AMQP clients. A publish submits a message, its confirm says that the message was
-// accepted, and the final answer goes to the queue that its reply-to names, until a client has
+// Ingress serves AMQP clients. A publish submits a message, and its confirm means that the message was
+// accepted. The final answer is queued on the queue that the message's reply-to names, until a client has
 // acknowledged it.
 //
-// Once it serves, only the loop's goroutine may call its methods.
+// After the loop has started, only its goroutine may call the methods.
 type Ingress struct {
 	core    *sender.Sender
 	reactor *reactor.Reactor
@@ -57,15 +57,16 @@
 	checker *access.Checker
 	hosts   map[string]*host // by name
 
-	blockedReason    string // for connection.blocked; empty while there is no backpressure
-	uncommittedBytes int    // of all transactions
-	partialBytes     int    // of partial contents
+	blockedReason    string // sent in connection.blocked; empty while there is no backpressure
+	uncommittedBytes int    // publishes of all uncommitted transactions
+	partialBytes     int    // incomplete contents of all clients
 
-	submissions []*sender.Request // of the read that is being handled, which is one client's
+	submissions []*sender.Request // the messages of the read that is being handled, all of one client
 	answerProps amqp.Props        // reused by answerContent
 }
 
-// NewIngress makes the clients' side with a table of its own, and joins it to the core.
+// NewIngress returns an ingress for clients' connections, which are recorded in table, and adds its virtual hosts to
+// the core.
 func NewIngress(core *sender.Sender, react *reactor.Reactor, options Options, table *conntable.Table) *Ingress {
 	in := &Ingress{
 		core:    core,
@@ -80,13 +81,13 @@
 	return in
 }
 
-// TurnedAway is sent to a new connection over the limit. The specification allows a close at any time.
+// TurnedAway is the reply to a new connection over the limit. The specification allows connection.close at any time.
 var TurnedAway = amqp.AppendMethod(nil, 0, amqp.ConnClose, amqp.ResourceError, "no room for another connection", 0, 0)
 
-// Accept takes a client's connection. At the limit, it replaces a connection that is not open yet, so
-// that idle connections can't lock out the others.
+// Accept admits a client's connection. At the limit, a connection that has not completed its handshake is evicted, so
+// that connections without a login can't exclude others.
 func (in *Ingress) Accept(conn *reactor.Conn) reactor.Handler {
-	s := &session{ingress: in, peer: newPeer(in.reactor.Loop)}
+	s := &session{ingress: in, amqpConn: newAMQPConn(in.reactor.Loop)}
 	s.conn = conn
 	if !in.limiter.Admit(&s.Entry, s, conn) {
 		if conn.Secured() { // a reply would need a TLS handshake
@@ -97,7 +98,7 @@
 	return s
 }
 
-// Close closes all connections with the reply that the sender is stopping.
+// Close sends connection.close to all clients, with a reply text that says that the sender is stopping.
 func (in *Ingress) Close() {
 	in.table.Each(func(e *conntable.Entry) {
 		if s, ok := e.Owner().(*session); ok {
--- a/internal/net/amqpfront/ledger.go
+++ b/internal/net/amqpfront/ledger.go
@@ -2,29 +2,30 @@
 
 import "slices"
 
-// ledger holds the unconfirmed publishes of one channel to a broker, by the delivery tags that both
-// sides count (RabbitMQ's publisher confirms: from 1, one more for each publish on the channel). It
-// does no I/O.
-type ledger struct {
-	lastTag     uint64        // of the last publish
-	unconfirmed []ledgerEntry // in the order of their tags
+// confirmTracker records the unconfirmed publishes of one channel to a broker by delivery tag. Both sides count
+// the tags themselves (RabbitMQ's publisher confirms): the first publish on a channel has tag 1, and each further
+// one the next number. It does no I/O.
+type confirmTracker struct {
+	lastTag     uint64               // tag of the last publish
+	unconfirmed []unconfirmedPublish // in the order of their tags
 }
 
-type ledgerEntry struct {
+// unconfirmedPublish is a publish with its delivery tag.
+type unconfirmedPublish struct {
 	tag     uint64
 	publish *publishAttempt
 }
 
 // add records the next publish.
-func (l *ledger) add(p *publishAttempt) {
+func (l *confirmTracker) add(p *publishAttempt) {
 	l.lastTag++
-	l.unconfirmed = append(l.unconfirmed, ledgerEntry{l.lastTag, p})
+	l.unconfirmed = append(l.unconfirmed, unconfirmedPublish{l.lastTag, p})
 }
 
 // settle removes and returns the publishes that a confirm covers; tag 0 with multiple means all. ok is
-// false for a tag that was never published: then nothing that the broker says can be trusted. A tag
-// that was settled before is no fault.
-func (l *ledger) settle(tag uint64, multiple bool) (settled []*publishAttempt, ok bool) {
+// false for a tag that was never published: the two sides count differently, so that no confirm on the
+// channel can be trusted. A tag that was settled before is not an error.
+func (l *confirmTracker) settle(tag uint64, multiple bool) (settled []*publishAttempt, ok bool) {
 	if tag > l.lastTag || tag == 0 && !multiple {
 		return nil, false
 	}
@@ -44,13 +45,13 @@
 	return settled, true
 }
 
-// remove takes out a publish that ended without a confirm.
-func (l *ledger) remove(p *publishAttempt) {
-	l.unconfirmed = slices.DeleteFunc(l.unconfirmed, func(entry ledgerEntry) bool { return entry.publish == p })
+// remove drops a publish that ended without a confirm.
+func (l *confirmTracker) remove(p *publishAttempt) {
+	l.unconfirmed = slices.DeleteFunc(l.unconfirmed, func(entry unconfirmedPublish) bool { return entry.publish == p })
 }
 
 // find returns the publish of a message, or nil.
-func (l *ledger) find(messageID string) *publishAttempt {
+func (l *confirmTracker) find(messageID string) *publishAttempt {
 	for _, entry := range l.unconfirmed {
 		if entry.publish.attempt.ID == messageID {
 			return entry.publish
@@ -59,7 +60,9 @@
 	return nil
 }
 
-// anyWanted tells whether any publish has not been given up.
-func (l *ledger) anyWanted() bool {
-	return slices.ContainsFunc(l.unconfirmed, func(entry ledgerEntry) bool { return entry.publish.givenUpAs == "" })
+// anyAwaited reports whether the confirm of any publish is still awaited, because it has not been given up.
+func (l *confirmTracker) anyAwaited() bool {
+	return slices.ContainsFunc(l.unconfirmed, func(entry unconfirmedPublish) bool {
+		return entry.publish.giveUpOutcome == ""
+	})
 }
--- a/internal/net/amqpfront/ledger_test.go
+++ b/internal/net/amqpfront/ledger_test.go
@@ -22,7 +22,7 @@
 // that, and not settled.
 func TestLedgerAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var l ledger
+		var l confirmTracker
 		model, last := map[uint64]*publishAttempt{}, uint64(0)
 		t.Repeat(map[string]func(*rapid.T){
 			"publish": func(*rapid.T) {
@@ -62,7 +62,7 @@
 						t.Fatal(k)
 					}
 				}
-				if len(l.unconfirmed) != len(model) || l.anyWanted() != (len(model) > 0) {
+				if len(l.unconfirmed) != len(model) || l.anyAwaited() != (len(model) > 0) {
 					t.Fatal(len(l.unconfirmed), len(model))
 				}
 			},
--- a/internal/net/amqpfront/login.go
+++ b/internal/net/amqpfront/login.go
@@ -8,17 +8,17 @@
 	"brackendale/internal/net/amqp"
 )
 
-// The SASL mechanisms (RFC 4422). EXTERNAL is offered to clients with a verified certificate.
+// The SASL mechanisms (RFC 4422). EXTERNAL is offered only to clients with a verified certificate.
 const (
 	mechPlain    = "PLAIN"
 	mechAMQPlain = "AMQPLAIN"
 	mechExternal = "EXTERNAL"
 )
 
-// anonymousExternal is the response with which amqp091-go names no user.
+// anonymousExternal is the response of amqp091-go to EXTERNAL, which names no user.
 const anonymousExternal = "\x00*\x00*"
 
-// mechanisms lists the mechanisms for connection.start.
+// mechanisms returns the mechanisms for connection.start, separated by spaces.
 func (s *session) mechanisms() string {
 	list := mechPlain + " " + mechAMQPlain
 	if s.conn.Peer() != nil {
@@ -27,43 +27,42 @@
 	return list
 }
 
-// errLogin is the answer to any wrong login; it doesn't say what was wrong.
-var errLogin = &amqp.Fault{Code: amqp.AccessRefused, Text: "login refused", Method: amqp.ConnStartOk}
+// errLoginRefused is the reply to any failed login. It doesn't tell the client what was wrong.
+var errLoginRefused = &amqp.Fault{Code: amqp.AccessRefused, Text: "login refused", Method: amqp.ConnStartOk}
 
-// login checks the response to one of the mechanisms and goes on with the handshake at once or, after
-// a password check, later. For PLAIN (RFC 4616) the authorization identity must be empty or the user's
-// own; AMQPLAIN is a table with LOGIN and PASSWORD; for EXTERNAL the certificate names the user, and the
-// response may repeat the name.
+// login checks the response to one of the mechanisms and continues the handshake, at once or when a password check is
+// complete. For PLAIN (RFC 4616) the authorization identity must be empty or the user's own. AMQPLAIN is a table with
+// LOGIN and PASSWORD. For EXTERNAL the certificate identifies the user, and the response may repeat the name.
 func (s *session) login(mechanism, response string) error {
 	user, password, ok := credentials(mechanism, response)
-	p := s.ingress.policy
+	accessPolicy := s.ingress.policy
 	switch {
 	case mechanism == mechExternal:
-		u, ok := p.Holder(s.conn.Peer())
-		if !ok || response != "" && response != u.Name && response != anonymousExternal {
-			return errLogin
+		account, ok := accessPolicy.Holder(s.conn.Peer())
+		if !ok || response != "" && response != account.Name && response != anonymousExternal {
+			return errLoginRefused
 		}
-		s.startTuning(u.Name)
+		s.startTuning(account.Name)
 		return nil
 	case !ok:
-		return errLogin
-	case p.Open():
+		return errLoginRefused
+	case accessPolicy.Open():
 		s.startTuning(user)
 		return nil
 	}
-	u, _ := p.User(user)
+	account, _ := accessPolicy.User(user)
 	s.stage = stageAuth
-	return s.checkPassword(u, password, func(ok bool) {
+	return s.checkPassword(account, password, func(ok bool) {
 		if !ok {
-			s.closeWith(0, errLogin)
+			s.closeWith(0, errLoginRefused)
 			return
 		}
 		s.startTuning(user)
 	})
 }
 
-// checkPassword compares a password in another goroutine and calls done on the loop's, unless the
-// connection has ended by then.
+// checkPassword verifies a password on another goroutine and calls done on the loop's, unless the connection is closed
+// by then.
 func (s *session) checkPassword(user access.User, password string, done func(bool)) error {
 	err := s.ingress.checker.Check(user.Hash, password, func(ok bool) {
 		s.loop.Post(func() {
@@ -78,61 +77,61 @@
 	return err
 }
 
-// credentials reads the user and password from the response to PLAIN or AMQPLAIN.
+// credentials decodes the user and password from the response to PLAIN or AMQPLAIN.
 func credentials(mechanism, response string) (user, password string, ok bool) {
 	switch mechanism {
 	case mechPlain:
-		f := strings.Split(response, "\x00")
-		if len(f) == 3 && (f[0] == "" || f[0] == f[1]) {
-			return f[1], f[2], true
+		fields := strings.Split(response, "\x00")
+		if len(fields) == 3 && (fields[0] == "" || fields[0] == fields[1]) {
+			return fields[1], fields[2], true
 		}
 	case mechAMQPlain:
-		if t, err := amqp.ParseTable([]byte(response)); err == nil {
-			u, ok1 := t["LOGIN"].(string)
-			p, ok2 := t["PASSWORD"].(string)
-			return u, p, ok1 && ok2
+		if table, err := amqp.ParseTable([]byte(response)); err == nil {
+			login, hasLogin := table["LOGIN"].(string)
+			secret, hasSecret := table["PASSWORD"].(string)
+			return login, secret, hasLogin && hasSecret
 		}
 	}
 	return "", "", false
 }
 
-// startTuning goes on with the handshake of an authenticated user.
+// startTuning continues the handshake of an authenticated user with connection.tune.
 func (s *session) startTuning(user string) {
 	s.grant = s.ingress.policy.Lobby(user)
 	s.stage = stageTune
 	s.writeMethod(0, amqp.ConnTune, s.ingress.options.Channels, amqp.FrameMax, int(s.ingress.options.Heartbeat.Seconds()))
 }
 
-// openHost opens a virtual host.
+// openHost handles connection.open, which names the virtual host.
 func (s *session) openHost(name string) error {
-	g := s.ingress.policy.Enter(s.grant.User(), name)
-	if g == nil {
+	newGrant := s.ingress.policy.Enter(s.grant.User(), name)
+	if newGrant == nil {
 		if _, known := s.ingress.hosts[name]; known {
 			return &amqp.Fault{Code: amqp.NotAllowed, Text: "this user may not enter the virtual host", Method: amqp.ConnOpen}
 		}
 		return &amqp.Fault{Code: amqp.NotAllowed, Text: "no such virtual host", Method: amqp.ConnOpen}
 	}
-	s.grant, s.host = g, s.ingress.hosts[g.Host().Name]
+	s.grant, s.host = newGrant, s.ingress.hosts[newGrant.Host().Name]
 	s.stage = stageReady
 	s.updateClass()
 	s.writeMethod(0, amqp.ConnOpenOk, "")
-	if s.ingress.blockedReason != "" && s.notifiesBlocked {
+	if s.ingress.blockedReason != "" && s.supportsBlocked {
 		s.writeMethod(0, amqp.ConnBlocked, s.ingress.blockedReason)
 	}
 	return nil
 }
 
-// updateSecret handles connection.update-secret: the new secret must be that of the same user.
+// updateSecret handles connection.update-secret. The new secret must be the current password of the same user.
 func (s *session) updateSecret(password string) error {
-	u, ok := s.ingress.policy.User(s.grant.User())
+	account, ok := s.ingress.policy.User(s.grant.User())
 	if s.ingress.policy.Open() {
 		s.writeMethod(0, amqp.ConnSecretOk)
 		return nil
 	}
 	if !ok {
-		u = access.User{}
+		account = access.User{}
 	}
-	return s.checkPassword(u, password, func(ok bool) {
+	return s.checkPassword(account, password, func(ok bool) {
 		if ok {
 			s.writeMethod(0, amqp.ConnSecretOk)
 			return
--- a/internal/net/amqpfront/publishattempt.go
+++ b/internal/net/amqpfront/publishattempt.go
@@ -10,22 +10,22 @@
 	"brackendale/sender"
 )
 
-// publishAttempt is one attempt without an outcome.
+// publishAttempt is one attempt that has no outcome yet.
 type publishAttempt struct {
 	egress    *Egress
 	attempt   sender.Attempt
-	route     string
+	routeAddr string
 	target    amqp.Target
 	admission admission.Attempt
-	shareable bool // it may be on a channel with others
+	shareable bool // it may share a channel with others
 
 	link    *brokerLink
-	channel *brokerChannel // nil while it waits for one
-	timer   timers.Timer   // of the attempt's timeout
+	channel *brokerChannel // nil while the attempt waits for one
+	timer   timers.Timer   // the attempt's timeout
 
-	endOffset  int64          // of the byte after its last one, in the connection's stream
-	returnCode uint16         // the reply code of basic.return; 0 if the broker has not returned it
-	givenUpAs  sender.Outcome // empty, or the outcome to report once its channel is closed
+	endOffset     int64          // offset of the end of the publish in the connection's output
+	returnCode    uint16         // the reply code of basic.return; 0 if the broker has not returned it
+	giveUpOutcome sender.Outcome // empty until given up; then the outcome to report when the channel is closed
 }
 
 // start arms the timeout and queues the attempt on the connection to its target.
@@ -33,8 +33,8 @@
 	e := p.egress
 	e.reactor.Arm(&p.timer, time.Duration(p.attempt.TimeoutUs)*time.Microsecond, 0,
 		timers.Func(func() { p.giveUp(sender.OutcomeTimedOut) }))
-	p.link = e.linkTo(p.route, p.target)
-	if p.link == nil { // out of descriptors, which says nothing of the broker
+	p.link = e.linkTo(p.routeAddr, p.target)
+	if p.link == nil { // no descriptor is available, which must not count against the broker
 		p.report(sender.OutcomeNotSent)
 		return
 	}
@@ -52,7 +52,7 @@
 	delete(e.attempts, p.attempt.ID)
 	e.reactor.Disarm(&p.timer)
 	if p.channel != nil {
-		p.channel.ledger.remove(p)
+		p.channel.confirmTracker.remove(p)
 	}
 	if p.sent() {
 		e.core.CountAttempts(1)
@@ -63,16 +63,16 @@
 	e.core.ReportAttempts(sender.AttemptResult{
 		ID:       p.attempt.ID,
 		Attempt:  p.attempt.Number,
-		Endpoint: p.route,
+		Endpoint: p.routeAddr,
 		Outcome:  outcome,
 	})
 }
 
-// sent tells whether the publish's last byte has left.
+// sent reports whether the last byte of the publish has been sent.
 func (p *publishAttempt) sent() bool { return p.channel != nil && p.link.conn.Sent(p.endOffset) }
 
-// connectionLost reports an attempt whose connection or channel ended. Before the publish's last byte
-// has left, the broker has no whole message, which proves that it has not run.
+// connectionLost reports an attempt whose connection or channel ended. If the last byte of the publish was not
+// sent, the broker does not have the complete message, which proves that it has not run.
 func (p *publishAttempt) connectionLost(outcome sender.Outcome) {
 	if !p.sent() {
 		outcome = sender.OutcomeConnectFailed
@@ -80,9 +80,9 @@
 	p.report(outcome)
 }
 
-// giveUp stops waiting for the confirm by closing the channel. The attempt ends once the broker has
-// answered the close: no second attempt may start while the broker could still accept this one. A
-// confirm that crosses the close counts.
+// giveUp stops waiting for the confirm and closes the channel. The attempt ends when the broker has confirmed the
+// close, because no second attempt may start while the broker could still accept this one. A confirm that
+// arrives before that is valid.
 func (p *publishAttempt) giveUp(outcome sender.Outcome) {
 	if p.egress.attempts[p.attempt.ID] != p {
 		return
@@ -92,20 +92,20 @@
 		p.report(sender.OutcomeConnectFailed)
 		return
 	}
-	if !p.sent() { // a part of the message may be in the stream: not one more byte may leave
+	if !p.sent() { // the publish may be sent in part: no further byte of it may be sent
 		p.link.conn.Cut()
 		p.report(sender.OutcomeConnectFailed)
 		return
 	}
-	if p.givenUpAs != "" {
+	if p.giveUpOutcome != "" {
 		return
 	}
-	p.givenUpAs = outcome
+	p.giveUpOutcome = outcome
 	p.link.retire(p.channel)
 }
 
-// confirmed ends an attempt by its confirm, basic.ack or basic.nack. A returned message has not run,
-// and its ack is no delivery.
+// confirmed ends an attempt by its confirm, basic.ack or basic.nack. A message that was returned has not run, so that
+// its basic.ack does not mean a delivery.
 func (p *publishAttempt) confirmed(key amqp.Key) {
 	switch {
 	case p.returnCode == amqp.NoRoute:
@@ -119,9 +119,9 @@
 	}
 }
 
-// outcomeOfClose is the outcome of a sent publish whose channel or connection the broker closed with
-// this reply code: a fault of this side or of the message is a failure, the end of the connection or
-// of the broker is a reset. Both are ambiguous.
+// outcomeOfClose returns the outcome of a sent publish whose channel or connection the broker closed with
+// this reply code. A soft error is about the publish itself, which counts as a failure; any other is about the
+// connection or the broker, which counts as a reset. Both outcomes are ambiguous.
 func outcomeOfClose(code uint64) sender.Outcome {
 	if f := (&amqp.Fault{Code: uint16(code)}); f.Soft() {
 		return sender.OutcomeFailed
@@ -129,7 +129,7 @@
 	return sender.OutcomeReset
 }
 
-// outcomeOfRefusal is the outcome of an attempt that was refused with this reply code before its
+// outcomeOfRefusal returns the outcome of an attempt that was rejected with this reply code before its
 // publish, so that it has not run.
 func outcomeOfRefusal(code uint64) sender.Outcome {
 	if code == amqp.ResourceError || code == amqp.ResourceLocked || code == amqp.ConnectionForced {
--- a/internal/net/amqpfront/queue.go
+++ b/internal/net/amqpfront/queue.go
@@ -13,33 +13,33 @@
 // queue holds the answers for one reply-to. It exists while it has answers or consumers, or is declared.
 type queue struct {
 	queueLimits
-	timer    timers.Timer  // of its limits
-	lastUsed time.Duration // when it was declared, consumed from or read by basic.get
+	timer    timers.Timer  // enforces the time limits
+	lastUsed time.Duration // time when it was last declared, consumed from or read by basic.get
 
 	ingress *Ingress
 	host    *host
 	name    string
-	owner   *session // nil unless it is exclusive
+	owner   *session // the connection of an exclusive queue, otherwise nil
 
-	direct     bool // of direct reply-to: answers that its channel does not receive are dropped
-	declared   bool
-	autoDelete bool
+	directReply bool // the queue of a direct reply-to: its answers are dropped when its channel ends
+	declared    bool
+	autoDelete  bool
 
 	answers   []*answer
-	consumers []*consumer // the next to deliver to first
+	consumers []*consumer // in the order of delivery; a consumer moves to the end when it gets an answer
 }
 
 // answer is the final answer of a message.
 type answer struct {
-	id          string
-	correlation string // the request's: reply-to and correlation-id, with a NUL between
+	id          string // the ID of the message
+	correlation string // reply-to and correlation-id of the message, separated by a NUL
 	outcome     string
 	waitMs      int64 // Retry-After
-	redelivered bool  // it was delivered before, or may have been by an earlier incarnation
+	redelivered bool  // it was delivered before, or may have been by a previous incarnation
 	queuedAt    time.Duration
 }
 
-// dispatch delivers answers to consumers in turn, as far as their limits allow.
+// dispatch delivers answers to the consumers in rotation, as far as their limits allow.
 func (q *queue) dispatch() {
 	for len(q.answers) > 0 {
 		i := slices.IndexFunc(q.consumers, (*consumer).ready)
@@ -67,12 +67,12 @@
 	c.queue.lastUsed = c.queue.ingress.reactor.Now()
 	c.queue.enforceLimits()
 	if c.queue.autoDelete && len(c.queue.consumers) == 0 {
-		c.queue.declared = false // with answers it stays all the same
+		c.queue.declared = false // a queue with answers still stays
 	}
 	c.queue.host.removeIfUnused(c.queue)
 }
 
-// ready tells whether the consumer may get another answer now.
+// ready reports whether the consumer may get another answer now.
 func (c *consumer) ready() bool {
 	limit := maxUnacked
 	if c.channel.prefetch > 0 {
@@ -81,14 +81,14 @@
 	return !c.channel.paused && (c.noAck || c.channel.unacknowledged() < limit) && !c.channel.session.conn.Backed()
 }
 
-// outcomeNames are the type property of answers.
+// outcomeNames are the values of the type property of answers.
 var outcomeNames = map[string]string{
 	sender.Delivered: "delivered",
 	sender.Returned:  "refused",
 	sender.Abandoned: "failed",
 }
 
-// outcomeBodies are the same as contents.
+// outcomeBodies are the bodies of answers, with the same texts as outcomeNames.
 var outcomeBodies = map[string][]byte{
 	sender.Delivered: []byte("delivered"), sender.Returned: []byte("refused"),
 	sender.Abandoned: []byte("failed"),
@@ -96,13 +96,13 @@
 
 // deliver writes an answer as basic.deliver.
 func (c *consumer) deliver(a *answer) {
-	again := a.redelivered
+	wasDelivered := a.redelivered
 	tag := c.channel.recordDelivery(c.queue, a, c.noAck)
 	p, body := c.queue.host.answerContent(a)
-	c.channel.session.writeContent(c.channel.id, amqp.Deliver, p, body, c.tag, tag, again, "", c.queue.name)
+	c.channel.session.writeContent(c.channel.id, amqp.Deliver, p, body, c.tag, tag, wasDelivered, "", c.queue.name)
 }
 
-// answerContent returns an answer's content, valid until the next call.
+// answerContent returns the properties and body of an answer. The properties are valid until the next call.
 func (h *host) answerContent(a *answer) (*amqp.Props, []byte) {
 	_, correlation, _ := strings.Cut(a.correlation, "\x00")
 	h.ingress.answerProps = amqp.Props{CorrelationID: correlation, MessageID: a.id, Type: outcomeNames[a.outcome]}
--- a/internal/net/amqpfront/queuelimits.go
+++ b/internal/net/amqpfront/queuelimits.go
@@ -8,83 +8,83 @@
 	"brackendale/internal/timers"
 )
 
-// queueLimits are the limits that a client set when it declared a queue; zero values are no limit. The
-// arguments' names and meanings are RabbitMQ's.
+// queueLimits are the limits that a client sets when it declares a queue; a zero value means no limit. The
+// names and meanings of the arguments are RabbitMQ's.
 type queueLimits struct {
-	maxAnswers int // x-max-length: queued answers; the oldest is dropped
-	// x-message-ttl: how long an answer is queued; below 0: it is delivered at once or not at all
+	maxAnswers int // x-max-length: maximum number of queued answers; the oldest are dropped
+	// x-message-ttl: how long an answer may be queued; negative: it is delivered at once or dropped
 	ttl     time.Duration
-	expires time.Duration // x-expires: the queue is deleted after this time without use
+	expires time.Duration // x-expires: an unused queue is deleted after this time
 }
 
-// The one supported value each of x-overflow and x-queue-type.
+// The only supported values of x-overflow and x-queue-type.
 const (
 	overflowDropHead = "drop-head"
 	queueTypeClassic = "classic"
 )
 
-// maxLimit is the largest time that a client may set, as with RabbitMQ.
-const maxLimit = 10 * 365 * 24 * time.Hour
+// maxLimitTime is the maximum of the time limits that a client may set, as with RabbitMQ.
+const maxLimitTime = 10 * 365 * 24 * time.Hour
 
-// readLimits reads the limits from a declaration's arguments. The fault of an invalid one names it.
-func readLimits(args amqp.Table, fault faultFunc) (l queueLimits, err error) {
-	for name, v := range args {
-		n, whole := v.(int64)
-		ms := time.Duration(n) * time.Millisecond
-		valid := whole && n >= 0 && n <= int64(maxLimit/time.Millisecond)
+// readLimits decodes the limits from the arguments of queue.declare. The fault for an invalid argument names it.
+func readLimits(args amqp.Table, fault faultFunc) (limits queueLimits, err error) {
+	for name, value := range args {
+		number, isInteger := value.(int64)
+		ms := time.Duration(number) * time.Millisecond
+		valid := isInteger && number >= 0 && number <= int64(maxLimitTime/time.Millisecond)
 		switch name {
 		case "x-max-length":
-			if valid = valid && n >= 1 && n <= maxQueueLength; valid {
-				l.maxAnswers = int(n)
+			if valid = valid && number >= 1 && number <= maxQueueLength; valid {
+				limits.maxAnswers = int(number)
 			}
 		case "x-message-ttl":
-			if l.ttl = ms; n == 0 {
-				l.ttl = -1
+			if limits.ttl = ms; number == 0 {
+				limits.ttl = -1
 			}
 		case "x-expires":
-			valid = valid && n > 0
-			l.expires = ms
+			valid = valid && number > 0
+			limits.expires = ms
 		case "x-overflow":
-			if v != overflowDropHead {
-				return l, fault(amqp.NotImplemented, "x-overflow: the oldest answer gives way (drop-head)")
+			if value != overflowDropHead {
+				return limits, fault(amqp.NotImplemented, "x-overflow: the oldest answer gives way (drop-head)")
 			}
 			valid = true
 		case "x-queue-type":
-			if v != queueTypeClassic {
-				return l, fault(amqp.NotImplemented, "x-queue-type: queues are classic")
+			if value != queueTypeClassic {
+				return limits, fault(amqp.NotImplemented, "x-queue-type: queues are classic")
 			}
 			valid = true
 		default:
 			if strings.HasPrefix(name, "x-") {
-				return l, fault(amqp.NotImplemented, "argument %s is not served", name)
+				return limits, fault(amqp.NotImplemented, "argument %s is not served", name)
 			}
 			valid = true
 		}
 		if !valid {
-			return l, fault(amqp.PreconditionFailed, "argument %s: %v is out of its range", name, v)
+			return limits, fault(amqp.PreconditionFailed, "argument %s: %v is out of its range", name, value)
 		}
 	}
-	return l, nil
+	return limits, nil
 }
 
-// maxAnswers is the largest x-max-length.
+// maxQueueLength is the largest valid x-max-length.
 const maxQueueLength = 1 << 20
 
-// enforceLimits drops the answers that are over the queue's limits, which count as acknowledged, and
-// arms the timer for the next.
+// enforceLimits drops the answers that exceed the queue's limits, which then count as acknowledged, and
+// arms the timer for the next expiration.
 func (q *queue) enforceLimits() {
-	now, old := q.ingress.reactor.Now(), 0
+	now, excess := q.ingress.reactor.Now(), 0
 	if q.maxAnswers > 0 {
-		old = max(0, len(q.answers)-q.maxAnswers)
+		excess = max(0, len(q.answers)-q.maxAnswers)
 	}
-	for q.ttl != 0 && old < len(q.answers) && now-q.answers[old].queuedAt >= q.ttl {
-		old++
+	for q.ttl != 0 && excess < len(q.answers) && now-q.answers[excess].queuedAt >= q.ttl {
+		excess++
 	}
-	if old > 0 {
-		late := q.answers[:old]
-		q.answers = q.answers[old:]
-		ids := make([]string, old)
-		for i, a := range late {
+	if excess > 0 {
+		dropped := q.answers[:excess]
+		q.answers = q.answers[excess:]
+		ids := make([]string, excess)
+		for i, a := range dropped {
 			ids[i] = a.id
 		}
 		q.host.settle(ids...)
@@ -101,7 +101,7 @@
 	}
 }
 
-// Due drops expired answers, or the queue if it has expired itself.
+// Due deletes the queue if it has expired, otherwise it drops expired answers.
 func (q *queue) Due(*timers.Timer) {
 	if q.host.queues[q.name] != q {
 		return
--- a/internal/net/amqpfront/session.go
+++ b/internal/net/amqpfront/session.go
@@ -13,10 +13,10 @@
 	"brackendale/internal/timers"
 )
 
-// closeTimeout is how long a client has to answer connection.close.
+// closeTimeout is how long a client has to reply to connection.close.
 const closeTimeout = time.Second
 
-// sessionStage is how far a client's connection has come.
+// sessionStage is the stage of a client's connection, from the handshake to the close.
 type sessionStage uint8
 
 const (
@@ -32,24 +32,24 @@
 // session is one client's connection. Only the loop's goroutine may use it.
 type session struct {
 	conntable.Entry
-	peer
+	amqpConn
 
 	ingress *Ingress
 	stage   sessionStage
 	host    *host         // nil until it is opened
-	grant   *access.Grant // the user's rights in the host; before that, who the user is
+	grant   *access.Grant // the user's permissions in the host; before a host is open, only the user's identity
 
 	assembly        amqp.Assembly // of channel 0
-	channels        []*channel    // ordered by number
-	exclusiveQueues []*queue      // of this connection
+	channels        []*channel    // ordered by ID
+	exclusiveQueues []*queue      // the exclusive queues of this connection
 
-	notifiesCancel  bool // the client understands basic.cancel from the server
-	notifiesBlocked bool // the client understands connection.blocked
-	hasPartialFrame bool
-	pending         int // unconfirmed publishes, unacknowledged answers and commits of all channels
+	supportsCancelNotify bool // the client supports basic.cancel from the server
+	supportsBlocked      bool // the client supports connection.blocked
+	hasPartialFrame      bool // the last read ended with a partial frame
+	pending              int  // unconfirmed publishes, unacknowledged answers and commits of all channels
 }
 
-// searchChannel returns the index of a channel, or where it would be, and the channel or nil.
+// searchChannel returns the index of a channel and the channel, or the index at which to insert it and nil.
 func (s *session) searchChannel(id uint16) (int, *channel) {
 	i, ok := slices.BinarySearchFunc(s.channels, id, func(c *channel, id uint16) int { return int(c.id) - int(id) })
 	if !ok {
@@ -58,36 +58,36 @@
 	return i, s.channels[i]
 }
 
-// channelByID returns the channel with this number, or nil.
+// channelByID returns the channel with this ID, or nil.
 func (s *session) channelByID(id uint16) *channel { _, ch := s.searchChannel(id); return ch }
 
-// removeChannel makes a channel's number free again.
+// removeChannel drops a channel, so that its ID can be used again.
 func (s *session) removeChannel(id uint16) {
 	if i, ch := s.searchChannel(id); ch != nil {
 		s.channels = slices.Delete(s.channels, i, i+1)
 	}
 }
 
-// updateClass tells the connection table what the connection does now.
+// updateClass reports to the connection table what the connection is doing now.
 func (s *session) updateClass() {
-	begun := s.partialFrame.Len() > 0
-	c := conntable.Held
+	frameBegun := s.partialFrame.Len() > 0
+	class := conntable.Held
 	switch {
 	case s.stage < stageReady:
-		return // the handshake's time runs from the first byte to the last
-	case begun && s.pending > 0:
-		c = conntable.Stuck
-	case begun:
-		c = conntable.Partial
+		return // the time limit of the handshake applies to all of it
+	case frameBegun && s.pending > 0:
+		class = conntable.Stuck
+	case frameBegun:
+		class = conntable.Partial
 	case s.pending > 0:
-		c = conntable.Busy
+		class = conntable.Busy
 	}
-	if c != s.Class() || !begun {
-		s.ingress.table.Move(&s.Entry, c, s.loop.Now())
+	if class != s.Class() || !frameBegun {
+		s.ingress.table.Move(&s.Entry, class, s.loop.Now())
 	}
 }
 
-// addPending changes the number of pending publishes and answers.
+// addPending changes the number of pending publishes, answers and commits.
 func (s *session) addPending(change int) {
 	before := s.pending
 	if s.pending += change; (s.pending == 0) != (before == 0) {
@@ -95,13 +95,13 @@
 	}
 }
 
-// MarkArrived marks what the peer has sent until now.
+// MarkArrived marks the end of the bytes that have arrived from the peer.
 func (s *session) MarkArrived() (known bool) { return s.conn.MarkArrived() }
 
-// MarkHandled tells whether all before the mark was handled.
+// MarkHandled reports whether all bytes before the mark were handled.
 func (s *session) MarkHandled() bool { return s.conn.MarkHandled() }
 
-// Drained delivers the answers that waited while the client did not read.
+// Drained delivers the answers that were queued while the client read too slowly.
 func (s *session) Drained(*reactor.Conn) {
 	for _, ch := range s.channels {
 		for _, c := range slices.Clone(ch.consumers) {
@@ -110,20 +110,20 @@
 	}
 }
 
-// Evict closes the connection, which is out of its table, with the reply code for the reason.
-func (s *session) Evict(why conntable.Reason) {
+// Evict closes the connection, which its table has removed, with the reply code for the reason.
+func (s *session) Evict(reason conntable.Reason) {
 	if s.stage < stageReady {
 		s.conn.Close()
 		return
 	}
 	code := uint16(amqp.ConnectionForced)
-	if why == conntable.Slow {
+	if reason == conntable.Slow {
 		code = amqp.FrameError
 	}
-	s.closeWith(0, amqp.Errorf(code, "%s", why))
+	s.closeWith(0, amqp.Errorf(code, "%s", reason))
 }
 
-// Due runs the heartbeats; it closes a connection whose client does not answer connection.close.
+// Due runs the heartbeats. It closes a connection whose client does not reply to connection.close in time.
 func (s *session) Due(*timers.Timer) {
 	if s.stage == stageClosing {
 		s.conn.Close()
@@ -132,10 +132,10 @@
 	s.checkHeartbeat(s)
 }
 
-// Up is not used: the client speaks first.
+// Up does nothing, because the client sends first.
 func (s *session) Up(*reactor.Conn) {}
 
-// Data handles the frames that are whole and submits the messages among them as one batch.
+// Data handles the complete frames among the received bytes and submits the messages among them as one batch.
 func (s *session) Data(_ *reactor.Conn, received []byte) {
 	if s.stage == stageHeader {
 		var ok bool
@@ -150,7 +150,8 @@
 	s.ingress.core.Submit(s.ingress.submissions...)
 	s.ingress.submissions = nil
 	partial := s.partialFrame.Len()
-	if partial > 0 && partial < unhandled && s.hasPartialFrame { // one frame is whole, and another has begun
+	// The partial frame is complete and another has begun, which has a time limit of its own.
+	if partial > 0 && partial < unhandled && s.hasPartialFrame {
 		s.ingress.table.Move(&s.Entry, s.Class(), s.loop.Now())
 	}
 	if partial > 0 || s.hasPartialFrame {
@@ -159,9 +160,9 @@
 	}
 }
 
-// readHeader reads the protocol header, answers it with connection.start and returns what follows it.
-// ok is false while the header is not whole, and when it is that of another protocol, which the
-// specification answers with the header of this one.
+// readHeader reads the protocol header, replies with connection.start and returns the bytes that follow the header.
+// ok is false while the header is incomplete, and for the header of another protocol or version, to which the
+// specification requires the header of the supported version as the reply.
 func (s *session) readHeader(received []byte) (following []byte, ok bool) {
 	received = s.partialFrame.Append(received)
 	if len(received) < len(amqp.Preamble) && strings.HasPrefix(amqp.Preamble, string(received)) {
@@ -188,7 +189,7 @@
 	return following, true
 }
 
-// Down ends all channels.
+// Down ends all channels and releases the exclusive queues of a connection that has ended.
 func (s *session) Down(*reactor.Conn, error) {
 	s.stopTimer()
 	s.partialFrame.Reset()
@@ -197,17 +198,17 @@
 	s.assembly = amqp.Assembly{}
 	for _, ch := range s.channels {
 		ch.end()
-		s.ingress.partialBytes -= ch.assembly.Pending() // that came while it was being closed
+		s.ingress.partialBytes -= ch.assembly.Pending() // of a content that began while the channel was being closed
 		ch.assembly = amqp.Assembly{}
 	}
-	for _, q := range s.exclusiveQueues { // its answers stay for whoever consumes by its name
+	for _, q := range s.exclusiveQueues { // the answers stay, for any consumer of a queue with this name
 		q.owner, q.declared = nil, false
 		s.host.removeIfUnused(q)
 	}
 	s.exclusiveQueues = nil
 }
 
-// closeWith closes the channel for a soft fault, otherwise the connection.
+// closeWith closes the channel if the fault is soft, otherwise the connection.
 func (s *session) closeWith(id uint16, err error) {
 	f := asFault(err)
 	if s.stage == stageClosing || s.conn.Dead() {
@@ -254,8 +255,8 @@
 	return err
 }
 
-// assemblyOf returns where the frames of a channel are put together; nil for an unknown channel, on
-// which no more than a method may come.
+// assemblyOf returns the assembly of a channel. It returns nil for an unknown channel, on which only a method without
+// content is valid.
 func (s *session) assemblyOf(ch *channel, id uint16) *amqp.Assembly {
 	switch {
 	case ch != nil:
@@ -266,7 +267,7 @@
 	return nil
 }
 
-// assemble adds a frame to its channel's message and returns the message once it is whole.
+// assemble adds a frame to the message of its channel and returns the message once it is complete.
 func (s *session) assemble(ch *channel, frame amqp.Frame) (*amqp.Message, error) {
 	assembly := s.assemblyOf(ch, frame.Channel)
 	if assembly == nil {
@@ -275,13 +276,13 @@
 	before := assembly.Pending()
 	msg, err := assembly.Add(frame)
 	s.ingress.partialBytes += assembly.Pending() - before
-	if s.ingress.partialBytes > maxPartial && err == nil {
+	if s.ingress.partialBytes > maxPartialBytes && err == nil {
 		err = amqp.Errorf(amqp.ResourceError, "too many contents are half sent")
 	}
 	return msg, err
 }
 
-// handleWhileClosing discards whatever comes after a close was sent, except for the answer to it.
+// handleWhileClosing discards everything that arrives after a close was sent, except for the reply to it.
 func (s *session) handleWhileClosing(ch *channel, id uint16, msg *amqp.Message) {
 	if assembly := s.assemblyOf(ch, id); assembly != nil {
 		s.ingress.partialBytes -= assembly.Pending()
@@ -301,8 +302,8 @@
 	switch {
 	case msg.Key == amqp.ConnStartOk && s.stage == stageStart:
 		caps, _ := msg.Table(0)["capabilities"].(amqp.Table)
-		s.notifiesCancel, _ = caps["consumer_cancel_notify"].(bool)
-		s.notifiesBlocked, _ = caps["connection.blocked"].(bool)
+		s.supportsCancelNotify, _ = caps["consumer_cancel_notify"].(bool)
+		s.supportsBlocked, _ = caps["connection.blocked"].(bool)
 		return s.login(msg.Str(1), msg.Str(2))
 	case msg.Key == amqp.ConnTuneOk && s.stage == stageTune:
 		return s.acceptTuning(msg)
@@ -314,14 +315,14 @@
 		s.writeMethod(0, amqp.ConnCloseOk)
 		s.stage = stageClosing
 		s.conn.Close()
-	case msg.Key == amqp.ConnCloseOk: // it crossed a close from this side
+	case msg.Key == amqp.ConnCloseOk: // no close is pending: ignored
 	default:
 		return &amqp.Fault{Code: amqp.CommandInvalid, Text: "out of place", Method: msg.Key}
 	}
 	return nil
 }
 
-// acceptTuning takes the client's limits from connection.tune-ok; they may not exceed those offered.
+// acceptTuning applies the client's limits from connection.tune-ok, which may not exceed those proposed.
 func (s *session) acceptTuning(msg *amqp.Message) error {
 	maxChannels, maxFrame := int(msg.Int(0)), msg.Int(1)
 	heartbeat := time.Duration(msg.Int(2)) * time.Second
@@ -332,6 +333,6 @@
 		return &amqp.Fault{Code: amqp.NotAllowed, Text: "limits outside of what was offered", Method: msg.Key}
 	}
 	s.stage, s.maxFrame = stageOpen, uint32(maxFrame)
-	s.keepAlive(heartbeat, s)
+	s.startHeartbeats(heartbeat, s)
 	return nil
 }
--- a/internal/net/amqpfront/sessionchannel.go
+++ b/internal/net/amqpfront/sessionchannel.go
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// setFlow pauses or resumes the answers to a channel; those already written still arrive.
+// setFlow pauses or resumes the delivery of answers on a channel. Answers that were already written still arrive.
 func (s *session) setFlow(ch *channel, active bool) {
 	ch.paused = !active
 	s.writeMethod(ch.id, amqp.ChanFlowOk, active)
@@ -89,7 +89,7 @@
 	}
 }
 
-// cancel ends a consumer by its tag.
+// cancel handles basic.cancel, which removes a consumer by its tag.
 func (s *session) cancel(ch *channel, tag string, noWait bool) {
 	for i, c := range ch.consumers {
 		if c.tag == tag {
@@ -102,7 +102,7 @@
 	s.reply(ch, noWait, amqp.CancelOk, tag)
 }
 
-// remove takes a consumer off the queue.
+// remove removes a consumer from the queue.
 func (q *queue) remove(ended *consumer) {
 	for i, c := range q.consumers {
 		if c == ended {
@@ -112,17 +112,17 @@
 	}
 }
 
-// faultFunc makes a fault of the method that is being handled.
+// faultFunc returns a fault for the method that is being handled.
 type faultFunc func(code uint16, format string, args ...any) error
 
-// consume starts a consumer on a queue, which need not have been declared.
+// consume handles basic.consume. The queue need not be declared.
 func (s *session) consume(ch *channel, msg *amqp.Message, fault faultFunc) error {
 	name, tag, noAck, exclusive := msg.Str(1), msg.Str(2), msg.Bool(4), msg.Bool(5)
 	if name == "" {
 		name = ch.lastDeclared
 	}
-	direct := name == directReplyTo
-	if direct {
+	directReply := name == directReplyTo
+	if directReply {
 		if name = ch.directQueue; name == "" {
 			s.host.generatedNames++
 			name = fmt.Sprintf("%s.%x-%d", directReplyTo, s.ingress.core.Now(), s.host.generatedNames)
@@ -132,11 +132,11 @@
 	switch {
 	case err != nil:
 		return err
-	case name == "" || len(name) > maxName:
+	case name == "" || len(name) > maxNameLength:
 		return fault(amqp.NotFound, "no queue %q", name)
-	case direct && !noAck:
+	case directReply && !noAck:
 		return fault(amqp.PreconditionFailed, "direct reply-to is consumed with no-ack")
-	case direct && ch.directQueue != "":
+	case directReply && ch.directQueue != "":
 		return fault(amqp.PreconditionFailed, "direct reply-to is consumed already")
 	case old != nil && len(old.consumers) > 0 && (exclusive || old.consumers[0].exclusive):
 		return fault(amqp.AccessRefused, "queue %q has a consumer, and one is to be alone", name)
@@ -152,8 +152,8 @@
 		}
 	}
 	c := &consumer{channel: ch, tag: tag, queue: s.host.queue(name), noAck: noAck, exclusive: exclusive}
-	if direct {
-		ch.directQueue, c.queue.direct = name, true
+	if directReply {
+		ch.directQueue, c.queue.directReply = name, true
 	}
 	ch.consumers = append(ch.consumers, c)
 	c.queue.consumers = append(c.queue.consumers, c)
--- a/internal/net/amqpfront/submit.go
+++ b/internal/net/amqpfront/submit.go
@@ -10,8 +10,8 @@
 	"brackendale/sender"
 )
 
-// publish submits a message. Its routing key is the destination, its message-id the ID, its type the
-// class, its app-id the tenant, its expiration the time in milliseconds that it may take.
+// publish submits a message. The routing key is its destination, message-id its ID, type its class, app-id its
+// tenant, and expiration the time until its deadline in milliseconds.
 func (s *session) publish(ch *channel, msg *amqp.Message, fault faultFunc) error {
 	props := msg.Props
 	if props.ReplyTo == directReplyTo {
@@ -42,8 +42,8 @@
 	if err := s.checkProps(ch, props, key, needsKey, fault); err != nil {
 		return err
 	}
-	p := &incomingPublish{channel: ch, tag: ch.published}
-	p.Request = sender.Request{
+	incoming := &incomingPublish{channel: ch, tag: ch.published}
+	incoming.Request = sender.Request{
 		ID:          props.MessageID,
 		Class:       props.Type,
 		Tenant:      props.AppID,
@@ -53,12 +53,13 @@
 		Body:        msg.Body,
 		Front:       s.host.front,
 		Correlation: props.ReplyTo + "\x00" + props.CorrelationID,
-		IngressData: p,
+		IngressData: incoming,
 	}
-	return s.submit(ch, &p.Request, fault)
+	return s.submit(ch, &incoming.Request, fault)
 }
 
-// checkPublish checks a publish but for its destination and properties.
+// checkPublish checks whether the publish is permitted on this channel. The destination and most properties are checked
+// separately.
 func (s *session) checkPublish(ch *channel, msg *amqp.Message, fault faultFunc) error {
 	userID := msg.Props.UserID
 	switch {
@@ -68,7 +69,7 @@
 		return fault(amqp.AccessRefused, "user %q may not publish with the key %q", s.grant.User(), msg.Str(2))
 	case userID != "" && userID != s.grant.User() && !s.ingress.policy.Open():
 		return fault(amqp.PreconditionFailed, "user-id %q is not the connection's user", userID)
-	case !ch.confirms && ch.tx == nil: // without either the client would not learn of a rejection
+	case !ch.confirms && ch.tx == nil: // with neither, the client would not be notified of a rejection
 		return fault(amqp.PreconditionFailed, "confirm.select or tx.select must come first")
 	case msg.Bool(4):
 		return fault(amqp.NotImplemented, "immediate")
@@ -83,13 +84,13 @@
 		return fault(amqp.PreconditionFailed, "type names no class: %q", props.Type)
 	case !isToken(props.MessageID):
 		return fault(amqp.PreconditionFailed, "message-id is missing or no plain word")
-	case props.ReplyTo == "" || len(props.ReplyTo) > maxName:
+	case props.ReplyTo == "" || len(props.ReplyTo) > maxNameLength:
 		return fault(amqp.PreconditionFailed, "reply-to is missing or too long")
 	case props.ReplyTo != ch.directQueue && !s.grant.Read(props.ReplyTo):
 		return fault(amqp.AccessRefused, "user %q may not read the answers' queue %q", s.grant.User(), props.ReplyTo)
 	case needsKey && key == "":
 		return fault(amqp.PreconditionFailed, "header idempotency-key is missing")
-	case key != "" && !isToken(key) || len(props.AppID) > maxName:
+	case key != "" && !isToken(key) || len(props.AppID) > maxNameLength:
 		return fault(amqp.PreconditionFailed, "idempotency-key or app-id is no plain word")
 	case s.host.queues[props.ReplyTo] == nil && len(s.host.queues) >= maxQueues:
 		return fault(amqp.ResourceError, "too many queues")
@@ -115,8 +116,8 @@
 	return nil
 }
 
-// submit adds a request to the channel's transaction, or to the batch that the core is given at the
-// end of this read.
+// submit adds a request to the channel's transaction or, without one, to the batch that is submitted to the core at
+// the end of this read.
 func (s *session) submit(ch *channel, request *sender.Request, fault faultFunc) error {
 	if ch.tx == nil {
 		ch.pending = append(ch.pending, request)
@@ -131,30 +132,31 @@
 	return nil
 }
 
-// confirm acknowledges a publish. all tells that none before it is unconfirmed. If the last thing in
-// the connection's buffer is the ack of the publish just before, that ack is widened to cover both. An
-// ack never covers a rejected publish: clients that process confirms in order (amqp091-go does) would
-// take that one for accepted.
-func (s *session) confirm(id uint16, tag uint64, all bool) {
-	mark := func(tag uint64) uint64 { return uint64(id)<<48 | tag&(1<<48-1) }
-	if buffer := s.conn.Buffer(); all && s.conn.BufferTag() == mark(tag-1) {
+// confirm acknowledges a publish. noneBefore means that no earlier publish is unconfirmed. If the last method in
+// the connection's write buffer is the ack of the previous publish, that ack is widened to cover both. An
+// ack never covers a rejected publish, because clients that process confirms in order (such as amqp091-go) would
+// take the rejected one for accepted.
+func (s *session) confirm(id uint16, tag uint64, noneBefore bool) {
+	bufferTag := func(tag uint64) uint64 { return uint64(id)<<48 | tag&(1<<48-1) }
+	if buffer := s.conn.Buffer(); noneBefore && s.conn.BufferTag() == bufferTag(tag-1) {
 		amqp.WidenAck(buffer, tag)
 		s.commitBuffer(buffer)
 	} else {
 		s.writeMethod(id, amqp.Ack, tag, false)
 	}
-	if all {
-		s.conn.SetBufferTag(mark(tag))
+	if noneBefore {
+		s.conn.SetBufferTag(bufferTag(tag))
 	}
 }
 
-// returnMessage returns a mandatory message that has no destination.
+// returnMessage sends basic.return for a mandatory message that has no destination.
 func (s *session) returnMessage(ch *channel, msg *amqp.Message) {
 	s.writeContent(ch.id, amqp.Return, msg.Props, msg.Body, amqp.NoRoute, "NO_ROUTE", msg.Str(1), msg.Str(2))
 }
 
-// isToken tells whether an ID or key can be passed on in a header of any protocol.
+// isToken reports whether an ID or key can be passed on in a header field of any protocol: it is printable ASCII
+// without spaces, and not too long.
 func isToken(text string) bool {
-	return text != "" && len(text) <= maxName &&
+	return text != "" && len(text) <= maxNameLength &&
 		!strings.ContainsFunc(text, func(r rune) bool { return r <= ' ' || r >= 0x7f })
 }
--- a/internal/net/amqpfront/topology.go
+++ b/internal/net/amqpfront/topology.go
@@ -8,16 +8,16 @@
 	"brackendale/internal/net/amqp"
 )
 
-// directReplyTo is the pseudo-queue of RabbitMQ's "Direct reply-to": a consumer of it, without
-// acknowledgements, gets the answers to what the same channel publishes with it as reply-to. They are
-// dropped when the channel ends.
+// directReplyTo is the pseudo-queue of RabbitMQ's "Direct reply-to". Its consumer gets, without acknowledgements,
+// the answers to the messages that the same channel publishes with this name as reply-to. They are dropped when
+// the channel ends.
 const directReplyTo = "amq.rabbitmq.reply-to"
 
-// exchangeDirect is the type of the one exchange.
+// exchangeDirect is the type of the only exchange.
 const exchangeDirect = "direct"
 
-// handleExchange handles the methods of the exchange class. There is one exchange, which the
-// configuration names: clients can declare it as it is, and can't make, bind or delete any.
+// handleExchange handles the methods of the exchange class. Each virtual host has one exchange, which the
+// configuration names. Clients can declare it with its actual properties, but can't create, bind or delete exchanges.
 func (s *session) handleExchange(ch *channel, msg *amqp.Message, fault faultFunc) error {
 	name := msg.Str(1)
 	switch msg.Key {
@@ -46,14 +46,15 @@
 	return nil
 }
 
-// reply answers a method, unless the client asked for no answer.
-func (s *session) reply(ch *channel, noWait bool, k amqp.Key, args ...any) {
+// reply sends the reply to a method, unless the client requested none (no-wait).
+func (s *session) reply(ch *channel, noWait bool, key amqp.Key, args ...any) {
 	if !noWait {
-		s.writeMethod(ch.id, k, args...)
+		s.writeMethod(ch.id, key, args...)
 	}
 }
 
-// findQueue returns a queue that this connection may use, or nil if there is none of that name.
+// findQueue returns the queue with this name, or nil if there is none. It returns a fault if this connection may not
+// use it.
 func (s *session) findQueue(name string, fault faultFunc) (*queue, error) {
 	if own := strings.HasPrefix(name, directReplyTo+"."); !own && name != "" && !s.grant.Read(name) {
 		return nil, fault(amqp.AccessRefused, "user %q may not use the queue %q", s.grant.User(), name)
@@ -65,12 +66,12 @@
 	return q, nil
 }
 
-// handleQueue handles the methods of the queue class. Queues hold answers; any name may be used, with
-// or without a declaration.
+// handleQueue handles the methods of the queue class. Queues hold answers, and need not be declared before they are
+// used.
 func (s *session) handleQueue(ch *channel, msg *amqp.Message, fault faultFunc) error {
 	name := msg.Str(1)
 	if name == "" && msg.Key != amqp.QueueDeclare {
-		name = ch.lastDeclared // section 3.1.5.3: the last queue that was declared on the channel
+		name = ch.lastDeclared // specification, section 3.1.5.3: the queue that was last declared on the channel
 	}
 	if msg.Key == amqp.QueueDeclare {
 		return s.declare(ch, msg, fault)
@@ -87,7 +88,7 @@
 		s.reply(ch, msg.Bool(2), amqp.QueuePurgeOk, q.discard())
 		s.host.removeIfUnused(q)
 	case amqp.QueueDelete:
-		n := 0
+		discarded := 0
 		if q != nil {
 			if msg.Bool(2) && len(q.consumers) > 0 {
 				return fault(amqp.PreconditionFailed, "queue %q is in use", name)
@@ -95,10 +96,10 @@
 			if msg.Bool(3) && len(q.answers) > 0 {
 				return fault(amqp.PreconditionFailed, "queue %q is not empty", name)
 			}
-			n = q.discard()
+			discarded = q.discard()
 			s.host.removeQueue(q)
 		}
-		s.reply(ch, msg.Bool(4), amqp.QueueDeleteOk, n)
+		s.reply(ch, msg.Bool(4), amqp.QueueDeleteOk, discarded)
 	default: // bind, unbind
 		exchange := msg.Str(2)
 		switch {
@@ -115,14 +116,14 @@
 	return nil
 }
 
-// declare makes a queue, or checks that the existing one has the same properties.
+// declare handles queue.declare: it creates the queue, or checks that the existing one has the same properties.
 func (s *session) declare(ch *channel, msg *amqp.Message, fault faultFunc) error {
 	name, passive, exclusive, autoDelete := msg.Str(1), msg.Bool(2), msg.Bool(4), msg.Bool(5)
 	if name == "" && !passive {
 		s.host.generatedNames++
 		name = fmt.Sprintf("answers-%x-%d", s.ingress.core.Now(), s.host.generatedNames)
 	}
-	if len(name) > maxName {
+	if len(name) > maxNameLength {
 		return fault(amqp.PreconditionFailed, "the name is too long")
 	}
 	if name == directReplyTo {
@@ -130,9 +131,9 @@
 		return nil
 	}
 	q, err := s.findQueue(name, fault)
-	var lim queueLimits
+	var limits queueLimits
 	if err == nil && !passive {
-		lim, err = readLimits(msg.Table(7), fault)
+		limits, err = readLimits(msg.Table(7), fault)
 	}
 	switch {
 	case err != nil:
@@ -142,12 +143,12 @@
 	case q == nil && len(s.host.queues) >= maxQueues:
 		return fault(amqp.ResourceError, "too many queues")
 	case q != nil && !passive && q.declared &&
-		((q.owner != nil) != exclusive || q.autoDelete != autoDelete || q.queueLimits != lim):
+		((q.owner != nil) != exclusive || q.autoDelete != autoDelete || q.queueLimits != limits):
 		return fault(amqp.PreconditionFailed, "queue %q is there with other properties", name)
 	}
 	if !passive {
 		if q = s.host.queue(name); !q.declared {
-			q.declared, q.autoDelete, q.queueLimits = true, autoDelete, lim
+			q.declared, q.autoDelete, q.queueLimits = true, autoDelete, limits
 			if exclusive {
 				q.owner = s
 				s.exclusiveQueues = append(s.exclusiveQueues, q)
@@ -161,7 +162,7 @@
 	return nil
 }
 
-// discard drops all answers of a queue, which count as acknowledged, and returns their number.
+// discard drops all answers of a queue, which then count as acknowledged, and returns their number.
 func (q *queue) discard() int {
 	ids := make([]string, len(q.answers))
 	for i, a := range q.answers {
@@ -174,11 +175,11 @@
 	return len(ids)
 }
 
-// removeQueue deletes a queue. Its consumers are notified if their clients understand that.
+// removeQueue deletes a queue. Its consumers are canceled, and notified if their clients support it.
 func (h *host) removeQueue(deleted *queue) {
 	for _, c := range deleted.consumers {
-		c.channel.consumers = slices.DeleteFunc(c.channel.consumers, func(o *consumer) bool { return o == c })
-		if c.channel.session.notifiesCancel {
+		c.channel.consumers = slices.DeleteFunc(c.channel.consumers, func(other *consumer) bool { return other == c })
+		if c.channel.session.supportsCancelNotify {
 			c.channel.session.writeMethod(c.channel.id, amqp.Cancel, c.tag, true)
 		}
 	}
@@ -193,7 +194,7 @@
 	}
 }
 
-// get handles basic.get, which fetches one answer.
+// get handles basic.get, which returns one answer.
 func (s *session) get(ch *channel, msg *amqp.Message, fault faultFunc) error {
 	name, noAck := msg.Str(1), msg.Bool(2)
 	if name == "" {
@@ -217,26 +218,26 @@
 	}
 	a := q.answers[0]
 	q.answers = q.answers[1:]
-	again := a.redelivered
+	wasDelivered := a.redelivered
 	tag := ch.recordDelivery(q, a, noAck)
 	p, body := s.host.answerContent(a)
-	s.writeContent(ch.id, amqp.GetOk, p, body, tag, again, "", q.name, len(q.answers))
+	s.writeContent(ch.id, amqp.GetOk, p, body, tag, wasDelivered, "", q.name, len(q.answers))
 	s.host.removeIfUnused(q)
 	return nil
 }
 
-// recover puts the unacknowledged answers of a channel back; they are delivered again, marked as
-// redelivered.
+// recover handles basic.recover: it requeues the unacknowledged answers of a channel, which are delivered again,
+// marked as redelivered.
 func (s *session) recover(ch *channel, msg *amqp.Message, fault faultFunc) error {
 	if !msg.Bool(0) {
 		return fault(amqp.NotImplemented, "%s without requeue: answers come again to whoever consumes", msg.Key)
 	}
-	list := ch.unacked
+	deliveries := ch.unacked
 	ch.unacked = nil
-	s.addPending(-len(list))
+	s.addPending(-len(deliveries))
 	if msg.Key == amqp.Recover {
 		s.writeMethod(ch.id, amqp.RecoverOk)
 	}
-	s.host.requeue(list)
+	s.host.requeue(deliveries)
 	return nil
 }
--- a/internal/net/amqpfront/tx.go
+++ b/internal/net/amqpfront/tx.go
@@ -12,27 +12,27 @@
 const (
 	maxTxMessages     = 256       // messages of one channel
 	maxTxBytes        = 256 << 10 // bytes of one channel
-	maxTxTotal        = 4 << 20   // bytes of all channels of the front
+	maxTxTotalBytes   = 4 << 20   // bytes of all channels of the front
 	txMessageOverhead = 512       // bytes counted for a message besides its body
 )
 
 // txState is a channel's open transaction, since its last commit or rollback (section 1.9 of the
-// specification): publishes that were not submitted and acknowledgements that have no effect yet.
+// specification): publishes that are not submitted yet and acknowledgements that have no effect yet.
 type txState struct {
 	requests []*sender.Request
-	returns  []*amqp.Message // mandatory ones without a destination, returned at the commit
+	returns  []*amqp.Message // mandatory messages without a destination, to be returned at the commit
 	acks     []txAck
-	bytes    int
+	bytes    int // size of requests and returns, counted by reserveTx
 }
 
-// txAck is an acknowledgement, or with requeue a rejection, in a transaction.
+// txAck is an acknowledgement in a transaction or, with requeue, a rejection.
 type txAck struct {
 	delivery
 	requeue bool
 }
 
-// txCommit is a commit without its answer. It outlasts its channel: the core's verdict decides whether
-// its acknowledgements take effect or the answers are delivered again.
+// txCommit is a commit that waits for the core's verdict, also after its channel has ended. The verdict decides whether
+// the acknowledgements take effect or the answers are delivered again.
 type txCommit struct {
 	channel *channel
 	txState
@@ -59,12 +59,12 @@
 	return nil
 }
 
-// reserveTx counts a publish of so many bytes in the transaction. It returns false, and counts nothing,
+// reserveTx counts a publish of the given size in the transaction. It returns false, and counts nothing,
 // if that would exceed a limit.
 func (ch *channel) reserveTx(bytes int) bool {
 	in, tx := ch.session.ingress, ch.tx
 	if len(tx.requests)+len(tx.returns) >= maxTxMessages ||
-		tx.bytes+bytes > maxTxBytes || in.uncommittedBytes+bytes > maxTxTotal {
+		tx.bytes+bytes > maxTxBytes || in.uncommittedBytes+bytes > maxTxTotalBytes {
 		return false
 	}
 	tx.bytes += bytes
@@ -72,7 +72,7 @@
 	return true
 }
 
-// rollback discards the publishes and the acknowledgements: their answers are unacknowledged as before.
+// rollback discards the publishes and the acknowledgements, so that the answers are unacknowledged again.
 func (ch *channel) rollback() {
 	tx := ch.tx
 	ch.session.ingress.uncommittedBytes -= tx.bytes
@@ -85,56 +85,56 @@
 
 // commit submits the transaction to the core.
 func (ch *channel) commit() {
-	c := &txCommit{ch, *ch.tx}
+	txn := &txCommit{ch, *ch.tx}
 	*ch.tx = txState{}
-	g := &sender.Transaction{Front: ch.session.host.front, Requests: c.requests, Ref: c}
-	for _, a := range c.acks {
+	transaction := &sender.Transaction{Front: ch.session.host.front, Requests: txn.requests, Ref: txn}
+	for _, a := range txn.acks {
 		if !a.requeue {
-			g.Acknowledged = append(g.Acknowledged, a.answer.id)
+			transaction.Acknowledged = append(transaction.Acknowledged, a.answer.id)
 		}
 	}
-	ch.pendingCommits += int32(1 + len(c.acks)) // each acknowledgement stays pending until the verdict
+	ch.pendingCommits += int32(1 + len(txn.acks)) // each acknowledgement stays pending until the verdict
 	ch.session.addPending(1)
-	ch.session.ingress.core.SubmitTransaction(g)
+	ch.session.ingress.core.SubmitTransaction(transaction)
 }
 
-// AnswerTransaction ends a commit. A rejected one closes its channel: the specification has no other
-// answer, and what the client does next on the channel may depend on it.
+// AnswerTransaction ends a commit with the core's verdict. A rejected commit closes its channel, because the
+// specification has no other reply for it, and because the client's next methods may depend on the commit.
 func (h *host) AnswerTransaction(tx *sender.Transaction, verdict sender.Verdict, waitMs int64) {
-	c, ok := tx.Ref.(*txCommit)
+	commit, ok := tx.Ref.(*txCommit)
 	if !ok {
 		return
 	}
-	ch := c.channel
-	h.ingress.uncommittedBytes -= c.bytes
-	var again []delivery
-	for _, a := range c.acks {
+	ch := commit.channel
+	h.ingress.uncommittedBytes -= commit.bytes
+	var redeliver []delivery
+	for _, a := range commit.acks {
 		if verdict != sender.Accepted || a.requeue {
-			again = append(again, a.delivery)
+			redeliver = append(redeliver, a.delivery)
 		} else {
 			h.release(a.answer.id)
 		}
 	}
 	if !ch.closed {
-		ch.pendingCommits -= int32(1 + len(c.acks))
-		ch.session.addPending(-1 - len(c.acks))
+		ch.pendingCommits -= int32(1 + len(commit.acks))
+		ch.session.addPending(-1 - len(commit.acks))
 		if verdict == sender.Accepted {
-			for _, r := range c.returns {
+			for _, r := range commit.returns {
 				ch.session.returnMessage(ch, r)
 			}
 			ch.session.writeMethod(ch.id, amqp.TxCommitOk)
 		} else {
-			why := amqp.Errorf(amqp.PreconditionFailed,
+			fault := amqp.Errorf(amqp.PreconditionFailed,
 				"the transaction was refused, nothing of it was taken on; it may come again in %d ms", waitMs)
 			if verdict == sender.Failed {
-				why = amqp.Errorf(amqp.PreconditionFailed, "the transaction has failed, nothing of it was taken on")
+				fault = amqp.Errorf(amqp.PreconditionFailed, "the transaction has failed, nothing of it was taken on")
 			}
-			why.Method = amqp.TxCommit
-			ch.session.closeWith(ch.id, why)
+			fault.Method = amqp.TxCommit
+			ch.session.closeWith(ch.id, fault)
 		}
 	}
-	h.requeue(again)
-	for _, k := range slices.Clone(ch.consumers) { // they may have more now
-		k.queue.dispatch()
+	h.requeue(redeliver)
+	for _, consumer := range slices.Clone(ch.consumers) { // there may be room for more unacknowledged answers now
+		consumer.queue.dispatch()
 	}
 }
