--- a/internal/net/amqpfront/confirm_test.go
+++ b/internal/net/amqpfront/confirm_test.go
@@ -8,21 +8,22 @@
 	"brackendale/sender"
 )
 
-// Confirms become one only where they stand next to one another, by their tags and in what one turn
-// says: a refusal that was sent before, or stands between, is never part of it.
-func TestConfirmsInARow(t *testing.T) {
-	c := newCrowd(t, newBroker(t), 10, time.Minute)
-	cl := dial(t, c.addr)
-	type word struct {
-		tag  uint64
-		v    sender.Verdict
-		says amqp.Key // with what must come for it, or nothing where a later one stands for it
-		all  bool
+// The acks of consecutive delivery tags that are written in one turn of the loop are merged to one ack with multiple.
+// An ack with multiple must never cover a publish that was rejected or is still pending: the client would take it for
+// accepted.
+func TestConsecutiveConfirmsAreMerged(t *testing.T) {
+	front := newTestFront(t, newBroker(t), 10, time.Minute)
+	client := dial(t, front.addr)
+	type confirmation struct {
+		tag      uint64
+		verdict  sender.Verdict
+		reply    amqp.Key // the method that must arrive; none if a later ack covers the tag
+		multiple bool     // the bit in the reply
 	}
 	const none = amqp.Key(0)
 	var ch *channel
-	c.on(func() { ch = firstOf(c.in).channelByID(1) })
-	for name, turns := range map[string][][]word{
+	front.onLoop(func() { ch = lastSession(front.ingress).channelByID(1) })
+	for name, turns := range map[string][][]confirmation{
 		"in a row": {{
 			{1, sender.Accepted, none, false},
 			{2, sender.Accepted, none, false},
@@ -47,28 +48,28 @@
 			{{1, sender.Accepted, amqp.Ack, false}},
 		},
 	} {
-		xs := map[uint64]*incomingPublish{}
-		c.on(func() {
+		publishes := map[uint64]*incomingPublish{}
+		front.onLoop(func() {
 			for tag := uint64(1); tag <= 3; tag++ {
-				x := &incomingPublish{channel: ch, tag: tag}
-				x.IngressData = x
-				xs[tag] = x
-				ch.pending = append(ch.pending, &x.Request)
+				publish := &incomingPublish{channel: ch, tag: tag}
+				publish.IngressData = publish
+				publishes[tag] = publish
+				ch.pending = append(ch.pending, &publish.Request)
 				ch.session.addPending(1)
 			}
 		})
 		for _, turn := range turns {
-			c.on(func() {
-				for _, w := range turn {
-					ch.session.host.Answer(&xs[w.tag].Request, w.v, 0)
+			front.onLoop(func() {
+				for _, confirm := range turn {
+					ch.session.host.Answer(&publishes[confirm.tag].Request, confirm.verdict, 0)
 				}
 			})
-			for _, w := range turn {
-				if w.says == none {
+			for _, confirm := range turn {
+				if confirm.reply == none {
 					continue
 				}
-				if m := cl.want(w.says); m.Int(0) != w.tag || m.Bool(1) != w.all {
-					t.Errorf("%s: %s of %d, multiple %v", name, m.Key, m.Int(0), m.Bool(1))
+				if msg := client.want(confirm.reply); msg.Int(0) != confirm.tag || msg.Bool(1) != confirm.multiple {
+					t.Errorf("%s: got %s of tag %d, multiple %v", name, msg.Key, msg.Int(0), msg.Bool(1))
 				}
 			}
 		}
--- a/internal/net/amqpfront/conformance_test.go
+++ b/internal/net/amqpfront/conformance_test.go
@@ -15,7 +15,7 @@
 	"brackendale/sender"
 )
 
-// The suite's scenes, against the clients' side and against the stand-in broker that the suite brings.
+// The test cases of the conformance suite, against the front's ingress and against the suite's own stand-in broker.
 func TestConformance(t *testing.T) {
 	scenes, err := amqptest.Scenes()
 	if err != nil {
@@ -27,7 +27,7 @@
 	}
 	t.Cleanup(func() { _ = ln.Close() })
 	go amqptest.NewStandIn("messages").Serve(ln)
-	front, _ := startInstant(t)
+	front, _ := startInstantSender(t)
 	for kind, addr := range map[string]string{amqptest.Front: front, amqptest.Broker: ln.Addr().String()} {
 		t.Run(kind, func(t *testing.T) {
 			dial := func() (net.Conn, error) { return net.Dial("tcp", addr) }
@@ -37,22 +37,23 @@
 					t.Errorf("%s %s: %v", r.Scene.Section, r.Scene.Name, r.Err)
 				}
 			}
-			t.Logf("%d scenes", n)
+			t.Logf("%d test cases", n)
 		})
 	}
 }
 
-// startInstant begins a sender whose destinations 1 and 7 deliver at once.
-func startInstant(t testing.TB) (addr string, kill func()) {
-	set := standin.Settings()
-	set.Limits.MaxMessages = 100_000
-	return standin.StartWith(t, t.TempDir(), set, 256<<20, nil, joinInstant)
+// startInstantSender starts a sender whose attempts to destinations 1 and 7 succeed immediately.
+func startInstantSender(t testing.TB) (addr string, kill func()) {
+	settings := standin.Settings()
+	settings.Limits.MaxMessages = 100_000
+	return standin.StartWith(t, t.TempDir(), settings, 256<<20, nil, addInstantFront)
 }
 
-func joinInstant(c *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
-	in := NewIngress(c, r, Options{Policy: access.Anyone("messages"), Heartbeat: time.Minute, Channels: 64},
+// addInstantFront adds an AMQP ingress and an instantEgress to the core, and returns the ingress's accept function.
+func addInstantFront(core *sender.Sender, react *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
+	ingress := NewIngress(core, react, Options{Policy: access.Anyone("messages"), Heartbeat: time.Minute, Channels: 64},
 		conntable.NewRoom(1000).NewTable(Limits(1000)))
-	c.AddEgress("now", atOnce{c})
+	core.AddEgress("now", instantEgress{core})
 	var routes []sender.Route
 	for _, dest := range []int64{1, 7} {
 		routes = append(routes, sender.Route{Endpoint: scheduler.Endpoint{
@@ -60,6 +61,6 @@
 			Destination: dest, State: "live",
 		}, Protocol: "now"})
 	}
-	c.UpdateRoutes("whole", routes)
-	return in.Accept
+	core.UpdateRoutes("whole", routes)
+	return ingress.Accept
 }
--- a/internal/net/amqpfront/cut_test.go
+++ b/internal/net/amqpfront/cut_test.go
@@ -16,33 +16,33 @@
 	"brackendale/sender"
 )
 
-// cutConn is a broker's connection that ends after so many bytes of one direction; below 0 it stays.
+// cutConn is a broker's connection that closes after a number of bytes in one direction.
 type cutConn struct {
 	net.Conn
-	in, out int
+	readLimit, writeLimit int // bytes left until the connection closes; negative: no limit
 }
 
 func (c *cutConn) Read(b []byte) (int, error) {
-	if c.in == 0 {
+	if c.readLimit == 0 {
 		_ = c.Close()
 		return 0, net.ErrClosed
 	}
-	if c.in > 0 && len(b) > c.in {
-		b = b[:c.in]
+	if c.readLimit > 0 && len(b) > c.readLimit {
+		b = b[:c.readLimit]
 	}
 	n, err := c.Conn.Read(b)
-	if c.in > 0 {
-		c.in -= n
+	if c.readLimit > 0 {
+		c.readLimit -= n
 	}
 	return n, err
 }
 
 func (c *cutConn) Write(b []byte) (int, error) {
-	if c.out < 0 {
+	if c.writeLimit < 0 {
 		return c.Conn.Write(b)
 	}
-	n := min(len(b), c.out)
-	c.out -= n
+	n := min(len(b), c.writeLimit)
+	c.writeLimit -= n
 	_, _ = c.Conn.Write(b[:n])
 	if n < len(b) {
 		_ = c.Close()
@@ -51,22 +51,23 @@
 	return n, nil
 }
 
-// brokerCut is a stand-in broker whose first connection dies at a byte. With tls it speaks it.
-func brokerCut(t *testing.T, in, out int, secure *tls.Config) *broker {
+// newCutBroker starts a stand-in broker whose first connection has the limits of a cutConn. secure is nil for a broker
+// without TLS.
+func newCutBroker(t *testing.T, in, out int, secure *tls.Config) *testBroker {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = ln.Close() })
-	b := &broker{
-		ln: ln, applied: map[string]int{}, props: make(chan *amqp.Props, 100),
+	t.Cleanup(func() { _ = listener.Close() })
+	broker := &testBroker{
+		listener: listener, applied: map[string]int{}, props: make(chan *amqp.Props, 100),
 		step: func(string) bool { return false },
 	}
 	var first atomic.Bool
 	go func() {
 		for {
-			c, err := ln.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -76,123 +77,125 @@
 			if secure != nil {
 				c = tls.Server(c, secure)
 			}
-			go b.serve(newSide(c))
+			go broker.serve(newFrameConn(c))
 		}
 	}()
-	return b
+	return broker
 }
 
-// The broker is killed at every byte that it hears or says, of the TLS handshake (every few), the
-// AMQP handshake, the publish and its confirm, its return or the close of its channel. No charge is
-// applied twice, none that is reported as delivered is missing, and every message has one final answer.
+// The connection to the broker ends at each byte that the broker reads or writes: of the TLS handshake (at every 11th
+// byte), the AMQP handshake, the publish and its confirm, its return or the close of its channel. No unsafe message
+// is applied twice, none that is reported as delivered is missing, and every message has one final answer.
 func TestBrokerKilledAtEveryByte(t *testing.T) {
-	server, client := siteKeys(t)
-	returns := func(s *side, ch uint16, m *amqp.Message, tag uint64) { // it never ran
-		_, _ = s.Write(amqp.AppendMessage(nil, ch, amqp.Return, m.Props, m.Body, amqp.FrameMin, amqp.NoRoute,
+	serverTLS, clientTLS := newTLSConfigs(t)
+	returnMessage := func(conn *frameConn, ch uint16, msg *amqp.Message, tag uint64) { // the message has not run
+		_, _ = conn.Write(amqp.AppendMessage(nil, ch, amqp.Return, msg.Props, msg.Body, amqp.FrameMin, amqp.NoRoute,
 			"NO_ROUTE", "records", "in"))
-		s.method(ch, amqp.Ack, tag, false)
+		conn.writeMethod(ch, amqp.Ack, tag, false)
 	}
-	closes := func(s *side, ch uint16, _ *amqp.Message, _ uint64) {
-		s.method(ch, amqp.ChanClose, amqp.PreconditionFailed, "no", 60, 40)
+	closeChannel := func(conn *frameConn, ch uint16, _ *amqp.Message, _ uint64) {
+		conn.writeMethod(ch, amqp.ChanClose, amqp.PreconditionFailed, "no", 60, 40)
 	}
-	for name, c := range map[string]struct {
-		secure     *tls.Config
-		scheme     string
-		step, most int
-		first      func(s *side, ch uint16, m *amqp.Message, tag uint64) // what it does with the first publish; nil: takes it
+	for name, test := range map[string]struct {
+		secure       *tls.Config
+		scheme       string
+		step, maxCut int
+		// how the broker handles the first publish; nil: it applies it
+		handleFirst func(conn *frameConn, ch uint16, msg *amqp.Message, tag uint64)
 	}{
-		"plain": {nil, "amqp", 1, 480, nil}, "under TLS": {server, "amqps", 11, 2600, nil},
-		"in a return": {nil, "amqp", 2, 640, returns},
-		"in a close":  {nil, "amqp", 2, 480, closes},
+		"plain": {nil, "amqp", 1, 480, nil}, "under TLS": {serverTLS, "amqps", 11, 2600, nil},
+		"in a return": {nil, "amqp", 2, 640, returnMessage},
+		"in a close":  {nil, "amqp", 2, 480, closeChannel},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var brokers []*broker
-			for cut := 0; cut < c.most; cut += c.step {
-				brokers = append(brokers, brokerCut(t, cut, -1, c.secure), brokerCut(t, -1, cut, c.secure))
+			var brokers []*testBroker
+			for cut := 0; cut < test.maxCut; cut += test.step {
+				brokers = append(brokers, newCutBroker(t, cut, -1, test.secure), newCutBroker(t, -1, cut, test.secure))
 			}
-			onCut := make([]atomic.Bool, len(brokers)) // the publish that was taken came over the connection that dies
+			onCut := make([]atomic.Bool, len(brokers)) // the publish was applied on the connection that is cut
 			for i, b := range brokers {
-				var did atomic.Bool
-				if c.first != nil {
-					b.publish = func(s *side, ch uint16, m *amqp.Message, tag uint64) {
-						if did.CompareAndSwap(false, true) {
-							c.first(s, ch, m, tag)
+				var firstHandled atomic.Bool
+				if test.handleFirst != nil {
+					b.publish = func(conn *frameConn, ch uint16, msg *amqp.Message, tag uint64) {
+						if firstHandled.CompareAndSwap(false, true) {
+							test.handleFirst(conn, ch, msg, tag)
 							return
 						}
-						_, cut := s.Conn.(*cutConn)
+						_, cut := conn.Conn.(*cutConn)
 						onCut[i].Store(cut)
-						b.apply(m)
-						s.method(ch, amqp.Ack, tag, false)
+						b.apply(msg)
+						conn.writeMethod(ch, amqp.Ack, tag, false)
 					}
 				}
 			}
 			addr, _ := standin.Start(t, t.TempDir(),
-				func(core *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
-					in := NewIngress(core, r, Options{Policy: access.Anyone("messages"), Channels: 16},
+				func(core *sender.Sender, react *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
+					ingress := NewIngress(core, react, Options{Policy: access.Anyone("messages"), Channels: 16},
 						conntable.NewRoom(10).NewTable(Limits(10)))
-					e := NewEgress(core, r, standin.Long, conntable.NewRoom(len(brokers)))
-					core.AddEgress(Proto, e)
+					egress := NewEgress(core, react, standin.Long, conntable.NewRoom(len(brokers)))
+					core.AddEgress(Proto, egress)
 					var routes []sender.Route
-					trust := map[string]*tls.Config{}
+					tlsByRoute := map[string]*tls.Config{}
 					for i, b := range brokers {
 						name := fmt.Sprint("b", i)
 						routes = append(routes, sender.Route{
 							Endpoint: scheduler.Endpoint{Addr: name, MachineType: "k", Destination: int64(i), State: "live"},
 							Protocol: Proto,
-							Dial:     c.scheme + "://u:p@" + b.ln.Addr().String() + "/?exchange=records&key=in",
+							Dial:     test.scheme + "://u:p@" + b.listener.Addr().String() + "/?exchange=records&key=in",
 						})
-						trust[name] = client
+						tlsByRoute[name] = clientTLS
 					}
-					e.Secure(trust)
+					egress.Secure(tlsByRoute)
 					core.UpdateRoutes("whole", routes)
-					return in.Accept
+					return ingress.Accept
 				})
-			cl := dial(t, addr)
-			cl.consume()
-			ends, next, open := map[string]string{}, 0, 0
-			for len(ends) < len(brokers) {
-				for ; open < 60 && next < len(brokers); next++ {
-					p := &amqp.Props{MessageID: fmt.Sprint("m", next), Type: "once", ReplyTo: "answers"}
-					_, _ = cl.Write(amqp.AppendMessage(nil, 1, amqp.Publish, p, make([]byte, 50), amqp.FrameMin, 0, "messages",
-						fmt.Sprint(next), false, false))
-					open++
+			client := dial(t, addr)
+			client.consume()
+			outcomes, next, unanswered := map[string]string{}, 0, 0
+			for len(outcomes) < len(brokers) {
+				for ; unanswered < 60 && next < len(brokers); next++ {
+					props := &amqp.Props{MessageID: fmt.Sprint("m", next), Type: "once", ReplyTo: "answers"}
+					_, _ = client.Write(amqp.AppendMessage(nil, 1, amqp.Publish, props, make([]byte, 50), amqp.FrameMin,
+						0, "messages", fmt.Sprint(next), false, false))
+					unanswered++
 				}
-				_, m, err := cl.next()
+				_, msg, err := client.next()
 				if err != nil {
 					t.Fatal(err)
 				}
-				if m.Key == amqp.Nack {
-					t.Fatal("refused")
+				if msg.Key == amqp.Nack {
+					t.Fatal("publish rejected")
 				}
-				if m.Key != amqp.Deliver {
+				if msg.Key != amqp.Deliver {
 					continue
 				}
-				open--
-				if was, twice := ends[m.Props.MessageID]; twice {
-					t.Errorf("%s ended as %s and as %s", m.Props.MessageID, was, m.Props.Type)
+				unanswered--
+				if previous, twice := outcomes[msg.Props.MessageID]; twice {
+					t.Errorf("%s has two final answers, %s and %s", msg.Props.MessageID, previous, msg.Props.Type)
 				}
-				ends[m.Props.MessageID] = m.Props.Type
-				cl.method(1, amqp.Ack, m.Int(1), false)
+				outcomes[msg.Props.MessageID] = msg.Props.Type
+				client.writeMethod(1, amqp.Ack, msg.Int(1), false)
 			}
 			tally := map[string]int{}
 			for i, b := range brokers {
 				id := fmt.Sprint("m", i)
-				if n := b.count(id); n > 1 || n == 0 && ends[id] == "delivered" {
-					t.Errorf("%s: %s, applied %d times", id, ends[id], n)
+				if n := b.count(id); n > 1 || n == 0 && outcomes[id] == "delivered" {
+					t.Errorf("%s: %s, applied %d times", id, outcomes[id], n)
 				}
-				tally[fmt.Sprint(ends[id], b.count(id))]++
-				if ends[id] == "failed" && b.count(id) == 1 && c.first != nil && !onCut[i].Load() {
-					t.Errorf("%s was taken over a connection that lived, and failed", id)
+				tally[fmt.Sprint(outcomes[id], b.count(id))]++
+				if outcomes[id] == "failed" && b.count(id) == 1 && test.handleFirst != nil && !onCut[i].Load() {
+					t.Errorf("%s failed, though it was applied on a connection that was not cut", id)
 				}
 			}
-			lay := tally["failed1"] > 0 && tally["delivered1"] > len(brokers)/2 // the cuts, where they were meant to
+			// The number of each outcome shows whether the cuts were where the test intends them.
+			plausible := tally["failed1"] > 0 && tally["delivered1"] > len(brokers)/2
 			switch name {
-			case "in a return": // a second try over the first connection, before that is closed as idle, may be cut as well
-				lay = tally["delivered1"] > len(brokers)/2 && tally["failed0"] > 0
+			case "in a return": // a second attempt on the first connection, while that is still open, may be cut too
+				plausible = tally["delivered1"] > len(brokers)/2 && tally["failed0"] > 0
 			case "in a close":
-				lay = tally["failed0"] == len(brokers) // it may have run, wherever the cut was
+				plausible = tally["failed0"] == len(brokers) // ambiguous wherever the cut is
 			}
-			if !lay {
+			if !plausible {
 				t.Error(tally)
 			}
 			t.Log(tally)
--- a/internal/net/amqpfront/dribble_test.go
+++ b/internal/net/amqpfront/dribble_test.go
@@ -17,26 +17,27 @@
 	"brackendale/sender"
 )
 
-// dribbleLimit is the frame's limit of these tests: half the time in which clients are owed their error, and two sweeps
-// fit in beside it.
-const dribbleLimit = time.Second
+// shortFrameLimit is the time limit for frames in these tests. A client over the limit must get its error within twice
+// this time; two sweeps fit into the difference.
+const shortFrameLimit = time.Second
 
-// newLimitedCrowd is a crowd whose frames have dribbleLimit, under TLS where keys are given.
-func newLimitedCrowd(t *testing.T, keys *tls.Config) *crowd {
-	c := &crowd{t: t, room: conntable.NewRoom(100)}
-	c.addr, c.kill = standin.StartWith(t, t.TempDir(), standin.Settings(), 2<<20, keys,
-		func(core *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
+// newTestFrontWithFrameLimit starts a front with shortFrameLimit. It uses TLS if keys is not nil.
+func newTestFrontWithFrameLimit(t *testing.T, keys *tls.Config) *testFront {
+	front := &testFront{t: t, room: conntable.NewRoom(100)}
+	front.addr, front.kill = standin.StartWith(t, t.TempDir(), standin.Settings(), 2<<20, keys,
+		func(core *sender.Sender, react *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
 			limits := Limits(100)
-			limits.First, limits.Whole = dribbleLimit, dribbleLimit
-			c.r = r
-			c.in = NewIngress(core, r, Options{Policy: access.Anyone("messages"), Channels: 16}, c.room.NewTable(limits))
-			return c.in.Accept
+			limits.First, limits.Whole = shortFrameLimit, shortFrameLimit
+			front.react = react
+			front.ingress = NewIngress(core, react, Options{Policy: access.Anyone("messages"), Channels: 16},
+				front.room.NewTable(limits))
+			return front.ingress.Accept
 		})
-	return c
+	return front
 }
 
-// dialWith opens a client, under TLS where keys are given.
-func dialWith(t *testing.T, addr string, keys *tls.Config) *client {
+// dialWith opens a client that has sent the protocol header. It uses TLS if keys is not nil.
+func dialWith(t *testing.T, addr string, keys *tls.Config) *testClient {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -47,50 +48,50 @@
 	if keys != nil {
 		conn = tls.Client(conn, keys)
 	}
-	cl := &client{newSide(conn), t}
-	_, _ = cl.Write([]byte(amqp.Preamble))
-	return cl
+	client := &testClient{newFrameConn(conn), t}
+	_, _ = client.Write([]byte(amqp.Preamble))
+	return client
 }
 
-// halfFrame announces a body frame of 4,000 bytes and ends behind its header.
-var halfFrame = []byte{amqp.FrameBody, 0, 1, 0, 0, 0x0f, 0xa0}
+// incompleteFrame is the header of a body frame with a payload of 4,000 bytes, without the payload.
+var incompleteFrame = []byte{amqp.FrameBody, 0, 1, 0, 0, 0x0f, 0xa0}
 
-// dribbleGap lets a frame of 4,000 bytes last for longer than three times its limit.
-const dribbleGap = time.Millisecond
+// byteInterval is long enough that a payload of 4,000 bytes takes more than three times its limit.
+const byteInterval = time.Millisecond
 
-// begunFrame waits until the one session has begun a frame, and until connections may be closed for their limits: not
-// right behind a start that took long.
-func (c *crowd) begunFrame() (s *session) {
-	c.t.Helper()
-	for until := time.Now().Add(standin.Long); time.Now().Before(until); {
-		begun := false
-		c.on(func() {
-			s = firstOf(c.in)
-			begun = s != nil && s.partialFrame.Len() > 0 && !c.r.Stalled()
+// waitForPartialFrame waits until the only session has received part of a frame, and until the loop no longer counts as
+// stalled after a slow start, which would prevent connections from being closed for their time limits.
+func (tf *testFront) waitForPartialFrame() (s *session) {
+	tf.t.Helper()
+	for deadline := time.Now().Add(standin.Long); time.Now().Before(deadline); {
+		ready := false
+		tf.onLoop(func() {
+			s = lastSession(tf.ingress)
+			ready = s != nil && s.partialFrame.Len() > 0 && !tf.react.Stalled()
 		})
-		if begun {
+		if ready {
 			return s
 		}
 	}
-	c.t.Fatal("no frame has begun")
+	tf.t.Fatal("the session has received no partial frame")
 	return nil
 }
 
-// unreadAtSweep writes bytes that arrive while the loop stands still, and then lets the sweep run ahead of their
-// reading. overLimit: the client exceeds its limit from then on. It returns how many connections are left.
-func (c *crowd) unreadAtSweep(cl *client, s *session, text []byte, overLimit bool) (left int) {
+// sweepBeforeRead writes bytes that arrive while the loop is busy, and then runs the sweep before the loop reads them.
+// With overLimit the client exceeds its limit from then on. It returns the number of connections that remain.
+func (tf *testFront) sweepBeforeRead(client *testClient, s *session, data []byte, overLimit bool) (left int) {
 	swept := make(chan bool)
-	c.on(func() {
-		_, _ = cl.Write(text)
+	tf.onLoop(func() {
+		_, _ = client.Write(data)
 		for !s.conn.Unread() {
 			time.Sleep(time.Millisecond)
 		}
-		c.r.Post(func() {
+		tf.react.Post(func() {
 			if overLimit {
-				c.in.table.Move(&s.Entry, s.Class(), c.r.Now()-time.Hour)
+				tf.ingress.table.Move(&s.Entry, s.Class(), tf.react.Now()-time.Hour)
 			}
-			c.in.limiter.Due(nil)
-			left = c.in.table.Len()
+			tf.ingress.limiter.Due(nil)
+			left = tf.ingress.table.Len()
 			close(swept)
 		})
 	})
@@ -98,107 +99,110 @@
 	return left
 }
 
-// eachWire runs a test without and with TLS.
-func eachWire(t *testing.T, test func(t *testing.T, server, client *tls.Config)) {
+// plainAndTLS runs a test without TLS and with it.
+func plainAndTLS(t *testing.T, test func(t *testing.T, server, client *tls.Config)) {
 	t.Run("plain", func(t *testing.T) { test(t, nil, nil) })
 	t.Run("tls", func(t *testing.T) {
-		server, client := siteKeys(t)
+		server, client := newTLSConfigs(t)
 		test(t, server, client)
 	})
 }
 
-// A frame that arrived whole before its limit is handled though the loop has not read it when the limit is looked at.
-func TestWholeFrameUnreadAtTheSweep(t *testing.T) {
-	eachWire(t, func(t *testing.T, server, keys *tls.Config) {
-		c := newLimitedCrowd(t, server)
-		cl := dialWith(t, c.addr, keys)
-		cl.shake(amqp.Table{}, 0)
+// A frame that has arrived completely within its time limit is handled, even if the loop has not read it when the sweep
+// checks the limit.
+func TestCompleteFrameUnreadAtTheSweep(t *testing.T) {
+	plainAndTLS(t, func(t *testing.T, server, keys *tls.Config) {
+		front := newTestFrontWithFrameLimit(t, server)
+		client := dialWith(t, front.addr, keys)
+		client.handshake(amqp.Table{}, 0)
 		whole := amqp.AppendMethod(nil, 1, amqp.Qos, 0, 0, false)
-		_, _ = cl.Write(whole[:5])
-		c.unreadAtSweep(cl, c.begunFrame(), whole[5:], true)
-		cl.want(amqp.QosOk)
+		_, _ = client.Write(whole[:5])
+		front.sweepBeforeRead(client, front.waitForPartialFrame(), whole[5:], true)
+		client.want(amqp.QosOk)
 	})
 }
 
-// Bytes that arrive after the limit give a client that never ends its frame no more time.
+// A client that does not complete its frame in time gets no more time by sending further bytes.
 func TestFrameBytesAfterTheLimit(t *testing.T) {
-	eachWire(t, func(t *testing.T, server, keys *tls.Config) {
-		c := newLimitedCrowd(t, server)
-		cl := dialWith(t, c.addr, keys)
-		cl.shake(amqp.Table{}, 0)
-		_, _ = cl.Write(halfFrame)
-		s := c.begunFrame()
-		left := c.unreadAtSweep(cl, s, []byte("x"), true)
-		// A read in progress may hide what has arrived, which is looked at again then.
+	plainAndTLS(t, func(t *testing.T, server, keys *tls.Config) {
+		front := newTestFrontWithFrameLimit(t, server)
+		client := dialWith(t, front.addr, keys)
+		client.handshake(amqp.Table{}, 0)
+		_, _ = client.Write(incompleteFrame)
+		s := front.waitForPartialFrame()
+		left := front.sweepBeforeRead(client, s, []byte("x"), true)
+		// While a read is in progress, it is unknown what has arrived, and the connection is spared until the next check.
 		for range 500 {
 			if left > 0 {
-				time.Sleep(time.Millisecond) // the engine goes on reading
-				left = c.unreadAtSweep(cl, s, []byte("x"), false)
+				time.Sleep(time.Millisecond) // the loop continues to read
+				left = front.sweepBeforeRead(client, s, []byte("x"), false)
 			}
 		}
 		if left > 0 {
-			t.Fatal("it holds its place as long as bytes come")
+			t.Fatal("the connection stays open as long as bytes arrive")
 		}
-		if m := cl.want(amqp.ConnClose); m.Int(0) != amqp.FrameError {
-			t.Fatal(m.Int(0), m.Str(1))
+		if msg := client.want(amqp.ConnClose); msg.Int(0) != amqp.FrameError {
+			t.Fatal(msg.Int(0), msg.Str(1))
 		}
 	})
 }
 
-// The time of a frame begins anew with each frame, also where no read ends with one: a client that streams is not
-// closed.
-func TestEachFrameHasItsOwnTime(t *testing.T) {
-	c := newLimitedCrowd(t, nil)
-	cl := dialWith(t, c.addr, nil)
-	cl.shake(amqp.Table{}, 0)
+// Each frame has a time limit of its own, also when no read ends at the end of a frame. A client that sends without
+// a pause is not closed.
+func TestEachFrameHasItsOwnTimeLimit(t *testing.T) {
+	front := newTestFrontWithFrameLimit(t, nil)
+	client := dialWith(t, front.addr, nil)
+	client.handshake(amqp.Table{}, 0)
 	whole := amqp.AppendMethod(nil, 1, amqp.Qos, 0, 0, false)
-	_, _ = cl.Write(whole[:5])
-	s := c.begunFrame()
-	c.on(func() { c.in.table.Move(&s.Entry, s.Class(), c.r.Now()-dribbleLimit+dribbleLimit/4) })
-	_, _ = cl.Write(append(whole[5:len(whole):len(whole)], whole[:5]...))
-	cl.want(amqp.QosOk)
-	c.on(func() {
-		if age := c.r.Now() - s.Since(); s.Class() != conntable.Partial || age >= dribbleLimit-dribbleLimit/4 {
-			t.Errorf("the new frame is %v old, class %v", age, s.Class())
+	_, _ = client.Write(whole[:5])
+	s := front.waitForPartialFrame()
+	front.onLoop(func() {
+		front.ingress.table.Move(&s.Entry, s.Class(), front.react.Now()-shortFrameLimit+shortFrameLimit/4)
+	})
+	_, _ = client.Write(append(whole[5:len(whole):len(whole)], whole[:5]...))
+	client.want(amqp.QosOk)
+	front.onLoop(func() {
+		if age := front.react.Now() - s.Since(); s.Class() != conntable.Partial || age >= shortFrameLimit-shortFrameLimit/4 {
+			t.Errorf("age of the new frame %v, class of the connection %v", age, s.Class())
 		}
 	})
-	_, _ = cl.Write(whole[5:])
-	cl.want(amqp.QosOk)
+	_, _ = client.Write(whole[5:])
+	client.want(amqp.QosOk)
 }
 
-// Clients that never end a frame, or the handshake, are closed within the time that is owed, however often they send.
-func TestDribbledFrames(t *testing.T) {
-	eachWire(t, func(t *testing.T, server, keys *tls.Config) {
-		c := newLimitedCrowd(t, server)
+// Clients that never complete a frame, or the handshake, are closed in time, however often they send a byte.
+func TestFramesSentByteByByte(t *testing.T) {
+	plainAndTLS(t, func(t *testing.T, server, keys *tls.Config) {
+		front := newTestFrontWithFrameLimit(t, server)
 		var wg sync.WaitGroup
 		for i := range 40 {
-			cl := dialWith(t, c.addr, keys)
-			ready := i%4 > 0 // the others stop in the AMQP handshake
+			client := dialWith(t, front.addr, keys)
+			ready := i%4 > 0 // every fourth client does not complete the AMQP handshake
 			if ready {
-				cl.shake(amqp.Table{}, 0)
+				client.handshake(amqp.Table{}, 0)
 			} else {
-				cl.want(amqp.ConnStart)
+				client.want(amqp.ConnStart)
 			}
 			began := time.Now()
-			_, _ = cl.Write(halfFrame)
+			_, _ = client.Write(incompleteFrame)
 			go func() {
-				for _, err := cl.Write([]byte("x")); err == nil; _, err = cl.Write([]byte("x")) {
-					time.Sleep(dribbleGap)
+				for _, err := client.Write([]byte("x")); err == nil; _, err = client.Write([]byte("x")) {
+					time.Sleep(byteInterval)
 				}
 			}()
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				_, m, err := cl.next()
+				_, msg, err := client.next()
 				switch {
-				case time.Since(began) > 3*dribbleLimit:
-					t.Errorf("client %d is closed after %v", i, time.Since(began))
-				case ready && (err != nil || m.Key != amqp.ConnClose || m.Int(0) != amqp.FrameError):
-					t.Errorf("client %d: %v, %v", i, m, err)
-				case !ready && err == nil && m.Key != amqp.ConnClose:
-					t.Errorf("client %d in its handshake: %v", i, m)
+				case time.Since(began) > 3*shortFrameLimit:
+					t.Errorf("client %d: closed after %v", i, time.Since(began))
+				case ready && (err != nil || msg.Key != amqp.ConnClose || msg.Int(0) != amqp.FrameError):
+					t.Errorf("client %d: got %v, error %v, want connection.close with a frame error", i, msg, err)
+				case !ready && err == nil && msg.Key != amqp.ConnClose:
+					t.Errorf("client %d in the handshake: got %v, want connection.close", i, msg)
 				case !ready && errors.Is(err, os.ErrDeadlineExceeded):
-					t.Errorf("client %d in its handshake is not closed", i)
+					t.Errorf("client %d in the handshake: not closed", i)
 				}
 			}()
 		}
--- a/internal/net/amqpfront/flow_test.go
+++ b/internal/net/amqpfront/flow_test.go
@@ -21,80 +21,84 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// atOnce is an egress whose targets deliver at once: what is measured with it is the front, the core and the journal.
-type atOnce struct{ core *sender.Sender }
+// instantEgress is an egress whose attempts succeed immediately, so that a benchmark measures only the front, the core
+// and the journal.
+type instantEgress struct{ core *sender.Sender }
 
-func (e atOnce) Send(to sender.Route, attempts []sender.Attempt) {
-	list := make([]sender.AttemptResult, len(attempts))
-	for i, h := range attempts {
-		list[i] = sender.AttemptResult{ID: h.ID, Attempt: h.Number, Endpoint: to.Addr, Outcome: sender.OutcomeSuccess}
+func (e instantEgress) Send(to sender.Route, attempts []sender.Attempt) {
+	results := make([]sender.AttemptResult, len(attempts))
+	for i, attempt := range attempts {
+		results[i] = sender.AttemptResult{
+			ID: attempt.ID, Attempt: attempt.Number, Endpoint: to.Addr, Outcome: sender.OutcomeSuccess,
+		}
 	}
-	e.core.ReportAttempts(list...)
+	e.core.ReportAttempts(results...)
 }
-func (atOnce) Cancel(string, int)          {}
-func (atOnce) CloseIdle(sender.Route)      {}
-func (atOnce) UpdateRoutes([]sender.Route) {}
+func (instantEgress) Cancel(string, int)          {}
+func (instantEgress) CloseIdle(sender.Route)      {}
+func (instantEgress) UpdateRoutes([]sender.Route) {}
 
-// BenchmarkFlow is messages through the front: published, confirmed, answered and acknowledged,
-// with so many open at once. b.N counts messages; run it with -cpu 1 for one core, which the client
-// shares.
-func BenchmarkFlow(b *testing.B) { flow(b, 0, false) }
+// BenchmarkFlow measures messages that pass through the front: published, confirmed, answered and acknowledged, with up
+// to 3,000 unanswered at a time. b.N counts messages. Run it with -cpu 1 for one core, which the client shares.
+func BenchmarkFlow(b *testing.B) { measureFlow(b, 0, false) }
 
-// BenchmarkFlowTLS is the same under TLS, of which both ends are on the core.
-func BenchmarkFlowTLS(b *testing.B) { flow(b, 0, true) }
+// BenchmarkFlowTLS is BenchmarkFlow over TLS. Both ends of the TLS connection share the core.
+func BenchmarkFlowTLS(b *testing.B) { measureFlow(b, 0, true) }
 
-// BenchmarkConfirm is the time from when a publish is due to its confirm, at a steady rate.
+// BenchmarkConfirm measures the time from the scheduled time of a publish to its confirm, at a constant rate.
 func BenchmarkConfirm(b *testing.B) {
 	for _, rate := range []int{5_000, 10_000, 30_000} {
-		b.Run(strconv.Itoa(rate), func(b *testing.B) { flow(b, rate, false) })
+		b.Run(strconv.Itoa(rate), func(b *testing.B) { measureFlow(b, rate, false) })
 	}
 }
 
-// flow publishes at a rate, or as fast as the window lets it.
-func flow(b *testing.B, rate int, secure bool) {
-	const window, dests = 3000, 16
+// measureFlow publishes b.N messages at a rate per second or, if rate is 0, as fast as the window allows.
+func measureFlow(b *testing.B, rate int, secure bool) {
+	const window, destinations = 3000, 16
 	var core *sender.Sender
 	settings := standin.Settings()
 	settings.Limits.MaxMessages, settings.Calls.ConcurrentCalls, settings.Calls.MessagesPerCall = 2*window, window,
 		[]int{64}
-	addr := startFlow(b, settings, secure, func(c *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
-		core = c
-		in := NewIngress(c, r, Options{Policy: access.Anyone("messages"), Channels: 16},
+	addr := startFlow(b, settings, secure, func(
+		started *sender.Sender, react *reactor.Reactor,
+	) func(*reactor.Conn) reactor.Handler {
+		core = started
+		ingress := NewIngress(started, react, Options{Policy: access.Anyone("messages"), Channels: 16},
 			conntable.NewRoom(10).NewTable(Limits(10)))
-		c.AddEgress("now", atOnce{c})
+		started.AddEgress("now", instantEgress{started})
 		var routes []sender.Route
-		for i := range dests {
+		for i := range destinations {
 			routes = append(routes, sender.Route{Endpoint: scheduler.Endpoint{
 				Addr: fmt.Sprint("t", i), MachineType: "k",
 				Destination: int64(10 + i), State: "live",
 			}, Protocol: "now"})
 		}
-		c.UpdateRoutes("whole", routes)
-		return in.Accept
+		started.UpdateRoutes("whole", routes)
+		return ingress.Accept
 	})
 	_ = core
-	cl := dialFlow(b, addr, secure)
-	cl.consume()
-	_ = cl.SetDeadline(time.Now().Add(5 * time.Minute))
-	const mark = "m0000000000"
+	client := dialFlow(b, addr, secure)
+	client.consume()
+	_ = client.SetDeadline(time.Now().Add(5 * time.Minute))
+	const placeholderID = "m0000000000"
 	frame := amqp.AppendMessage(nil, 1, amqp.Publish,
-		&amqp.Props{MessageID: mark, Type: "safe", ReplyTo: "answers", CorrelationID: mark},
+		&amqp.Props{MessageID: placeholderID, Type: "safe", ReplyTo: "answers", CorrelationID: placeholderID},
 		make([]byte, 200), amqp.FrameMin, 0, "messages", "10", false, false)
-	key := bytes.Index(frame, []byte("\x0210")) + 1
+	keyOffset := bytes.Index(frame, []byte("\x0210")) + 1
 	publish := func(out []byte, i int) []byte {
 		id := fmt.Appendf(nil, "m%010d", i)
 		at := len(out)
 		out = append(out, frame...)
-		out[at+key+1] = byte('0' + (10+i%dests)%10)
-		out[at+key] = byte('0' + (10+i%dests)/10)
-		for k := bytes.Index(out[at:], []byte(mark)); k >= 0; k = bytes.Index(out[at:], []byte(mark)) {
+		out[at+keyOffset+1] = byte('0' + (10+i%destinations)%10)
+		out[at+keyOffset] = byte('0' + (10+i%destinations)/10)
+		for k := bytes.Index(out[at:], []byte(placeholderID)); k >= 0; k = bytes.Index(out[at:], []byte(placeholderID)) {
 			copy(out[at+k:], id)
-			at += k + len(mark)
+			at += k + len(placeholderID)
 		}
 		return out
 	}
-	// The first fifth comes four times as slowly, since the module tries a destination that it does
-	// not know with care, and what comes until the second has passed is not counted.
+	// The first fifth is sent at a quarter of the rate, because the scheduler limits attempts to a new destination.
+	// The first two fifths are not counted.
 	warm := b.N / 5
 	at := func(i int) time.Duration {
 		if i < warm {
@@ -104,7 +108,7 @@
 	}
 	var open, nacks atomic.Int64
 	due, confirms := make([]int64, b.N+1), hdrhistogram.New(1, 60_000_000, 3)
-	room := make(chan struct{}, 1)
+	windowFreed := make(chan struct{}, 1)
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -119,7 +123,7 @@
 				for n = 1; n < b.N-sent && at(sent+n) <= time.Since(began); n++ {
 				}
 			} else if n <= 0 {
-				<-room
+				<-windowFreed
 				continue
 			}
 			for i := range n {
@@ -133,23 +137,23 @@
 			}
 			sent += n
 			open.Add(int64(n))
-			if _, err := cl.Write(out); err != nil {
+			if _, err := client.Write(out); err != nil {
 				return
 			}
 		}
 	}()
-	in, buf := make([]byte, 0, 256<<10), make([]byte, 64<<10)
+	received, chunk := make([]byte, 0, 256<<10), make([]byte, 64<<10)
 	acked := uint64(0)
 	for ended := 0; ended < b.N; {
-		n, err := cl.Read(buf)
+		n, err := client.Read(chunk)
 		if err != nil {
 			b.Fatal(err)
 		}
-		in = append(in, buf[:n]...)
+		received = append(received, chunk[:n]...)
 		at, last := 0, uint64(0)
 		done := 0
 		for {
-			f, n, err := amqp.ParseFrame(in[at:], amqp.FrameMax)
+			f, n, err := amqp.ParseFrame(received[at:], amqp.FrameMax)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -173,7 +177,7 @@
 					if rate > 0 && int(acked) < 2*warm {
 						continue
 					}
-					_ = confirms.RecordValue(max(1, now-due[acked+1])) // within its bounds
+					_ = confirms.RecordValue(max(1, now-due[acked+1])) // always within the histogram's range
 				}
 			case amqp.Nack:
 				nacks.Add(1)
@@ -182,14 +186,14 @@
 				b.Fatalf("%s %q", k, f.Payload)
 			}
 		}
-		in = append(in[:0], in[at:]...)
+		received = append(received[:0], received[at:]...)
 		if last > 0 {
-			cl.method(1, amqp.Ack, 0, true)
+			client.writeMethod(1, amqp.Ack, 0, true)
 		}
 		if ended += done; done > 0 {
 			open.Add(int64(-done))
 			select {
-			case room <- struct{}{}:
+			case windowFreed <- struct{}{}:
 			default:
 			}
 		}
--- a/internal/net/amqpfront/flowcontrol_test.go
+++ b/internal/net/amqpfront/flowcontrol_test.go
@@ -15,196 +15,197 @@
 	"brackendale/sender"
 )
 
-// Ten thousand publishes in a burst with one slow consumer: each is confirmed or rejected at once, and each
-// accepted one has one answer, one after another as the consumer takes them.
+// A burst of 10,000 publishes with one consumer that takes one answer at a time: each publish is confirmed or rejected,
+// and each accepted message has exactly one answer.
 func TestBurstWithOneSlowConsumer(t *testing.T) {
-	b := newBroker(t)
-	b.props = make(chan *amqp.Props, 10_000)
-	addr, _ := start(t, t.TempDir(), b)
-	c := dial(t, addr)
-	c.method(1, amqp.Qos, 0, 1, false)
-	c.want(amqp.QosOk)
-	c.consume()
+	broker := newBroker(t)
+	broker.props = make(chan *amqp.Props, 10_000)
+	addr, _ := start(t, t.TempDir(), broker)
+	client := dial(t, addr)
+	client.writeMethod(1, amqp.Qos, 0, 1, false)
+	client.want(amqp.QosOk)
+	client.consume()
 	const burst = 10_000
 	go func() {
 		for i := range burst {
-			c.publish(fmt.Sprint("m", i), "once")
+			client.publish(fmt.Sprint("m", i), "once")
 		}
 	}()
-	low := uint64(0)
-	taken, refused, answers := map[uint64]bool{}, map[uint64]bool{}, map[string]bool{}
-	for len(taken)+len(refused) < burst || len(answers) < len(taken) {
-		_, m, err := c.next()
+	confirmed := uint64(0)
+	accepted, rejected, answers := map[uint64]bool{}, map[uint64]bool{}, map[string]bool{}
+	for len(accepted)+len(rejected) < burst || len(answers) < len(accepted) {
+		_, msg, err := client.next()
 		if err != nil {
-			t.Fatal(err, len(taken), len(refused), len(answers))
+			t.Fatal(err, len(accepted), len(rejected), len(answers))
 		}
-		switch m.Key {
+		switch msg.Key {
 		case amqp.Ack:
-			if !m.Bool(1) {
-				taken[m.Int(0)] = true
+			if !msg.Bool(1) {
+				accepted[msg.Int(0)] = true
 				continue
 			}
-			for ; low < m.Int(0); low++ { // all up to it that were not refused
-				if !refused[low+1] {
-					taken[low+1] = true
+			for ; confirmed < msg.Int(0); confirmed++ { // all up to this tag, except for the rejected ones
+				if !rejected[confirmed+1] {
+					accepted[confirmed+1] = true
 				}
 			}
 		case amqp.Nack:
-			refused[m.Int(0)] = true
+			rejected[msg.Int(0)] = true
 		case amqp.Deliver:
-			if answers[m.Props.MessageID] {
-				t.Fatal("a second answer for", m.Props.MessageID)
+			if answers[msg.Props.MessageID] {
+				t.Fatal("second answer for", msg.Props.MessageID)
 			}
-			answers[m.Props.MessageID] = true
-			c.method(1, amqp.Ack, m.Int(1), false)
+			answers[msg.Props.MessageID] = true
+			client.writeMethod(1, amqp.Ack, msg.Int(1), false)
 		}
 	}
-	if len(taken) == 0 || len(refused) == 0 || len(answers) != len(taken) {
-		t.Fatal(len(taken), len(refused), len(answers))
+	if len(accepted) == 0 || len(rejected) == 0 || len(answers) != len(accepted) {
+		t.Fatal(len(accepted), len(rejected), len(answers))
 	}
 	for id := range answers {
-		if b.count(id) > 1 {
-			t.Fatal(id, b.count(id))
+		if broker.count(id) > 1 {
+			t.Fatal(id, broker.count(id))
 		}
 	}
 }
 
-// A consumer that does not read holds its own answers up and nothing else: what waits for it is bounded, its connection
-// stays, another client is served meanwhile, and once it reads it has all of them.
+// A consumer that does not read delays only its own answers. The number of answers written to it is bounded, its
+// connection stays open, another client is served meanwhile, and it gets all answers once it reads.
 func TestConsumerThatDoesNotRead(t *testing.T) {
 	var core *sender.Sender
 	const messages = 16_000
-	set := standin.Settings()
-	set.Limits.MaxMessages, set.Calls.ConcurrentCalls = 2*messages, 500
-	addr, _ := standin.StartWith(t, t.TempDir(), set, 256<<20, nil,
-		func(c *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
+	settings := standin.Settings()
+	settings.Limits.MaxMessages, settings.Calls.ConcurrentCalls = 2*messages, 500
+	addr, _ := standin.StartWith(t, t.TempDir(), settings, 256<<20, nil,
+		func(c *sender.Sender, react *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
 			core = c
-			in := NewIngress(c, r, Options{Policy: access.Anyone("messages"), Channels: 16},
+			ingress := NewIngress(c, react, Options{Policy: access.Anyone("messages"), Channels: 16},
 				conntable.NewRoom(10).NewTable(Limits(10)))
-			c.AddEgress("now", atOnce{c})
+			c.AddEgress("now", instantEgress{c})
 			c.UpdateRoutes("whole", []sender.Route{{
 				Endpoint: scheduler.Endpoint{Addr: "a", MachineType: "k", Destination: 7, State: "live"},
 				Protocol: "now",
 			}})
-			return in.Accept
+			return ingress.Accept
 		})
-	small := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error { // the kernel's buffers would hold all
+	dialer := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error { // default buffers would hold all answers
 		return c.Control(func(fd uintptr) {
 			_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF,
 				64<<10)
 		})
 	}}
-	conn, err := small.Dial("tcp", addr)
+	conn, err := dialer.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	deaf, other := &client{newSide(conn), t}, dial(t, addr)
-	_, _ = deaf.Write([]byte(amqp.Preamble))
-	deaf.shake(amqp.Table{}, 0)
-	// with no-ack nothing else bounds it
-	deaf.method(1, amqp.Consume, 0, "answers", "me", false, true, false, false, amqp.Table{})
-	deaf.want(amqp.ConsumeOk)
+	reader, publisher := &testClient{newFrameConn(conn), t}, dial(t, addr)
+	_, _ = reader.Write([]byte(amqp.Preamble))
+	reader.handshake(amqp.Table{}, 0)
+	// With no-ack, the number of unacknowledged answers is no limit.
+	reader.writeMethod(1, amqp.Consume, 0, "answers", "me", false, true, false, false, amqp.Table{})
+	reader.want(amqp.ConsumeOk)
 	long := make([]byte, 250)
 	for i := range long {
 		long[i] = 'c'
 	}
 	for sent := 0; sent < messages; {
 		for range 200 {
-			other.publish(fmt.Sprint("m", sent), "safe", func(p *amqp.Props) { p.CorrelationID = string(long) })
+			publisher.publish(fmt.Sprint("m", sent), "safe", func(props *amqp.Props) { props.CorrelationID = string(long) })
 			sent++
 		}
-		for confirmed := 0; confirmed < sent; { // a confirm is for all before it, or is the next of a few
-			if m := other.want(amqp.Ack); m.Bool(1) || int(m.Int(0)) == sent {
-				confirmed = int(m.Int(0))
+		for confirmed := 0; confirmed < sent; { // an ack with multiple covers all before it; others come in order
+			if msg := publisher.want(amqp.Ack); msg.Bool(1) || int(msg.Int(0)) == sent {
+				confirmed = int(msg.Int(0))
 			}
 		}
 	}
-	other.method(1, amqp.Consume, 0, "mine", "me", false, false, false, false, amqp.Table{})
-	other.want(amqp.ConsumeOk)
-	other.publish("last", "safe", func(p *amqp.Props) { p.ReplyTo = "mine" })
-	other.want(amqp.Ack)
-	other.want(amqp.Deliver)
-	st := make(chan sender.State)
-	core.Post(func() { st <- core.State() })
-	if owed := (<-st).Unacknowledged; owed < 100 {
-		t.Fatal("only", owed, "are owed: all went to a client that reads nothing")
+	publisher.writeMethod(1, amqp.Consume, 0, "mine", "me", false, false, false, false, amqp.Table{})
+	publisher.want(amqp.ConsumeOk)
+	publisher.publish("last", "safe", func(props *amqp.Props) { props.ReplyTo = "mine" })
+	publisher.want(amqp.Ack)
+	publisher.want(amqp.Deliver)
+	state := make(chan sender.State)
+	core.Post(func() { state <- core.State() })
+	if unacknowledged := (<-state).Unacknowledged; unacknowledged < 100 {
+		t.Fatal("only", unacknowledged, "answers are unacknowledged: too many were written to a client that does not read")
 	}
 	seen := map[string]bool{}
 	for len(seen) < messages {
-		m := deaf.want(amqp.Deliver)
-		if seen[m.Props.MessageID] {
-			t.Fatal(m.Props.MessageID, "came twice")
+		msg := reader.want(amqp.Deliver)
+		if seen[msg.Props.MessageID] {
+			t.Fatal(msg.Props.MessageID, "was answered twice")
 		}
-		seen[m.Props.MessageID] = true
+		seen[msg.Props.MessageID] = true
 	}
 }
 
-// Contents that are begun and not ended, on many channels of some connections, are bounded together.
-func TestHalfContentsAreBounded(t *testing.T) {
-	addr, _ := startInstant(t)
-	begin := func(c *client, channel uint16) {
+// The incomplete contents of all channels and connections together are limited. A client that sends complete contents
+// is still served.
+func TestIncompleteContentsAreBounded(t *testing.T) {
+	addr, _ := startInstantSender(t)
+	beginContent := func(client *testClient, channel uint16) {
 		whole := amqp.AppendMessage(nil, channel, amqp.Publish, &amqp.Props{}, make([]byte, amqp.MaxBody),
 			amqp.FrameMin, 0, "messages", "7", false, false)
-		_, _ = c.Write(whole[:len(whole)-136])
+		_, _ = client.Write(whole[:len(whole)-136])
 	}
 	opened := 0
 	for ended := false; !ended; {
-		c := dial(t, addr)
+		client := dial(t, addr)
 		for ch := uint16(2); ch <= 8 && !ended; ch++ {
-			c.method(ch, amqp.ChanOpen, "")
-			begin(c, ch)
+			client.writeMethod(ch, amqp.ChanOpen, "")
+			beginContent(client, ch)
 			opened++
-			_, m, err := c.next() // of the channel, or of the connection's end
+			_, msg, err := client.next() // channel.open-ok or connection.close
 			if err != nil {
 				t.Fatal(err)
 			}
-			if ended = m.Key == amqp.ConnClose; ended && m.Int(0) != amqp.ResourceError {
-				t.Fatal(m.Int(0))
+			if ended = msg.Key == amqp.ConnClose; ended && msg.Int(0) != amqp.ResourceError {
+				t.Fatal(msg.Int(0))
 			}
 		}
 	}
 	if bytes := opened * amqp.MaxBody; bytes < maxPartialBytes/2 || bytes > 2*maxPartialBytes {
 		t.Fatal(opened)
 	}
-	c := dial(t, addr) // whoever sends whole contents is served
-	c.publish("m", "safe")
-	c.want(amqp.Ack)
+	client := dial(t, addr)
+	client.publish("m", "safe")
+	client.want(amqp.Ack)
 }
 
-// The same message-id from two connections at once runs once; each gets the right verdict, and the
-// final answer comes once.
+// When two connections publish the same message-id at the same time, the message runs once. Each gets a confirm, at
+// least one of them an ack, and there is one final answer.
 func TestSameIDFromTwoConnections(t *testing.T) {
-	b := newBroker(t)
-	addr, _ := start(t, t.TempDir(), b)
-	one, two := dial(t, addr), dial(t, addr)
-	one.consume()
+	broker := newBroker(t)
+	addr, _ := start(t, t.TempDir(), broker)
+	first, second := dial(t, addr), dial(t, addr)
+	first.consume()
 	for i := range 50 {
 		id := fmt.Sprint("m", i)
-		go two.publish(id, "once")
-		one.publish(id, "once")
-		taken := 0
-		if _, m, err := two.next(); err != nil || m.Key != amqp.Ack && m.Key != amqp.Nack {
+		go second.publish(id, "once")
+		first.publish(id, "once")
+		accepted := 0
+		if _, msg, err := second.next(); err != nil || msg.Key != amqp.Ack && msg.Key != amqp.Nack {
 			t.Fatal(err)
-		} else if m.Key == amqp.Ack {
-			taken++
+		} else if msg.Key == amqp.Ack {
+			accepted++
 		}
 		for ended := false; !ended; {
-			_, m, err := one.next()
+			_, msg, err := first.next()
 			if err != nil {
 				t.Fatal(err)
 			}
-			switch m.Key {
+			switch msg.Key {
 			case amqp.Ack:
-				taken++
+				accepted++
 			case amqp.Deliver:
-				one.method(1, amqp.Ack, m.Int(1), false)
-				ended = m.Props.MessageID == id
+				first.writeMethod(1, amqp.Ack, msg.Int(1), false)
+				ended = msg.Props.MessageID == id
 			}
 		}
-		if taken == 0 || b.count(id) != 1 {
-			t.Fatal(id, taken, b.count(id))
+		if accepted == 0 || broker.count(id) != 1 {
+			t.Fatal(id, accepted, broker.count(id))
 		}
-		<-b.props
+		<-broker.props
 	}
 }
--- a/internal/net/amqpfront/flowhelp_test.go
+++ b/internal/net/amqpfront/flowhelp_test.go
@@ -19,76 +19,76 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// siteKeys are those of one server and of whoever believes its CA.
-func siteKeys(t testing.TB) (server, client *tls.Config) {
+// newTLSConfigs returns the TLS configurations of a server with a new certificate, and of a client that trusts its CA.
+func newTLSConfigs(t testing.TB) (server, client *tls.Config) {
 	t.Helper()
 	site, err := certs.Make(t.TempDir(), "site", 10, time.Now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := site.Server([]string{"127.0.0.1"}, 10)
+	files, err := site.Server([]string{"127.0.0.1"}, 10)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if server, err = certs.Server(f, false, time.Now); err != nil {
+	if server, err = certs.Server(files, false, time.Now); err != nil {
 		t.Fatal(err)
 	}
-	if client, err = certs.Client(certs.Files{CA: f.CA}, "127.0.0.1", time.Now); err != nil {
+	if client, err = certs.Client(certs.Files{CA: files.CA}, "127.0.0.1", time.Now); err != nil {
 		t.Fatal(err)
 	}
 	return server, client
 }
 
-var flowKeys *tls.Config // of the client
+var flowClientTLS *tls.Config // set by startFlow for dialFlow
 
-// startFlow begins a sender for a benchmark, plainly or under TLS.
+// startFlow starts a sender for a benchmark, with or without TLS.
 func startFlow(b *testing.B, set scheduler.Settings, secure bool,
 	join func(*sender.Sender, *reactor.Reactor) func(*reactor.Conn) reactor.Handler,
 ) string {
 	var server *tls.Config
 	if secure {
-		server, flowKeys = siteKeys(b)
+		server, flowClientTLS = newTLSConfigs(b)
 	}
 	addr, _ := standin.StartWith(b, b.TempDir(), set, 1<<30, server, join)
 	return addr
 }
 
 // dialFlow opens a client with channel 1 in confirm mode.
-func dialFlow(b *testing.B, addr string, secure bool) *client {
+func dialFlow(b *testing.B, addr string, secure bool) *testClient {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { _ = conn.Close() })
 	if secure {
-		conn = tls.Client(conn, flowKeys)
+		conn = tls.Client(conn, flowClientTLS)
 	}
-	cl := &client{newSide(conn), b}
-	_, _ = cl.Write([]byte(amqp.Preamble))
-	cl.shake(amqp.Table{}, 0)
-	return cl
+	client := &testClient{newFrameConn(conn), b}
+	_, _ = client.Write([]byte(amqp.Preamble))
+	client.handshake(amqp.Table{}, 0)
+	return client
 }
 
-// BenchmarkHandshakeTLS is one TLS handshake and AMQP opening after another, both ends on the core.
-func BenchmarkHandshakeTLS(b *testing.B) { handshakes(b, true) }
+// BenchmarkHandshakeTLS measures successive TLS and AMQP handshakes. Both ends share the core.
+func BenchmarkHandshakeTLS(b *testing.B) { measureHandshakes(b, true) }
 
-// BenchmarkHandshake is the same without TLS.
-func BenchmarkHandshake(b *testing.B) { handshakes(b, false) }
+// BenchmarkHandshake is BenchmarkHandshakeTLS without TLS.
+func BenchmarkHandshake(b *testing.B) { measureHandshakes(b, false) }
 
-func handshakes(b *testing.B, secure bool) {
-	addr := startFlow(b, standin.Settings(), secure, joinInstant)
+func measureHandshakes(b *testing.B, secure bool) {
+	addr := startFlow(b, standin.Settings(), secure, addInstantFront)
 	b.ResetTimer()
 	for range b.N {
 		_ = dialFlow(b, addr, secure).Close()
 	}
 }
 
-// BenchmarkBytes is what idle things take of the heap: a connection with a channel, each further
-// channel, a queue that is declared, and a connection under TLS (both of whose ends are here).
+// BenchmarkBytes measures the heap bytes of idle objects: a connection with a channel, each further channel, a declared
+// queue, and the TLS state of a connection (of both ends, which are in this process).
 func BenchmarkBytes(b *testing.B) {
 	const n = 2000
 	for range b.N {
-		_, sessions, each := inMemory(n)
+		_, sessions, each := newIdleSessions(n)
 		before := testkit.HeapBytes()
 		for i, s := range sessions {
 			s.channels = append(s.channels, &channel{session: s, id: uint16(i)})
@@ -108,7 +108,7 @@
 	}
 	const conns = 400
 	heap := func(secure bool) uint64 {
-		addr := startFlow(b, standin.Settings(), secure, joinInstant)
+		addr := startFlow(b, standin.Settings(), secure, addInstantFront)
 		dialFlow(b, addr, secure)
 		before := testkit.HeapBytes()
 		for range conns {
@@ -120,58 +120,58 @@
 	b.ReportMetric((float64(heap(true))-float64(plain))/conns, "B/tls-both-ends")
 }
 
-// BenchmarkBeside is how long one message at a time waits for its confirm on one connection, alone and while another
-// connection has hundreds open all the time.
+// BenchmarkBeside measures the time to the confirm of one message at a time, without other traffic and while another
+// connection always has 500 messages in progress.
 func BenchmarkBeside(b *testing.B) {
-	for name, crowd := range map[string]int{"alone": 0, "beside": 500} {
+	for name, concurrent := range map[string]int{"alone": 0, "beside": 500} {
 		b.Run(name, func(b *testing.B) {
-			set := standin.Settings()
-			set.Limits.MaxMessages, set.Calls.ConcurrentCalls, set.Calls.MessagesPerCall = 4000, 1000, []int{64}
-			addr := startFlow(b, set, false, joinInstant)
-			if crowd > 0 {
-				go hurry(dialFlow(b, addr, false), crowd)
+			settings := standin.Settings()
+			settings.Limits.MaxMessages, settings.Calls.ConcurrentCalls, settings.Calls.MessagesPerCall = 4000, 1000, []int{64}
+			addr := startFlow(b, settings, false, addInstantFront)
+			if concurrent > 0 {
+				go publishContinuously(dialFlow(b, addr, false), concurrent)
 			}
-			one, h := dialFlow(b, addr, false), hdrhistogram.New(1, 60_000_000, 3)
+			client, latencies := dialFlow(b, addr, false), hdrhistogram.New(1, 60_000_000, 3)
 			refused := 0
-			_ = one.SetDeadline(time.Now().Add(5 * time.Minute))
+			_ = client.SetDeadline(time.Now().Add(5 * time.Minute))
 			b.ResetTimer()
 			for i := range b.N {
 				began := time.Now()
-				one.publish("one"+strconv.Itoa(i), "safe", func(p *amqp.Props) { p.ReplyTo = "mine" })
-				_, m, err := one.next()
+				client.publish("one"+strconv.Itoa(i), "safe", func(props *amqp.Props) { props.ReplyTo = "mine" })
+				_, msg, err := client.next()
 				if err != nil {
 					b.Fatal(err)
 				}
-				if m.Key != amqp.Ack {
+				if msg.Key != amqp.Ack {
 					refused++
 				}
-				_ = h.RecordValue(max(1, time.Since(began).Microseconds())) // within its bounds
+				_ = latencies.RecordValue(max(1, time.Since(began).Microseconds())) // always within the histogram's range
 				time.Sleep(time.Millisecond)
 			}
-			b.ReportMetric(float64(h.ValueAtQuantile(99))/1000, "p99-ms")
+			b.ReportMetric(float64(latencies.ValueAtQuantile(99))/1000, "p99-ms")
 			b.ReportMetric(float64(refused)/float64(b.N), "refused/msg")
 		})
 	}
 }
 
-// hurry keeps so many messages open, until its connection ends.
-func hurry(c *client, window int) {
-	c.consume()
-	_ = c.SetDeadline(time.Now().Add(5 * time.Minute))
+// publishContinuously keeps window messages in progress until the connection ends.
+func publishContinuously(client *testClient, window int) {
+	client.consume()
+	_ = client.SetDeadline(time.Now().Add(5 * time.Minute))
 	sent, open := 0, 0
 	for {
 		for ; open < window; open++ {
 			sent++
-			c.publish("h"+strconv.Itoa(sent), "safe")
+			client.publish("h"+strconv.Itoa(sent), "safe")
 		}
-		_, m, err := c.next()
+		_, msg, err := client.next()
 		if err != nil {
 			return
 		}
-		switch m.Key {
+		switch msg.Key {
 		case amqp.Deliver:
 			open--
-			c.method(1, amqp.Ack, m.Int(1), false)
+			client.writeMethod(1, amqp.Ack, msg.Int(1), false)
 		case amqp.Nack:
 			open--
 		}
--- a/internal/net/amqpfront/front_test.go
+++ b/internal/net/amqpfront/front_test.go
@@ -16,153 +16,160 @@
 	"brackendale/sender"
 )
 
-// side is one end of a connection as a stand-in speaks it.
-type side struct {
+// frameConn is the test's end of a connection, which reads and writes frames.
+type frameConn struct {
 	net.Conn
-	buf []byte
-	asm map[uint16]*amqp.Assembly
+	buf        []byte
+	assemblies map[uint16]*amqp.Assembly
 }
 
-func newSide(c net.Conn) *side {
+func newFrameConn(c net.Conn) *frameConn {
 	_ = c.SetDeadline(time.Now().Add(standin.Long))
-	return &side{Conn: c, asm: map[uint16]*amqp.Assembly{}}
+	return &frameConn{Conn: c, assemblies: map[uint16]*amqp.Assembly{}}
 }
 
-func (s *side) frame() (amqp.Frame, error) {
+// readFrame returns the next frame that is not a heartbeat.
+func (c *frameConn) readFrame() (amqp.Frame, error) {
 	for {
-		f, n, err := amqp.ParseFrame(s.buf, amqp.FrameMax)
+		frame, size, err := amqp.ParseFrame(c.buf, amqp.FrameMax)
 		if err != nil {
-			return f, err
+			return frame, err
 		}
-		if n > 0 {
-			s.buf = s.buf[n:]
-			if f.Kind != amqp.FrameBeat {
-				return f, nil
+		if size > 0 {
+			c.buf = c.buf[size:]
+			if frame.Kind != amqp.FrameBeat {
+				return frame, nil
 			}
 			continue
 		}
-		b := make([]byte, 8192)
-		n, err = s.Read(b)
+		chunk := make([]byte, 8192)
+		size, err = c.Read(chunk)
 		if err != nil {
-			return f, err
+			return frame, err
 		}
-		s.buf = append(s.buf, b[:n]...)
+		c.buf = append(c.buf, chunk[:size]...)
 	}
 }
 
-// next returns the next method and its channel.
-func (s *side) next() (uint16, *amqp.Message, error) {
+// next returns the next message and its channel.
+func (c *frameConn) next() (uint16, *amqp.Message, error) {
 	for {
-		f, err := s.frame()
+		frame, err := c.readFrame()
 		if err != nil {
 			return 0, nil, err
 		}
-		if s.asm[f.Channel] == nil {
-			s.asm[f.Channel] = &amqp.Assembly{}
+		if c.assemblies[frame.Channel] == nil {
+			c.assemblies[frame.Channel] = &amqp.Assembly{}
 		}
-		if m, err := s.asm[f.Channel].Add(f); m != nil || err != nil {
-			return f.Channel, m, err
+		if msg, err := c.assemblies[frame.Channel].Add(frame); msg != nil || err != nil {
+			return frame.Channel, msg, err
 		}
 	}
 }
 
-func (s *side) method(ch uint16, k amqp.Key, args ...any) {
-	_, _ = s.Write(amqp.AppendMethod(nil, ch, k, args...)) // a peer that went is seen by the next read
+func (c *frameConn) writeMethod(ch uint16, key amqp.Key, args ...any) {
+	_, _ = c.Write(amqp.AppendMethod(nil, ch, key, args...)) // after a close by the peer, the next read fails
 }
 
-// broker is a stand-in for a partner's broker. step is asked before each thing it does with a frame; true
-// cuts the connection there.
-type broker struct {
-	ln      net.Listener
-	mu      sync.Mutex
-	applied map[string]int
-	props   chan *amqp.Props
-	step    func(what string) bool
-	publish func(s *side, ch uint16, m *amqp.Message, tag uint64) // answers; nil: ack
+// testBroker is a stand-in for a partner's broker.
+type testBroker struct {
+	listener net.Listener
+	mu       sync.Mutex
+	applied  map[string]int   // number of times that a message was applied, by message ID
+	props    chan *amqp.Props // the properties of the applied messages
+
+	// step is called at each step of a connection; true closes the connection there.
+	step func(name string) bool
+	// publish handles a publish; nil: apply and ack.
+	publish func(conn *frameConn, ch uint16, msg *amqp.Message, tag uint64)
 }
 
-func newBroker(t *testing.T) *broker {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// newBroker starts a broker that applies and acks every publish.
+func newBroker(t *testing.T) *testBroker {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &broker{
-		ln: ln, applied: map[string]int{}, props: make(chan *amqp.Props, 100),
+	broker := &testBroker{
+		listener: listener, applied: map[string]int{}, props: make(chan *amqp.Props, 100),
 		step: func(string) bool { return false },
 	}
-	t.Cleanup(func() { _ = ln.Close() })
+	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
-			c, err := ln.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go b.serve(newSide(c))
+			go broker.serve(newFrameConn(c))
 		}
 	}()
-	return b
+	return broker
 }
 
-func (b *broker) serve(s *side) {
-	defer s.Close()
-	pre := make([]byte, len(amqp.Preamble))
-	if _, err := s.Read(pre); err != nil || b.step("preamble") {
+// serve handles a connection until it ends.
+func (b *testBroker) serve(conn *frameConn) {
+	defer conn.Close()
+	header := make([]byte, len(amqp.Preamble))
+	if _, err := conn.Read(header); err != nil || b.step("preamble") {
 		return
 	}
-	s.method(0, amqp.ConnStart, 0, 9, amqp.Table{}, "PLAIN", "en_US")
-	tags, part := map[uint16]uint64{}, map[uint16]*amqp.Assembly{}
+	conn.writeMethod(0, amqp.ConnStart, 0, 9, amqp.Table{}, "PLAIN", "en_US")
+	tags, assemblies := map[uint16]uint64{}, map[uint16]*amqp.Assembly{}
 	for {
-		f, err := s.frame()
+		frame, err := conn.readFrame()
 		if err != nil {
 			return
 		}
-		if part[f.Channel] == nil {
-			part[f.Channel] = &amqp.Assembly{}
+		if assemblies[frame.Channel] == nil {
+			assemblies[frame.Channel] = &amqp.Assembly{}
 		}
-		m, err := part[f.Channel].Add(f)
+		msg, err := assemblies[frame.Channel].Add(frame)
 		if err != nil {
 			return
 		}
-		if m == nil {
-			if b.step(map[byte]string{amqp.FrameMethod: "publish", amqp.FrameHeader: "header", amqp.FrameBody: "part"}[f.Kind]) {
+		if msg == nil {
+			if b.step(map[byte]string{
+				amqp.FrameMethod: "publish", amqp.FrameHeader: "header", amqp.FrameBody: "part",
+			}[frame.Kind]) {
 				return
 			}
 			continue
 		}
-		switch m.Key {
+		switch msg.Key {
 		case amqp.ConnStartOk:
 			if b.step("start-ok") {
 				return
 			}
-			s.method(0, amqp.ConnTune, 0, amqp.FrameMin, 0)
+			conn.writeMethod(0, amqp.ConnTune, 0, amqp.FrameMin, 0)
 		case amqp.ConnOpen:
 			if b.step("open") {
 				return
 			}
-			s.method(0, amqp.ConnOpenOk, "")
+			conn.writeMethod(0, amqp.ConnOpenOk, "")
 		case amqp.ChanOpen:
 			if b.step("channel") {
 				return
 			}
-			s.method(f.Channel, amqp.ChanOpenOk, "")
+			conn.writeMethod(frame.Channel, amqp.ChanOpenOk, "")
 		case amqp.ConfirmSelect:
 			if b.step("select") {
 				return
 			}
-			s.method(f.Channel, amqp.ConfirmOk)
+			conn.writeMethod(frame.Channel, amqp.ConfirmOk)
 		case amqp.ChanClose:
-			s.method(f.Channel, amqp.ChanCloseOk)
+			conn.writeMethod(frame.Channel, amqp.ChanCloseOk)
 		case amqp.Publish:
-			tags[f.Channel]++
+			tags[frame.Channel]++
 			if b.publish != nil {
-				b.publish(s, f.Channel, m, tags[f.Channel])
+				b.publish(conn, frame.Channel, msg, tags[frame.Channel])
 				continue
 			}
-			b.apply(m)
+			b.apply(msg)
 			if b.step("applied") {
 				return
 			}
-			s.method(f.Channel, amqp.Ack, tags[f.Channel], false)
+			conn.writeMethod(frame.Channel, amqp.Ack, tags[frame.Channel], false)
 			if b.step("acked") {
 				return
 			}
@@ -170,271 +177,289 @@
 	}
 }
 
-func (b *broker) apply(m *amqp.Message) {
+// apply records that a message has run.
+func (b *testBroker) apply(msg *amqp.Message) {
 	b.mu.Lock()
-	b.applied[m.Props.MessageID]++
+	b.applied[msg.Props.MessageID]++
 	b.mu.Unlock()
-	b.props <- m.Props
+	b.props <- msg.Props
 }
 
-func (b *broker) count(id string) int {
+// count returns how often a message was applied.
+func (b *testBroker) count(id string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.applied[id]
 }
 
+// maxTestClients is the connection limit of a sender that start or startFor started.
 const maxTestClients = 20
 
-// start begins one incarnation of a sender.
-func start(t *testing.T, dir string, b *broker) (addr string, kill func()) {
+// start starts an incarnation of a sender whose state is in dir, with one route, to the broker.
+func start(t *testing.T, dir string, broker *testBroker) (addr string, kill func()) {
 	t.Helper()
-	return startFor(t, dir, b, access.Anyone("messages"))
+	return startFor(t, dir, broker, access.Anyone("messages"))
 }
 
-// startFor begins one whose clients are under a policy.
-func startFor(t *testing.T, dir string, b *broker, p *access.Policy) (addr string, kill func()) {
+// startFor is like start, with an access policy for the clients.
+func startFor(t *testing.T, dir string, broker *testBroker, policy *access.Policy) (addr string, kill func()) {
 	t.Helper()
-	return standin.Start(t, dir, func(core *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
-		in := NewIngress(core, r, Options{Policy: p, Heartbeat: time.Minute, Channels: 16},
+	return standin.Start(t, dir, func(core *sender.Sender, react *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
+		ingress := NewIngress(core, react, Options{Policy: policy, Heartbeat: time.Minute, Channels: 16},
 			conntable.NewRoom(maxTestClients).NewTable(Limits(maxTestClients)))
-		core.AddEgress(Proto, NewEgress(core, r, 1500*time.Millisecond, conntable.NewRoom(100)))
+		core.AddEgress(Proto, NewEgress(core, react, 1500*time.Millisecond, conntable.NewRoom(100)))
 		core.UpdateRoutes("whole", []sender.Route{{
 			Endpoint: scheduler.Endpoint{Addr: "b", MachineType: "k", Destination: 7, State: "live"}, Protocol: Proto,
-			Dial: "amqp://u:p@" + b.ln.Addr().String() + "/?exchange=records&key=in",
+			Dial: "amqp://u:p@" + broker.listener.Addr().String() + "/?exchange=records&key=in",
 		}})
-		return in.Accept
+		return ingress.Accept
 	})
 }
 
 // dialRaw opens a client that has sent the protocol header.
-func dialRaw(t testing.TB, addr string) (*client, error) {
+func dialRaw(t testing.TB, addr string) (*testClient, error) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
 	t.Cleanup(func() { _ = c.Close() })
-	cl := &client{newSide(c), t}
-	_, _ = cl.Write([]byte(amqp.Preamble))
-	return cl, nil
+	client := &testClient{newFrameConn(c), t}
+	_, _ = client.Write([]byte(amqp.Preamble))
+	return client, nil
 }
 
 // dial opens a client with channel 1 in confirm mode.
-func dial(t *testing.T, addr string) *client { t.Helper(); return dialAs(t, addr, amqp.Table{}, 0) }
+func dial(t *testing.T, addr string) *testClient { t.Helper(); return dialAs(t, addr, amqp.Table{}, 0) }
 
-// dialAs does so with the client's properties and heartbeats.
-func dialAs(t testing.TB, addr string, properties amqp.Table, beat int) *client {
+// dialAs is like dial, with client properties and a heartbeat interval in seconds.
+func dialAs(t testing.TB, addr string, properties amqp.Table, heartbeat int) *testClient {
 	t.Helper()
-	cl, err := dialRaw(t, addr)
+	client, err := dialRaw(t, addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	cl.shake(properties, beat)
-	return cl
+	client.handshake(properties, heartbeat)
+	return client
 }
 
-// shake opens the connection and channel 1 in confirm mode.
-func (c *client) shake(properties amqp.Table, beat int) {
+// handshake opens the connection and channel 1 in confirm mode.
+func (c *testClient) handshake(properties amqp.Table, heartbeat int) {
 	c.t.Helper()
 	c.want(amqp.ConnStart)
-	c.method(0, amqp.ConnStartOk, properties, "PLAIN", "\x00guest\x00guest", "en_US")
+	c.writeMethod(0, amqp.ConnStartOk, properties, "PLAIN", "\x00guest\x00guest", "en_US")
 	c.want(amqp.ConnTune)
-	c.method(0, amqp.ConnTuneOk, 8, amqp.FrameMin, beat)
-	c.method(0, amqp.ConnOpen, "/", "", false)
+	c.writeMethod(0, amqp.ConnTuneOk, 8, amqp.FrameMin, heartbeat)
+	c.writeMethod(0, amqp.ConnOpen, "/", "", false)
 	c.want(amqp.ConnOpenOk)
-	c.method(1, amqp.ChanOpen, "")
+	c.writeMethod(1, amqp.ChanOpen, "")
 	c.want(amqp.ChanOpenOk)
-	c.method(1, amqp.ConfirmSelect, false)
+	c.writeMethod(1, amqp.ConfirmSelect, false)
 	c.want(amqp.ConfirmOk)
 }
 
-type client struct {
-	*side
+// testClient is a client of the front. Its methods fail the test when the front replies with something else.
+type testClient struct {
+	*frameConn
 	t testing.TB
 }
 
-func (c *client) want(k amqp.Key) *amqp.Message {
+// want reads the next message, which must be of this method.
+func (c *testClient) want(key amqp.Key) *amqp.Message {
 	c.t.Helper()
-	_, m, err := c.next()
+	_, msg, err := c.next()
 	if err != nil {
-		c.t.Fatalf("waiting for %d.%d: %v", k.Class(), k.ID(), err)
+		c.t.Fatalf("waiting for %d.%d: %v", key.Class(), key.ID(), err)
 	}
-	if m.Key != k {
-		c.t.Fatalf("got %d.%d, want %d.%d: %v", m.Class(), m.ID(), k.Class(), k.ID(), m.Method)
+	if msg.Key != key {
+		c.t.Fatalf("got %d.%d, want %d.%d: %v", msg.Class(), msg.ID(), key.Class(), key.ID(), msg.Method)
 	}
-	return m
+	return msg
 }
 
-func (c *client) consume() {
+// consume starts a consumer of the queue "answers" on channel 1.
+func (c *testClient) consume() {
 	c.t.Helper()
-	c.method(1, amqp.Consume, 0, "answers", "me", false, false, false, false, amqp.Table{})
+	c.writeMethod(1, amqp.Consume, 0, "answers", "me", false, false, false, false, amqp.Table{})
 	c.want(amqp.ConsumeOk)
 }
 
-func (c *client) publish(id, class string, change ...func(*amqp.Props)) {
-	p := &amqp.Props{
+// publish publishes a message to destination 7, with the queue "answers" as reply-to.
+func (c *testClient) publish(id, class string, change ...func(*amqp.Props)) {
+	props := &amqp.Props{
 		MessageID: id, Type: class, ReplyTo: "answers", CorrelationID: "c-" + id,
 		Headers: amqp.Table{"idempotency-key": "k" + id},
 	}
 	for _, f := range change {
-		f(p)
+		f(props)
 	}
-	_, _ = c.Write(amqp.AppendMessage(nil, 1, amqp.Publish, p, make([]byte, 9000), amqp.FrameMin, 0, "messages",
+	_, _ = c.Write(amqp.AppendMessage(nil, 1, amqp.Publish, props, make([]byte, 9000), amqp.FrameMin, 0, "messages",
 		"7", false, false))
 }
 
-// answer reads one final answer and returns its outcome.
-func (c *client) answer(id string, ack bool) string {
+// wantAnswer reads one final answer and returns its outcome.
+func (c *testClient) wantAnswer(id string, ack bool) string {
 	c.t.Helper()
-	m := c.want(amqp.Deliver)
-	if m.Props.MessageID != id || m.Props.CorrelationID != "c-"+id {
-		c.t.Fatalf("an answer for %q", m.Props.MessageID)
+	msg := c.want(amqp.Deliver)
+	if msg.Props.MessageID != id || msg.Props.CorrelationID != "c-"+id {
+		c.t.Fatalf("got the answer to another message, %q", msg.Props.MessageID)
 	}
 	if ack {
-		c.method(1, amqp.Ack, m.Int(1), false)
-		// The ack has been handled once what is sent after it is answered.
-		c.method(1, amqp.Qos, 0, 0, false)
+		c.writeMethod(1, amqp.Ack, msg.Int(1), false)
+		// The ack has been handled when the reply to a later method arrives.
+		c.writeMethod(1, amqp.Qos, 0, 0, false)
 		c.want(amqp.QosOk)
 	}
-	return m.Props.Type
+	return msg.Props.Type
 }
 
-// The broker is killed at every step of a publish. Before the publish's last byte nothing ran and the
-// charge goes again; from there on it may have run and must not. Never is it applied twice, and the
-// client gets one answer.
+// The broker's connection ends at each step of a publish of an unsafe message. Until the last byte of the publish was
+// sent, the message has not run and is sent again. After that it may have run, and must not be sent again. It is never
+// applied twice, and the client gets one answer.
 func TestBrokerKilledAtEveryStep(t *testing.T) {
-	for step, end := range map[string]string{
+	for step, wantOutcome := range map[string]string{
 		"preamble": "delivered", "start-ok": "delivered", "open": "delivered",
 		"channel": "delivered", "select": "delivered", "publish": "", "header": "", "part": "", "applied": "failed",
 		"acked": "delivered",
 	} {
 		t.Run(step, func(t *testing.T) {
-			b := newBroker(t)
+			broker := newBroker(t)
 			var once sync.Once
-			b.step = func(what string) (cut bool) {
-				if what == step {
+			broker.step = func(current string) (cut bool) {
+				if current == step {
 					once.Do(func() { cut = true })
 				}
 				return cut
 			}
-			addr, _ := start(t, t.TempDir(), b)
-			c := dial(t, addr)
-			c.consume()
-			c.publish("m", "once")
-			c.want(amqp.Ack)
-			got := c.answer("m", true)
-			// Cut inside the publish, the sender may or may not have written its last byte.
-			if n := b.count("m"); n > 1 || end != "" && got != end || (got == "delivered") != (n == 1) && end != "failed" {
+			addr, _ := start(t, t.TempDir(), broker)
+			client := dial(t, addr)
+			client.consume()
+			client.publish("m", "once")
+			client.want(amqp.Ack)
+			got := client.wantAnswer("m", true)
+			// If the cut is within the publish, the sender may or may not have written the last byte: any outcome is valid.
+			if n := broker.count("m"); n > 1 || wantOutcome != "" && got != wantOutcome ||
+				(got == "delivered") != (n == 1) && wantOutcome != "failed" {
 				t.Errorf("%s, applied %d times", got, n)
 			}
-			c.publish("m", "once") // the same message-id never runs twice
-			c.want(amqp.Ack)
-			if again := c.answer("m", true); again != got || b.count("m") > 1 {
-				t.Errorf("again: %s, applied %d times", again, b.count("m"))
+			client.publish("m", "once") // the same message-id never runs twice
+			client.want(amqp.Ack)
+			if again := client.wantAnswer("m", true); again != got || broker.count("m") > 1 {
+				t.Errorf("second publish: %s, applied %d times", again, broker.count("m"))
 			}
 		})
 	}
 }
 
-// What the broker says of a publish decides whether it may go again.
+// The broker's reply to a publish decides whether the message may be sent again.
 func TestConfirms(t *testing.T) {
-	for _, c := range []struct {
-		name, class, end string
-		applied          int
-		first            func(s *side, ch uint16, m *amqp.Message, tag uint64)
+	for _, test := range []struct {
+		name, class, wantOutcome string
+		applied                  int
+		handleFirst              func(conn *frameConn, ch uint16, msg *amqp.Message, tag uint64)
 	}{
-		{"a nack may have run", "once", "failed", 0, func(s *side, ch uint16, _ *amqp.Message, tag uint64) {
-			s.method(ch, amqp.Nack, tag, false, false)
+		{"a nack may have run", "once", "failed", 0, func(conn *frameConn, ch uint16, _ *amqp.Message, tag uint64) {
+			conn.writeMethod(ch, amqp.Nack, tag, false, false)
 		}},
-		{"a nacked record goes again", "key", "delivered", 1, func(s *side, ch uint16, _ *amqp.Message, tag uint64) {
-			s.method(ch, amqp.Nack, tag, false, false)
+		{"a nacked record goes again", "key", "delivered", 1, func(conn *frameConn, ch uint16, _ *amqp.Message, tag uint64) {
+			conn.writeMethod(ch, amqp.Nack, tag, false, false)
 		}},
 		{
 			"a returned charge never ran, though it is acked", "once", "delivered", 1,
-			func(s *side, ch uint16, m *amqp.Message, tag uint64) {
-				_, _ = s.Write(amqp.AppendMessage(nil, ch, amqp.Return, m.Props, m.Body, amqp.FrameMin, amqp.NoRoute,
+			func(conn *frameConn, ch uint16, msg *amqp.Message, tag uint64) {
+				_, _ = conn.Write(amqp.AppendMessage(nil, ch, amqp.Return, msg.Props, msg.Body, amqp.FrameMin, amqp.NoRoute,
 					"NO_ROUTE", "records", "in"))
-				s.method(ch, amqp.Ack, tag, false)
+				conn.writeMethod(ch, amqp.Ack, tag, false)
+			},
+		},
+		{
+			"an ack of no publish is no delivery", "once", "failed", 0,
+			func(conn *frameConn, ch uint16, _ *amqp.Message, tag uint64) {
+				conn.writeMethod(ch, amqp.Ack, tag+1, false)
+			},
+		},
+		{
+			"a channel closed after the publish", "once", "failed", 0,
+			func(conn *frameConn, ch uint16, _ *amqp.Message, _ uint64) {
+				conn.writeMethod(ch, amqp.ChanClose, amqp.PreconditionFailed, "no", 60, 40)
+			},
+		},
+		{
+			"a connection closed after the publish", "once", "failed", 0,
+			func(conn *frameConn, _ uint16, _ *amqp.Message, _ uint64) {
+				conn.writeMethod(0, amqp.ConnClose, amqp.ConnectionForced, "bye", 0, 0)
 			},
 		},
-		{"an ack of no publish is no delivery", "once", "failed", 0, func(s *side, ch uint16, _ *amqp.Message, tag uint64) {
-			s.method(ch, amqp.Ack, tag+1, false)
-		}},
-		{"a channel closed after the publish", "once", "failed", 0, func(s *side, ch uint16, _ *amqp.Message, _ uint64) {
-			s.method(ch, amqp.ChanClose, amqp.PreconditionFailed, "no", 60, 40)
-		}},
-		{"a connection closed after the publish", "once", "failed", 0, func(s *side, _ uint16, _ *amqp.Message, _ uint64) {
-			s.method(0, amqp.ConnClose, amqp.ConnectionForced, "bye", 0, 0)
-		}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			b := newBroker(t)
+		t.Run(test.name, func(t *testing.T) {
+			broker := newBroker(t)
 			n := 0
-			b.publish = func(s *side, ch uint16, m *amqp.Message, tag uint64) {
+			broker.publish = func(conn *frameConn, ch uint16, msg *amqp.Message, tag uint64) {
 				if n++; n == 1 {
-					c.first(s, ch, m, tag)
+					test.handleFirst(conn, ch, msg, tag)
 					return
 				}
-				b.apply(m)
-				s.method(ch, amqp.Ack, tag, true)
+				broker.apply(msg)
+				conn.writeMethod(ch, amqp.Ack, tag, true)
 			}
-			addr, _ := start(t, t.TempDir(), b)
-			cl := dial(t, addr)
-			cl.consume()
-			cl.publish("m", c.class)
-			cl.want(amqp.Ack)
-			if got := cl.answer("m", true); got != c.end || b.count("m") != c.applied {
-				t.Errorf("%s, applied %d times", got, b.count("m"))
+			addr, _ := start(t, t.TempDir(), broker)
+			client := dial(t, addr)
+			client.consume()
+			client.publish("m", test.class)
+			client.want(amqp.Ack)
+			if got := client.wantAnswer("m", true); got != test.wantOutcome || broker.count("m") != test.applied {
+				t.Errorf("%s, applied %d times", got, broker.count("m"))
 			}
 		})
 	}
 }
 
-// A blocked connection gets no new publish until it is unblocked; the deadline travels as expiration.
+// Nothing is published on a blocked connection until the broker unblocks it. The publish has the time until the
+// deadline as its expiration.
 func TestBlocked(t *testing.T) {
-	b := newBroker(t)
-	var free, early bool
-	b.publish = func(s *side, ch uint16, m *amqp.Message, tag uint64) {
-		if m.Props.MessageID == "first" {
-			s.method(0, amqp.ConnBlocked, "low on memory")
-			s.method(ch, amqp.Ack, tag, false)
+	broker := newBroker(t)
+	var unblocked, early bool
+	broker.publish = func(conn *frameConn, ch uint16, msg *amqp.Message, tag uint64) {
+		if msg.Props.MessageID == "first" {
+			conn.writeMethod(0, amqp.ConnBlocked, "low on memory")
+			conn.writeMethod(ch, amqp.Ack, tag, false)
 			go func() {
 				time.Sleep(100 * time.Millisecond)
-				b.mu.Lock()
-				free = true
-				b.mu.Unlock()
-				s.method(0, amqp.ConnUnblocked)
+				broker.mu.Lock()
+				unblocked = true
+				broker.mu.Unlock()
+				conn.writeMethod(0, amqp.ConnUnblocked)
 			}()
 			return
 		}
-		b.mu.Lock()
-		early = !free
-		b.mu.Unlock()
-		b.apply(m)
-		s.method(ch, amqp.Ack, tag, false)
-	}
-	addr, _ := start(t, t.TempDir(), b)
-	c := dial(t, addr)
-	c.consume()
-	c.publish("first", "once")
-	c.want(amqp.Ack)
-	c.answer("first", true)
-	c.publish("second", "once", func(p *amqp.Props) { p.Expiration = "30000" })
-	c.want(amqp.Ack)
-	if c.answer("second", true); early {
+		broker.mu.Lock()
+		early = !unblocked
+		broker.mu.Unlock()
+		broker.apply(msg)
+		conn.writeMethod(ch, amqp.Ack, tag, false)
+	}
+	addr, _ := start(t, t.TempDir(), broker)
+	client := dial(t, addr)
+	client.consume()
+	client.publish("first", "once")
+	client.want(amqp.Ack)
+	client.wantAnswer("first", true)
+	client.publish("second", "once", func(properties *amqp.Props) { properties.Expiration = "30000" })
+	client.want(amqp.Ack)
+	if client.wantAnswer("second", true); early {
 		t.Error("published while blocked")
 	}
 	var ms int
-	if p := <-b.props; p.Expiration != "" {
-		_, _ = fmt.Sscan(p.Expiration, &ms)
+	if properties := <-broker.props; properties.Expiration != "" {
+		_, _ = fmt.Sscan(properties.Expiration, &ms)
 	}
 	if ms < 1 || ms > 30000 {
 		t.Error("expiration", ms)
 	}
 }
 
-// A crowd that opens nothing must not lock out a client that does.
-func TestSilentCrowd(t *testing.T) {
+// Connections that send nothing, as many as the limit allows, must not exclude a client that completes its handshake.
+func TestConnectionsWithoutHandshakeAreEvicted(t *testing.T) {
 	addr, _ := start(t, t.TempDir(), newBroker(t))
 	for range maxTestClients {
 		c, err := net.Dial("tcp", addr)
@@ -446,171 +471,180 @@
 	dial(t, addr)
 }
 
-// The client is cut while its answer is in flight: it gets it on return, marked as delivered before, and
-// once it has acknowledged it never again.
-func TestClientCut(t *testing.T) {
-	b, dir := newBroker(t), t.TempDir()
-	addr, kill := start(t, dir, b)
-	c := dial(t, addr)
-	c.consume()
-	c.publish("m", "once")
-	c.want(amqp.Ack)
-	c.answer("m", false)
-	_ = c.Close()
-	c = dial(t, addr)
-	c.consume()
-	if m := c.want(amqp.Deliver); !m.Bool(2) || m.Props.Type != "delivered" {
-		t.Fatal(m.Method, m.Props)
-	}
-	kill() // the sender restarts: the answer is unacknowledged, and its client may have got it
-	addr, kill = start(t, dir, b)
-	c = dial(t, addr)
-	c.consume()
-	if m := c.want(amqp.Deliver); !m.Bool(2) || m.Props.Type != "delivered" {
-		t.Fatal(m.Method, m.Props)
-	}
-	_ = c.Close()
-	c = dial(t, addr)
-	c.consume()
-	if c.answer("m", true) != "delivered" {
-		t.Fatal("another end")
+// A client loses its connection, or the sender restarts, before the client has acknowledged its answer. The answer is
+// delivered again, marked as redelivered, and after its acknowledgement never again.
+func TestConnectionLostWithUnacknowledgedAnswer(t *testing.T) {
+	broker, dir := newBroker(t), t.TempDir()
+	addr, kill := start(t, dir, broker)
+	client := dial(t, addr)
+	client.consume()
+	client.publish("m", "once")
+	client.want(amqp.Ack)
+	client.wantAnswer("m", false)
+	_ = client.Close()
+	client = dial(t, addr)
+	client.consume()
+	if msg := client.want(amqp.Deliver); !msg.Bool(2) || msg.Props.Type != "delivered" {
+		t.Fatal(msg.Method, msg.Props)
+	}
+	kill() // the answer is unacknowledged, and the client may have received it
+	addr, kill = start(t, dir, broker)
+	client = dial(t, addr)
+	client.consume()
+	if msg := client.want(amqp.Deliver); !msg.Bool(2) || msg.Props.Type != "delivered" {
+		t.Fatal(msg.Method, msg.Props)
+	}
+	_ = client.Close()
+	client = dial(t, addr)
+	client.consume()
+	if client.wantAnswer("m", true) != "delivered" {
+		t.Fatal("the final answer has changed")
 	}
 	kill()
-	addr, _ = start(t, dir, b)
-	c = dial(t, addr)
-	c.consume()
-	c.publish("n", "safe") // an unacknowledged answer to m would come first
-	c.want(amqp.Ack)
-	if c.answer("n", true); b.count("m") != 1 {
-		t.Fatal("applied", b.count("m"))
+	addr, _ = start(t, dir, broker)
+	client = dial(t, addr)
+	client.consume()
+	client.publish("n", "safe") // an unacknowledged answer to m would be delivered first
+	client.want(amqp.Ack)
+	if client.wantAnswer("n", true); broker.count("m") != 1 {
+		t.Fatal("applied", broker.count("m"))
 	}
 }
 
-// The sender is killed with a publish out: the charge may have run and fails, a keyed record goes again.
+// The sender is killed while publishes are unconfirmed. After the restart the unsafe message, which may have run,
+// fails, and the message with an idempotency key is sent again.
 func TestSenderKilled(t *testing.T) {
-	b, dir := newBroker(t), t.TempDir()
-	held := make(chan bool, 9)
-	b.publish = func(s *side, ch uint16, m *amqp.Message, tag uint64) {
-		if m.Props.MessageID == "first" { // with no success yet a destination gets one call at a time
-			s.method(ch, amqp.Ack, tag, false)
+	broker, dir := newBroker(t), t.TempDir()
+	published := make(chan bool, 9)
+	broker.publish = func(conn *frameConn, ch uint16, msg *amqp.Message, tag uint64) {
+		if msg.Props.MessageID == "first" { // before its first success, a destination gets one call at a time
+			conn.writeMethod(ch, amqp.Ack, tag, false)
 			return
 		}
-		held <- true
-	}
-	addr, kill := start(t, dir, b)
-	c := dial(t, addr)
-	c.consume()
-	c.publish("first", "safe")
-	c.want(amqp.Ack)
-	c.answer("first", true)
+		published <- true
+	}
+	addr, kill := start(t, dir, broker)
+	client := dial(t, addr)
+	client.consume()
+	client.publish("first", "safe")
+	client.want(amqp.Ack)
+	client.wantAnswer("first", true)
 	for _, class := range []string{"once", "key"} {
-		c.publish(class, class)
-		c.want(amqp.Ack)
-		<-held
+		client.publish(class, class)
+		client.want(amqp.Ack)
+		<-published
 	}
 	kill()
-	b.publish = nil
-	addr, _ = start(t, dir, b)
-	c = dial(t, addr)
-	c.consume()
+	broker.publish = nil
+	addr, _ = start(t, dir, broker)
+	client = dial(t, addr)
+	client.consume()
 	got := map[string]string{}
 	for range 2 {
-		m := c.want(amqp.Deliver)
-		got[m.Props.MessageID] = m.Props.Type
+		msg := client.want(amqp.Deliver)
+		got[msg.Props.MessageID] = msg.Props.Type
 	}
-	if got["once"] != "failed" || got["key"] != "delivered" || b.count("once") != 0 {
+	if got["once"] != "failed" || got["key"] != "delivered" || broker.count("once") != 0 {
 		t.Fatal(got)
 	}
 }
 
-// What could break out of a header field on its way to a partner never gets that far.
+// A message ID or idempotency key with line breaks, which could inject a header field in another protocol, is rejected.
 func TestHeaderInjection(t *testing.T) {
-	b := newBroker(t)
-	addr, _ := start(t, t.TempDir(), b)
+	broker := newBroker(t)
+	addr, _ := start(t, t.TempDir(), broker)
 	for _, bad := range []func(*amqp.Props){
-		func(p *amqp.Props) { p.MessageID = "a\r\nb" },
-		func(p *amqp.Props) { p.Headers = amqp.Table{"idempotency-key": "a\r\nb"} },
+		func(props *amqp.Props) { props.MessageID = "a\r\nb" },
+		func(props *amqp.Props) { props.Headers = amqp.Table{"idempotency-key": "a\r\nb"} },
 	} {
-		c := dial(t, addr)
-		c.publish("m", "key", bad)
-		if m := c.want(amqp.ChanClose); m.Int(0) != amqp.PreconditionFailed {
-			t.Error(m.Int(0), m.Str(1))
+		client := dial(t, addr)
+		client.publish("m", "key", bad)
+		if msg := client.want(amqp.ChanClose); msg.Int(0) != amqp.PreconditionFailed {
+			t.Error(msg.Int(0), msg.Str(1))
 		}
 	}
-	if len(b.applied) != 0 {
-		t.Error(b.applied)
+	if len(broker.applied) != 0 {
+		t.Error(broker.applied)
 	}
 }
 
-// listed names a broker to an egress: what is not listed is sent nothing.
-func listed(e *Egress, b *broker) sender.Route {
-	r := sender.Route{
-		Dial: "amqp://" + b.ln.Addr().String() + "/?key=in", Protocol: Proto,
+// addToGate adds the broker's endpoint to the egress's gate, which admits attempts only to listed endpoints.
+func addToGate(egress *Egress, broker *testBroker) sender.Route {
+	route := sender.Route{
+		Dial: "amqp://" + broker.listener.Addr().String() + "/?key=in", Protocol: Proto,
 		Endpoint: scheduler.Endpoint{Addr: "b", Destination: 1, State: "live"},
 	}
-	e.UpdateRoutes([]sender.Route{r})
-	return r
+	egress.UpdateRoutes([]sender.Route{route})
+	return route
 }
 
-// A publish that waits for its broker is judged by what holds once that is ready.
-func TestPublishIsJudgedWhenItsBrokerIsReady(t *testing.T) {
+// The gate checks a publish when its broker is ready, not when it was submitted. If it must no longer be sent by then,
+// it ends as not sent, which does not count against the broker.
+func TestGateIsCheckedWhenBrokerIsReady(t *testing.T) {
 	for name, forbid := range map[string]func(*Egress, sender.Route){
-		"drained":       func(e *Egress, r sender.Route) { r.State = "quiescing"; e.Gate.UpdateEndpoint(r.Endpoint) },
-		"left the list": func(e *Egress, r sender.Route) { r.State = "dead"; e.Gate.UpdateEndpoint(r.Endpoint) },
-		"told to wait":  func(e *Egress, r sender.Route) { e.Gate.SetRetryAfter(r.Endpoint, 0, 1<<62) },
-		"time up":       func(e *Egress, _ sender.Route) { e.attempts["m"].admission.Deadline = 1 },
-		"shutdown":      func(e *Egress, _ sender.Route) { e.Stop() },
+		"drained": func(egress *Egress, r sender.Route) {
+			r.State = "quiescing"
+			egress.Gate.UpdateEndpoint(r.Endpoint)
+		},
+		"left the list": func(egress *Egress, r sender.Route) {
+			r.State = "dead"
+			egress.Gate.UpdateEndpoint(r.Endpoint)
+		},
+		"told to wait": func(egress *Egress, r sender.Route) { egress.Gate.SetRetryAfter(r.Endpoint, 0, 1<<62) },
+		"time up":      func(egress *Egress, _ sender.Route) { egress.attempts["m"].admission.Deadline = 1 },
+		"shutdown":     func(egress *Egress, _ sender.Route) { egress.Stop() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			b, ended := newBroker(t), make(chan bool)
+			broker, ended := newBroker(t), make(chan bool)
 			var core *sender.Sender
-			b.publish = func(*side, uint16, *amqp.Message, uint64) { t.Error("it was published") }
-			standin.Start(t, t.TempDir(), func(c *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
-				e := NewEgress(c, r, standin.Long, conntable.NewRoom(100))
-				core = c
-				var look func()
-				look = func() {
-					if e.attempts["m"] != nil {
-						r.After(time.Millisecond, look)
+			broker.publish = func(*frameConn, uint16, *amqp.Message, uint64) { t.Error("the attempt was published") }
+			standin.Start(t, t.TempDir(), func(started *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
+				egress := NewEgress(started, r, standin.Long, conntable.NewRoom(100))
+				core = started
+				var poll func()
+				poll = func() {
+					if egress.attempts["m"] != nil {
+						r.After(time.Millisecond, poll)
 						return
 					}
 					close(ended)
 				}
 				r.Post(func() {
-					to := listed(e, b)
-					c.UpdateRoutes("whole", []sender.Route{to}) // the core tells no egress of it: none was added
-					e.Send(to, []sender.Attempt{{ID: "m", TimeoutUs: 60e6, Deadline: c.Now() + 60e6}})
-					forbid(e, to) // its connection is not up yet
-					look()
+					to := addToGate(egress, broker)
+					started.UpdateRoutes("whole", []sender.Route{to}) // not passed to the egress, which was not added to the core
+					egress.Send(to, []sender.Attempt{{ID: "m", TimeoutUs: 60e6, Deadline: started.Now() + 60e6}})
+					forbid(egress, to) // the connection to the broker is not open yet
+					poll()
 				})
 				return func(*reactor.Conn) reactor.Handler { return nil }
 			})
 			select {
 			case <-ended:
 			case <-time.After(standin.Long):
-				t.Fatal("it never ended")
+				t.Fatal("the attempt has no outcome")
 			}
 			reason := make(chan sender.Outcome, 1)
 			core.Post(func() { reason <- core.State().Routes[0].LastOutcome })
 			if got := <-reason; got != sender.OutcomeNotSent {
-				t.Errorf("it says %s of the broker", got)
+				t.Errorf("got outcome %s, want one that does not count against the broker", got)
 			}
 		})
 	}
 }
 
-// What its partner would not know again by the time its broker is ready is not published.
+// An attempt whose idempotency window is over when its broker is ready is not published: the partner may no longer
+// recognize its idempotency key.
 func TestTooLateToPublish(t *testing.T) {
-	b := newBroker(t)
+	broker := newBroker(t)
 	published := make(chan string, 2)
-	b.publish = func(_ *side, _ uint16, m *amqp.Message, _ uint64) { published <- m.Props.MessageID }
-	standin.Start(t, t.TempDir(), func(c *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
-		e := NewEgress(c, r, standin.Long, conntable.NewRoom(100))
-		r.Post(func() {
-			to, until := listed(e, b), c.Now()+60e6
-			e.Send(to, []sender.Attempt{
-				{ID: "late", TimeoutUs: 60e6, Deadline: until, StartBy: c.Now() - 1},
-				{ID: "m", TimeoutUs: 60e6, Deadline: until, StartBy: until},
+	broker.publish = func(_ *frameConn, _ uint16, msg *amqp.Message, _ uint64) { published <- msg.Props.MessageID }
+	standin.Start(t, t.TempDir(), func(core *sender.Sender, react *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
+		egress := NewEgress(core, react, standin.Long, conntable.NewRoom(100))
+		react.Post(func() {
+			to, deadline := addToGate(egress, broker), core.Now()+60e6
+			egress.Send(to, []sender.Attempt{
+				{ID: "late", TimeoutUs: 60e6, Deadline: deadline, StartBy: core.Now() - 1},
+				{ID: "m", TimeoutUs: 60e6, Deadline: deadline, StartBy: deadline},
 			})
 		})
 		return func(*reactor.Conn) reactor.Handler { return nil }
@@ -620,29 +654,29 @@
 	}
 }
 
-// An attempt that is given up ends only once the broker has closed its channel, so that another attempt cannot
-// run beside it.
-func TestGivenUpEndsWithItsChannel(t *testing.T) {
-	b, held := newBroker(t), make(chan bool, 1)
-	b.publish = func(*side, uint16, *amqp.Message, uint64) { held <- true }
-	var e *Egress
-	var at *reactor.Reactor
+// An attempt that is given up ends only when the broker has closed its channel, so that no other attempt can run at the
+// same time.
+func TestGivenUpAttemptEndsWithItsChannel(t *testing.T) {
+	broker, published := newBroker(t), make(chan bool, 1)
+	broker.publish = func(*frameConn, uint16, *amqp.Message, uint64) { published <- true }
+	var egress *Egress
+	var loopReactor *reactor.Reactor
 	var core *sender.Sender
-	standin.Start(t, t.TempDir(), func(c *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
-		core, at, e = c, r, NewEgress(c, r, standin.Long, conntable.NewRoom(100))
+	standin.Start(t, t.TempDir(), func(started *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
+		core, loopReactor, egress = started, r, NewEgress(started, r, standin.Long, conntable.NewRoom(100))
 		r.Post(func() {
-			e.Send(listed(e, b), []sender.Attempt{{ID: "m", TimeoutUs: 60e6, Deadline: c.Now() + 60e6}})
+			egress.Send(addToGate(egress, broker), []sender.Attempt{{ID: "m", TimeoutUs: 60e6, Deadline: started.Now() + 60e6}})
 		})
 		return func(*reactor.Conn) reactor.Handler { return nil }
 	})
-	<-held
+	<-published
 	count := make(chan int)
-	at.Post(func() { e.Cancel("m", 0); count <- len(e.attempts) })
+	loopReactor.Post(func() { egress.Cancel("m", 0); count <- len(egress.attempts) })
 	if n := <-count; n != 1 {
-		t.Fatal("it ended before its channel was closed")
+		t.Fatal("the attempt ended before its channel was closed")
 	}
-	for n := 1; n > 0; n = <-count { // ends with the broker's close-ok, or the test's time runs out
-		at.Post(func() { count <- len(e.attempts) })
+	for n := 1; n > 0; n = <-count { // ends with the broker's channel.close-ok
+		loopReactor.Post(func() { count <- len(egress.attempts) })
 	}
 	standin.Shows(t, core, "lb_upstream_tries_total 1")
 }
--- a/internal/net/amqpfront/idle_test.go
+++ b/internal/net/amqpfront/idle_test.go
@@ -21,124 +21,127 @@
 	"brackendale/sender"
 )
 
-// crowd is a sender with many places, whose inside a test may reach.
-type crowd struct {
-	t    *testing.T
-	in   *Ingress
-	r    *reactor.Reactor
-	room *conntable.Room
-	addr string
-	kill func()
+// testFront is a running sender whose AMQP ingress and loop a test can access.
+type testFront struct {
+	t       *testing.T
+	ingress *Ingress
+	react   *reactor.Reactor
+	room    *conntable.Room
+	addr    string
+	kill    func()
 }
 
-func newCrowd(t *testing.T, b *broker, most int, beat time.Duration) *crowd {
-	c := &crowd{t: t, room: conntable.NewRoom(most)}
-	c.addr, c.kill = standin.Start(t, t.TempDir(),
-		func(core *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
-			c.r = r
-			c.in = NewIngress(core, r, Options{Policy: access.Anyone("messages"), Heartbeat: beat, Channels: 16},
-				c.room.NewTable(Limits(most)))
-			core.AddEgress(Proto, NewEgress(core, r, standin.Long, conntable.NewRoom(10)))
+// newTestFront starts a sender with one route, to the broker.
+func newTestFront(t *testing.T, broker *testBroker, maxConnections int, heartbeat time.Duration) *testFront {
+	front := &testFront{t: t, room: conntable.NewRoom(maxConnections)}
+	front.addr, front.kill = standin.Start(t, t.TempDir(),
+		func(core *sender.Sender, react *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
+			front.react = react
+			front.ingress = NewIngress(core, react, Options{
+				Policy: access.Anyone("messages"), Heartbeat: heartbeat, Channels: 16,
+			}, front.room.NewTable(Limits(maxConnections)))
+			core.AddEgress(Proto, NewEgress(core, react, standin.Long, conntable.NewRoom(10)))
 			core.UpdateRoutes("whole", []sender.Route{{
 				Endpoint: scheduler.Endpoint{Addr: "b", MachineType: "k", Destination: 7, State: "live"}, Protocol: Proto,
-				Dial: "amqp://" + b.ln.Addr().String() + "/?key=in",
+				Dial: "amqp://" + broker.listener.Addr().String() + "/?key=in",
 			}})
-			return c.in.Accept
+			return front.ingress.Accept
 		})
-	return c
+	return front
 }
 
-// on runs f on the loop and waits for it.
-func (c *crowd) on(f func()) {
+// onLoop runs f on the loop and waits for it.
+func (tf *testFront) onLoop(f func()) {
 	done := make(chan bool)
-	c.r.Post(func() { f(); close(done) })
+	tf.react.Post(func() { f(); close(done) })
 	<-done
 }
 
-// The end of a message falls due while its client's connection is being ended for room: it is kept, and delivered
-// once to the next consumer.
+// The final answer of a message is due while its client's connection is being evicted. The answer is kept, and
+// delivered once to the next consumer.
 func TestAnswerDueOnAnEvictedConnection(t *testing.T) {
-	b, held, release := newBroker(t), make(chan bool, 1), make(chan bool)
-	b.publish = func(s *side, ch uint16, m *amqp.Message, tag uint64) {
-		held <- true
+	broker, published, release := newBroker(t), make(chan bool, 1), make(chan bool)
+	broker.publish = func(conn *frameConn, ch uint16, msg *amqp.Message, tag uint64) {
+		published <- true
 		<-release
-		b.apply(m)
-		s.method(ch, amqp.Ack, tag, false)
-	}
-	w := newCrowd(t, b, 10, time.Minute)
-	one := dial(t, w.addr)
-	one.consume()
-	one.publish("m", "once")
-	one.want(amqp.Ack)
-	<-held
-	w.on(func() {
-		w.room.SetMost(0) // as a lowered bound does
-		w.in.table.Expire(w.r.Now(), 10, conntable.Unread, conntable.End)
-		w.room.SetMost(10)
-		close(release) // the end comes while the close is on its way
+		broker.apply(msg)
+		conn.writeMethod(ch, amqp.Ack, tag, false)
+	}
+	front := newTestFront(t, broker, 10, time.Minute)
+	first := dial(t, front.addr)
+	first.consume()
+	first.publish("m", "once")
+	first.want(amqp.Ack)
+	<-published
+	front.onLoop(func() {
+		front.room.SetMost(0) // evicts all connections, as when the limit is lowered
+		front.ingress.table.Expire(front.react.Now(), 10, conntable.Unread, conntable.End)
+		front.room.SetMost(10)
+		close(release) // the outcome arrives while the connection is being closed
 	})
-	if m := one.want(amqp.ConnClose); m.Int(0) != amqp.ConnectionForced {
-		t.Fatal(m.Int(0), m.Str(1))
+	if msg := first.want(amqp.ConnClose); msg.Int(0) != amqp.ConnectionForced {
+		t.Fatal(msg.Int(0), msg.Str(1))
 	}
-	two := dial(t, w.addr)
-	two.consume()
-	if got := two.answer("m", true); got != "delivered" || b.count("m") != 1 {
-		t.Fatal(got, b.count("m"))
+	second := dial(t, front.addr)
+	second.consume()
+	if got := second.wantAnswer("m", true); got != "delivered" || broker.count("m") != 1 {
+		t.Fatal(got, broker.count("m"))
 	}
-	two.publish("n", "safe") // a second delivery would come first
-	two.want(amqp.Ack)
-	two.answer("n", true)
+	second.publish("n", "safe") // a second delivery of m would arrive before its answer
+	second.want(amqp.Ack)
+	second.wantAnswer("n", true)
 }
 
-// A hundred heartbeat at once, half are reset and come back at once, and one goes on publishing: all its messages are
-// answered once, and nobody else is ended.
-func TestStorms(t *testing.T) {
-	b := newBroker(t)
-	w := newCrowd(t, b, 300, time.Minute)
-	active := dial(t, w.addr)
+// Many idle clients send heartbeats at the same time, half of them reset their connections, and new ones connect.
+// Meanwhile another client publishes: each of its messages has one answer, and no other connection is closed.
+func TestMassHeartbeatsAndResets(t *testing.T) {
+	broker := newBroker(t)
+	front := newTestFront(t, broker, 300, time.Minute)
+	active := dial(t, front.addr)
 	active.consume()
-	var idle []*client
+	var idle []*testClient
 	for range 100 {
-		idle = append(idle, dial(t, w.addr))
+		idle = append(idle, dial(t, front.addr))
 	}
-	var all sync.WaitGroup
-	all.Add(1)
+	var done sync.WaitGroup
+	done.Add(1)
 	go func() {
-		defer all.Done()
-		for round, c := range idle {
-			_, _ = c.Write(amqp.AppendFrame(nil, amqp.FrameBeat, 0, nil))
-			if round%2 == 0 {
-				_ = c.Conn.(interface{ SetLinger(int) error }).SetLinger(0)
-				_ = c.Close()
+		defer done.Done()
+		for index, client := range idle {
+			_, _ = client.Write(amqp.AppendFrame(nil, amqp.FrameBeat, 0, nil))
+			if index%2 == 0 {
+				_ = client.Conn.(interface{ SetLinger(int) error }).SetLinger(0)
+				_ = client.Close()
 			}
 		}
 	}()
 	for _, id := range []string{"a", "b", "c", "d"} {
 		active.publish(id, "once")
 		active.want(amqp.Ack)
-		if got := active.answer(id, true); got != "delivered" || b.count(id) != 1 {
-			t.Fatal(id, got, b.count(id))
+		if got := active.wantAnswer(id, true); got != "delivered" || broker.count(id) != 1 {
+			t.Fatal(id, got, broker.count(id))
 		}
 	}
-	all.Wait()
+	done.Wait()
 	for range 50 {
-		dial(t, w.addr)
+		dial(t, front.addr)
 	}
-	for i, c := range idle {
+	for i, client := range idle {
 		if i%2 == 1 { // still served
-			c.method(1, amqp.Qos, 0, 0, false)
-			c.want(amqp.QosOk)
+			client.writeMethod(1, amqp.Qos, 0, 0, false)
+			client.want(amqp.QosOk)
 		}
 	}
-	for n := 0; n != 101; { // the reset ones are forgotten
-		w.on(func() { n = w.in.table.Len() })
+	for n := 0; n != 101; { // the table drops the connections that were reset
+		front.onLoop(func() { n = front.ingress.table.Len() })
 	}
 }
 
-// A process that was paused for longer than two heartbeats must not close its clients: their frames are unread.
-func TestPauseOfTheProcess(t *testing.T) {
-	w := newCrowd(t, newBroker(t), 10, time.Second)
-	c := dialAs(t, w.addr, amqp.Table{}, 1)
+// A process that was paused for more than two heartbeat intervals must not close its clients' connections: their frames
+// have arrived and are unread.
+func TestProcessPauseClosesNoClient(t *testing.T) {
+	front := newTestFront(t, newBroker(t), 10, time.Second)
+	client := dialAs(t, front.addr, amqp.Table{}, 1)
 	stop := make(chan bool)
 	go func() {
 		for {
@@ -146,89 +149,94 @@
 			case <-stop:
 				return
 			case <-time.After(300 * time.Millisecond):
-				_, _ = c.Write(amqp.AppendFrame(nil, amqp.FrameBeat, 0, nil))
+				_, _ = client.Write(amqp.AppendFrame(nil, amqp.FrameBeat, 0, nil))
 			}
 		}
 	}()
-	w.on(func() { time.Sleep(2500 * time.Millisecond) })
+	front.onLoop(func() { time.Sleep(2500 * time.Millisecond) })
 	close(stop)
-	c.method(1, amqp.Qos, 0, 0, false)
-	c.want(amqp.QosOk)
+	client.writeMethod(1, amqp.Qos, 0, 0, false)
+	client.want(amqp.QosOk)
 }
 
-// Half a frame is ended with the specification's code once its time is over, also where no heartbeats were agreed on;
-// a new connection over the limit gets a reply before it is closed.
-func TestHalfAFrameAndNoRoom(t *testing.T) {
-	w := newCrowd(t, newBroker(t), 1, 0)
-	c := dial(t, w.addr)
-	_, _ = c.Write([]byte{amqp.FrameMethod, 0, 1, 0, 0})
+// A connection with a partial frame over its time limit is closed with the reply code of the specification, also
+// without heartbeats. A new connection over the connection limit gets a reply before it is closed.
+func TestPartialFrameTimeoutAndConnectionLimit(t *testing.T) {
+	front := newTestFront(t, newBroker(t), 1, 0)
+	client := dial(t, front.addr)
+	_, _ = client.Write([]byte{amqp.FrameMethod, 0, 1, 0, 0})
 	for n := 0; n == 0; {
-		w.on(func() { n = w.in.table.Counts()[conntable.Partial] })
+		front.onLoop(func() { n = front.ingress.table.Counts()[conntable.Partial] })
 	}
-	w.on(func() { w.in.table.Move(&firstOf(w.in).Entry, conntable.Stuck, w.r.Now()) }) // as with something open
-	second, err := dialRaw(t, w.addr)
+	front.onLoop(func() { // as if a publish was pending, so that the connection is not evicted for the next one
+		front.ingress.table.Move(&lastSession(front.ingress).Entry, conntable.Stuck, front.react.Now())
+	})
+	second, err := dialRaw(t, front.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m := second.want(amqp.ConnClose); m.Int(0) != amqp.ResourceError {
-		t.Fatal(m.Int(0), m.Str(1))
+	if msg := second.want(amqp.ConnClose); msg.Int(0) != amqp.ResourceError {
+		t.Fatal(msg.Int(0), msg.Str(1))
 	}
-	w.on(func() { w.in.table.Expire(w.r.Now()+11*time.Second, 10, conntable.Unread, conntable.End) })
-	if m := c.want(amqp.ConnClose); m.Int(0) != amqp.FrameError {
-		t.Fatal(m.Int(0), m.Str(1))
+	front.onLoop(func() {
+		front.ingress.table.Expire(front.react.Now()+11*time.Second, 10, conntable.Unread, conntable.End)
+	})
+	if msg := client.want(amqp.ConnClose); msg.Int(0) != amqp.FrameError {
+		t.Fatal(msg.Int(0), msg.Str(1))
 	}
 }
 
-func firstOf(in *Ingress) (s *session) {
-	in.table.Each(func(e *conntable.Entry) { s, _ = e.Owner().(*session) })
+// lastSession returns a session of the ingress, or nil. It is meant for an ingress with one connection.
+func lastSession(ingress *Ingress) (s *session) {
+	ingress.table.Each(func(e *conntable.Entry) { s, _ = e.Owner().(*session) })
 	return s
 }
 
-// The bytes of an idle client with one channel: its records, and what the heap holds for ten thousand of them with the
-// table and the wheel.
+// The memory of an idle client with one channel is limited: the sizes of its structs, and its bytes of heap, measured
+// for 10,000 clients with the connection table and the timer wheel.
 func TestSessionBytes(t *testing.T) {
 	if n := unsafe.Sizeof(session{}); n > 320 {
-		t.Errorf("a session's record takes %d bytes", n)
+		t.Errorf("the session struct has %d bytes", n)
 	}
 	if n := unsafe.Sizeof(channel{}); n > 208 {
-		t.Errorf("a channel's record takes %d bytes", n)
+		t.Errorf("the channel struct has %d bytes", n)
 	}
-	if _, _, each := inMemory(10_000); each > 640 {
-		t.Errorf("an idle session takes %d bytes of heap", each)
+	if _, _, each := newIdleSessions(10_000); each > 640 {
+		t.Errorf("an idle session has %d bytes of heap", each)
 	}
 }
 
-// inMemory makes idle sessions with one channel each, without sockets, and tells their bytes of heap.
-func inMemory(n int) (l *loop.Loop, list []*session, each uint64) {
-	l = loop.New()
+// newIdleSessions returns n idle sessions with one channel each, without sockets, and the bytes of heap of each.
+func newIdleSessions(n int) (eventLoop *loop.Loop, sessions []*session, each uint64) {
+	eventLoop = loop.New()
 	in := &Ingress{table: conntable.NewRoom(n).NewTable(Limits(n))}
-	list = make([]*session, n)
+	sessions = make([]*session, n)
 	before := testkit.HeapBytes()
-	for i := range list {
-		s := &session{ingress: in, amqpConn: newAMQPConn(l), stage: stageReady}
+	for i := range sessions {
+		s := &session{ingress: in, amqpConn: newAMQPConn(eventLoop), stage: stageReady}
 		s.conn, s.channels = &reactor.Conn{}, []*channel{{session: s, id: 1}}
 		in.table.Admit(&s.Entry, s, netip.Addr{}, 0)
 		s.startHeartbeats(10*time.Second, s)
-		list[i] = s
+		sessions[i] = s
 	}
-	return l, list, (testkit.HeapBytes() - before) / uint64(n)
+	return eventLoop, sessions, (testkit.HeapBytes() - before) / uint64(n)
 }
 
-// A quarter of a million idle sessions through the table and the wheel: bytes for each, and what it costs that one is
-// heard, stands in its list anew and sets its timer anew.
+// BenchmarkIdleSessions measures, with up to 250,000 idle sessions, the heap bytes of a session and the time to move
+// one to another class of the connection table and back, and to arm its timer again.
 func BenchmarkIdleSessions(b *testing.B) {
 	for _, n := range []int{1_000, 17_000, 250_000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
-			l, list, each := inMemory(n)
+			eventLoop, sessions, each := newIdleSessions(n)
 			b.ResetTimer()
 			for i := range b.N {
-				s := list[i*7919%n]
+				s := sessions[i*7919%n]
 				s.addPending(1)
 				s.addPending(-1)
-				l.Arm(&s.timer, s.heartbeat/2, timers.Soft, s)
+				eventLoop.Arm(&s.timer, s.heartbeat/2, timers.Soft, s)
 			}
 			b.ReportMetric(float64(each), "B/session")
-			runtime.KeepAlive(list)
+			runtime.KeepAlive(sessions)
 		})
 	}
 }
--- a/internal/net/amqpfront/ledger_test.go
+++ b/internal/net/amqpfront/ledger_test.go
@@ -18,23 +18,23 @@
 	"pgregory.net/rapid"
 )
 
-// The ledger against a map: what a confirm takes off is what was published up to its tag, or just
-// that, and not settled.
-func TestLedgerAgainstModel(t *testing.T) {
+// The confirm tracker against a map: a confirm settles the publish with its tag or, with multiple, all publishes up to
+// it that are not settled yet.
+func TestConfirmTrackerAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var l confirmTracker
-		model, last := map[uint64]*publishAttempt{}, uint64(0)
+		var tracker confirmTracker
+		model, lastTag := map[uint64]*publishAttempt{}, uint64(0)
 		t.Repeat(map[string]func(*rapid.T){
 			"publish": func(*rapid.T) {
-				p := &publishAttempt{attempt: sender.Attempt{ID: fmt.Sprint(last + 1)}}
-				l.add(p)
-				last++
-				model[last] = p
+				p := &publishAttempt{attempt: sender.Attempt{ID: fmt.Sprint(lastTag + 1)}}
+				tracker.add(p)
+				lastTag++
+				model[lastTag] = p
 			},
 			"confirm": func(t *rapid.T) {
-				tag, multiple := rapid.Uint64Range(0, last+1).Draw(t, "tag"), rapid.Bool().Draw(t, "multiple")
-				hit, ok := l.settle(tag, multiple)
-				if ok != (tag <= last && (tag > 0 || multiple)) {
+				tag, multiple := rapid.Uint64Range(0, lastTag+1).Draw(t, "tag"), rapid.Bool().Draw(t, "multiple")
+				settled, ok := tracker.settle(tag, multiple)
+				if ok != (tag <= lastTag && (tag > 0 || multiple)) {
 					t.Fatal(tag, ok)
 				}
 				var want []*publishAttempt
@@ -44,8 +44,8 @@
 						delete(model, k)
 					}
 				}
-				if !slices.Equal(hit, want) {
-					t.Fatal(tag, multiple, len(hit), len(want))
+				if !slices.Equal(settled, want) {
+					t.Fatal(tag, multiple, len(settled), len(want))
 				}
 			},
 			"give up": func(t *rapid.T) {
@@ -53,86 +53,89 @@
 					t.Skip()
 				}
 				k := rapid.SampledFrom(slices.Sorted(maps.Keys(model))).Draw(t, "which")
-				l.remove(model[k])
+				tracker.remove(model[k])
 				delete(model, k)
 			},
 			"": func(t *rapid.T) {
 				for k, p := range model {
-					if l.find(fmt.Sprint(k)) != p {
+					if tracker.find(fmt.Sprint(k)) != p {
 						t.Fatal(k)
 					}
 				}
-				if len(l.unconfirmed) != len(model) || l.anyAwaited() != (len(model) > 0) {
-					t.Fatal(len(l.unconfirmed), len(model))
+				if len(tracker.unconfirmed) != len(model) || tracker.anyAwaited() != (len(model) > 0) {
+					t.Fatal(len(tracker.unconfirmed), len(model))
 				}
 			},
 		})
 	})
 }
 
-// Messages that may be repeated share a channel and are confirmed by one ack; unsafe ones have one each.
+// Idempotent messages share a channel and are confirmed by one ack. Each unsafe message has a channel of its own.
 func TestPublishesShareAChannel(t *testing.T) {
 	for class, shared := range map[string]bool{"safe": true, "once": false} {
-		b := newBroker(t)
+		broker := newBroker(t)
 		var mu sync.Mutex
-		on, open, most := map[uint16]uint64{}, 0, 0
-		b.publish = func(s *side, ch uint16, m *amqp.Message, tag uint64) {
-			b.apply(m)
+		tagByChannel, unconfirmed, maxChannels := map[uint16]uint64{}, 0, 0
+		broker.publish = func(conn *frameConn, ch uint16, msg *amqp.Message, tag uint64) {
+			broker.apply(msg)
 			mu.Lock()
 			defer mu.Unlock()
-			on[ch] = tag
-			if open++; open < 4 && m.Props.MessageID != "first" {
+			tagByChannel[ch] = tag
+			if unconfirmed++; unconfirmed < 4 && msg.Props.MessageID != "first" {
 				return
 			}
-			most = max(most, len(on))
-			for ch, tag := range on {
-				s.method(ch, amqp.Ack, tag, true)
+			maxChannels = max(maxChannels, len(tagByChannel))
+			for ch, tag := range tagByChannel {
+				conn.writeMethod(ch, amqp.Ack, tag, true)
 			}
-			clear(on)
-			open = 0
+			clear(tagByChannel)
+			unconfirmed = 0
 		}
-		addr, _ := start(t, t.TempDir(), b)
-		c := dial(t, addr)
-		c.consume()
-		c.publish("first", class)
-		c.want(amqp.Ack)
-		c.answer("first", true)
+		addr, _ := start(t, t.TempDir(), broker)
+		client := dial(t, addr)
+		client.consume()
+		client.publish("first", class)
+		client.want(amqp.Ack)
+		client.wantAnswer("first", true)
 		for i := range 4 {
-			c.publish(fmt.Sprint("m", i), class)
+			client.publish(fmt.Sprint("m", i), class)
 		}
 		for ended := 0; ended < 4; {
-			_, m, err := c.next()
+			_, msg, err := client.next()
 			if err != nil {
 				t.Fatal(class, err)
 			}
-			if m.Key == amqp.Deliver {
-				if ended++; m.Props.Type != "delivered" || b.count(m.Props.MessageID) != 1 {
-					t.Error(class, m.Props.MessageID, m.Props.Type)
+			if msg.Key == amqp.Deliver {
+				if ended++; msg.Props.Type != "delivered" || broker.count(msg.Props.MessageID) != 1 {
+					t.Error(class, msg.Props.MessageID, msg.Props.Type)
 				}
 			}
 		}
-		if mu.Lock(); (most == 1) != shared {
-			t.Errorf("%s: on %d channels", class, most)
+		if mu.Lock(); (maxChannels == 1) != shared {
+			t.Errorf("%s: published on %d channels", class, maxChannels)
 		}
 		mu.Unlock()
 	}
 }
 
-// A confirm with multiple that covers a publish which was given up settles it too, and its channel serves on; one that
-// covers nothing else closes it, and what was given up ends as such.
+// A confirm with multiple that covers a given-up publish settles it too, and the channel stays in use. If the confirm
+// does not cover it, the channel is closed, and the publish ends as given up.
 func TestConfirmCoversAGivenUpPublish(t *testing.T) {
 	for _, covered := range []bool{true, false} {
-		b := newBroker(t)
-		type seen struct {
+		broker := newBroker(t)
+		type publishTag struct {
 			ch  uint16
 			tag uint64
 		}
-		came, conns2 := make(chan seen, 9), make(chan *side, 9)
-		b.publish = func(s *side, ch uint16, m *amqp.Message, tag uint64) { conns2 <- s; came <- seen{ch, tag} }
-		var e *Egress
-		var at *reactor.Reactor
-		standin.Start(t, t.TempDir(), func(c *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
-			at, e = r, NewEgress(c, r, standin.Long, conntable.NewRoom(100))
+		published, conns := make(chan publishTag, 9), make(chan *frameConn, 9)
+		broker.publish = func(conn *frameConn, ch uint16, msg *amqp.Message, tag uint64) {
+			conns <- conn
+			published <- publishTag{ch, tag}
+		}
+		var egress *Egress
+		var loopReactor *reactor.Reactor
+		standin.Start(t, t.TempDir(), func(core *sender.Sender, react *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
+			loopReactor, egress = react, NewEgress(core, react, standin.Long, conntable.NewRoom(100))
 			return func(*reactor.Conn) reactor.Handler { return nil }
 		})
 		send := func(ids ...string) {
@@ -143,61 +146,61 @@
 					Deadline: clock.Steady().Add(time.Minute),
 				})
 			}
-			at.Post(func() { e.Send(listed(e, b), attempts) })
+			loopReactor.Post(func() { egress.Send(addToGate(egress, broker), attempts) })
 		}
-		out := func() int {
+		inFlight := func() int {
 			n := make(chan int)
-			at.Post(func() { n <- len(e.attempts) })
+			loopReactor.Post(func() { n <- len(egress.attempts) })
 			return <-n
 		}
 		send("a", "b")
-		first, second := <-came, <-came
+		first, second := <-published, <-published
 		if first.ch != second.ch || second.tag != 2 {
 			t.Fatal(first, second)
 		}
-		s := <-conns2
-		at.Post(func() { e.Cancel("a", 0) })
-		if out() != 2 {
-			t.Fatal("it ended while its channel lives")
+		conn := <-conns
+		loopReactor.Post(func() { egress.Cancel("a", 0) })
+		if inFlight() != 2 {
+			t.Fatal("the attempt ended before its channel was closed")
 		}
 		if covered {
-			s.method(first.ch, amqp.Ack, 2, true)
+			conn.writeMethod(first.ch, amqp.Ack, 2, true)
 		} else {
-			s.method(first.ch, amqp.Ack, 2, false)
+			conn.writeMethod(first.ch, amqp.Ack, 2, false)
 		}
-		for out() > 0 {
+		for inFlight() > 0 {
 			time.Sleep(time.Millisecond)
 		}
 		send("c")
-		third := <-came
+		third := <-published
 		if same := third.ch == first.ch && third.tag == 3; same != covered {
 			t.Fatal(covered, first, third)
 		}
 	}
 }
 
-// A confirm that comes late, for a channel that was closed, is taken for no other publish.
+// A late confirm for a closed channel is not taken for that of another publish.
 func TestLateConfirmOfAClosedChannel(t *testing.T) {
-	b := newBroker(t)
+	broker := newBroker(t)
 	var old uint16
-	b.publish = func(s *side, ch uint16, m *amqp.Message, tag uint64) {
-		if m.Props.MessageID == "a" {
-			old = ch // says nothing: it is given up, and its channel closed
+	broker.publish = func(conn *frameConn, ch uint16, msg *amqp.Message, tag uint64) {
+		if msg.Props.MessageID == "a" {
+			old = ch // no confirm: the publish is given up, and its channel closed
 			return
 		}
-		s.method(old, amqp.Ack, 1, true)
+		conn.writeMethod(old, amqp.Ack, 1, true)
 	}
-	addr, _ := start(t, t.TempDir(), b)
-	c := dial(t, addr)
-	c.consume()
-	c.publish("a", "once", func(p *amqp.Props) { p.Expiration = "400" })
-	c.want(amqp.Ack)
-	if got := c.answer("a", true); got != "failed" {
+	addr, _ := start(t, t.TempDir(), broker)
+	client := dial(t, addr)
+	client.consume()
+	client.publish("a", "once", func(props *amqp.Props) { props.Expiration = "400" })
+	client.want(amqp.Ack)
+	if got := client.wantAnswer("a", true); got != "failed" {
 		t.Fatal(got)
 	}
-	c.publish("b", "once", func(p *amqp.Props) { p.Expiration = "3000" })
-	c.want(amqp.Ack)
-	if got := c.answer("b", true); got == "delivered" {
-		t.Fatal("another channel's confirm was taken for its own")
+	client.publish("b", "once", func(props *amqp.Props) { props.Expiration = "3000" })
+	client.want(amqp.Ack)
+	if got := client.wantAnswer("b", true); got == "delivered" {
+		t.Fatal("the confirm of another channel was taken for that of this publish")
 	}
 }
--- a/internal/net/amqpfront/login_test.go
+++ b/internal/net/amqpfront/login_test.go
@@ -7,7 +7,8 @@
 	"brackendale/internal/net/amqp"
 )
 
-func lab(t *testing.T) *access.Policy {
+// labPolicy is a policy with two virtual hosts, the root host and "apart", which only the user "lab" may open.
+func labPolicy(t *testing.T) *access.Policy {
 	t.Helper()
 	hash, err := access.Hash("s3")
 	if err != nil {
@@ -24,37 +25,40 @@
 	return p
 }
 
-// come logs in and gives what the sender says to the login, and to the opening of a host.
-func come(t *testing.T, addr, mechanism, response, host string) (*client, *amqp.Message) {
+// authenticate logs in and opens a virtual host. It returns the last reply: to the login if that fails, otherwise to
+// connection.open.
+func authenticate(t *testing.T, addr, mechanism, response, host string) (*testClient, *amqp.Message) {
 	t.Helper()
 	c, err := dialRaw(t, addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.want(amqp.ConnStart)
-	c.method(0, amqp.ConnStartOk, amqp.Table{}, mechanism, response, "en_US")
-	_, m, err := c.next()
+	c.writeMethod(0, amqp.ConnStartOk, amqp.Table{}, mechanism, response, "en_US")
+	_, msg, err := c.next()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m.Key == amqp.ConnTune {
-		c.method(0, amqp.ConnTuneOk, 8, amqp.FrameMin, 0)
-		c.method(0, amqp.ConnOpen, host, "", false)
-		if _, m, err = c.next(); err != nil {
+	if msg.Key == amqp.ConnTune {
+		c.writeMethod(0, amqp.ConnTuneOk, 8, amqp.FrameMin, 0)
+		c.writeMethod(0, amqp.ConnOpen, host, "", false)
+		if _, msg, err = c.next(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return c, m
+	return c, msg
 }
 
-// Both mechanisms let in who has the password, into hosts that are open to them, and nobody else.
+// PLAIN and AMQPLAIN admit only users with the right password, and only into hosts that they may open. EXTERNAL admits
+// no client without a certificate.
 func TestLogin(t *testing.T) {
-	addr, _ := startFor(t, t.TempDir(), newBroker(t), lab(t))
+	addr, _ := startFor(t, t.TempDir(), newBroker(t), labPolicy(t))
 	table := func(t amqp.Table) string {
-		m := amqp.AppendMethod(nil, 0, amqp.ConnStartOk, t, "", "", "")
-		return string(m[7+4+4 : len(m)-1-1-4-1]) // the fields alone: frame head, method, length; three empty strings, end
+		msg := amqp.AppendMethod(nil, 0, amqp.ConnStartOk, t, "", "", "")
+		// Only the fields: without frame header, method and length, and without three empty strings and the end octet.
+		return string(msg[7+4+4 : len(msg)-1-1-4-1])
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		mechanism, response, host string
 		code                      uint64
 	}{
@@ -64,8 +68,8 @@
 		{"PLAIN", "\x00lab\x00s4", "/", amqp.AccessRefused},
 		{"PLAIN", "\x00nobody\x00s3", "/", amqp.AccessRefused},
 		{"PLAIN", "\x00lab", "/", amqp.AccessRefused},
-		{"PLAIN", "\x00guest\x00s3", "/", 0}, // by its hash
-		{"PLAIN", "\x00guest\x00s3", "/", 0}, // and again, as remembered
+		{"PLAIN", "\x00guest\x00s3", "/", 0}, // compared with the hash
+		{"PLAIN", "\x00guest\x00s3", "/", 0}, // found in the checker's cache
 		{"PLAIN", "\x00guest\x00s4", "/", amqp.AccessRefused},
 		{"AMQPLAIN", table(amqp.Table{"LOGIN": "lab", "PASSWORD": "s3"}), "/", 0},
 		{"AMQPLAIN", table(amqp.Table{"LOGIN": "lab", "PASSWORD": "s"}), "/", amqp.AccessRefused},
@@ -76,47 +80,48 @@
 		{"PLAIN", "\x00guest\x00s3", "apart", amqp.NotAllowed},
 		{"PLAIN", "\x00lab\x00s3", "nowhere", amqp.NotAllowed},
 	} {
-		x, m := come(t, addr, c.mechanism, c.response, c.host)
-		if (m.Key == amqp.ConnOpenOk) != (c.code == 0) || m.Key == amqp.ConnClose && m.Int(0) != c.code {
-			t.Errorf("%s %q in %q: %s %v", c.mechanism, c.response, c.host, m.Key, m.Method)
+		client, msg := authenticate(t, addr, test.mechanism, test.response, test.host)
+		if (msg.Key == amqp.ConnOpenOk) != (test.code == 0) || msg.Key == amqp.ConnClose && msg.Int(0) != test.code {
+			t.Errorf("%s %q to host %q: got %s %v", test.mechanism, test.response, test.host, msg.Key, msg.Method)
 		}
-		if c.response == "\x00guest\x00s3" && c.code == 0 {
+		if test.response == "\x00guest\x00s3" && test.code == 0 {
 			for secret, want := range map[string]amqp.Key{"s3": amqp.ConnSecretOk} {
-				x.method(0, amqp.ConnSecret, secret, "")
-				x.want(want)
+				client.writeMethod(0, amqp.ConnSecret, secret, "")
+				client.want(want)
 			}
-			x.method(0, amqp.ConnSecret, "s4", "")
-			x.want(amqp.ConnClose)
+			client.writeMethod(0, amqp.ConnSecret, "s4", "")
+			client.want(amqp.ConnClose)
 		}
-		_ = x.Close()
+		_ = client.Close()
 	}
 }
 
-// A host has queues of its own, its exchange and destinations, and users do there what they may; its messages' ends
-// find it in the next incarnation too.
+// A virtual host has its own queues, exchange and destinations, and enforces its users' permissions. The final answers
+// to its messages are delivered to it after a restart too.
 func TestVirtualHosts(t *testing.T) {
-	b, dir := newBroker(t), t.TempDir()
-	addr, kill := startFor(t, dir, b, lab(t))
-	enter := func(host string) *client {
+	broker, dir := newBroker(t), t.TempDir()
+	addr, kill := startFor(t, dir, broker, labPolicy(t))
+	enter := func(host string) *testClient {
 		t.Helper()
-		c, m := come(t, addr, "PLAIN", "\x00lab\x00s3", host)
-		if m.Key != amqp.ConnOpenOk {
-			t.Fatal(m.Method)
+		client, msg := authenticate(t, addr, "PLAIN", "\x00lab\x00s3", host)
+		if msg.Key != amqp.ConnOpenOk {
+			t.Fatal(msg.Method)
 		}
-		c.method(1, amqp.ChanOpen, "")
-		c.want(amqp.ChanOpenOk)
-		c.method(1, amqp.ConfirmSelect, false)
-		c.want(amqp.ConfirmOk)
-		return c
+		client.writeMethod(1, amqp.ChanOpen, "")
+		client.want(amqp.ChanOpenOk)
+		client.writeMethod(1, amqp.ConfirmSelect, false)
+		client.want(amqp.ConfirmOk)
+		return client
 	}
-	put := func(c *client, id, exchange, key, replyTo string) *amqp.Message {
-		p := &amqp.Props{MessageID: id, Type: "once", ReplyTo: replyTo}
-		_, _ = c.Write(amqp.AppendMessage(nil, 1, amqp.Publish, p, nil, amqp.FrameMin, 0, exchange, key, false, false))
-		_, m, err := c.next()
+	publish := func(client *testClient, id, exchange, key, replyTo string) *amqp.Message {
+		props := &amqp.Props{MessageID: id, Type: "once", ReplyTo: replyTo}
+		_, _ = client.Write(amqp.AppendMessage(nil, 1, amqp.Publish, props, nil, amqp.FrameMin,
+			0, exchange, key, false, false))
+		_, msg, err := client.next()
 		if err != nil {
 			t.Fatal(err)
 		}
-		return m
+		return msg
 	}
 	for _, bad := range []struct {
 		exchange, key, replyTo string
@@ -127,35 +132,35 @@
 		{"other", "8", "mine-a", amqp.NotFound},
 		{"other", "7", "yours", amqp.AccessRefused},
 	} {
-		if m := put(enter("apart"), "bad", bad.exchange, bad.key, bad.replyTo); m.Key != amqp.ChanClose ||
-			m.Int(0) != bad.code {
-			t.Fatal(bad, m.Method)
+		if msg := publish(enter("apart"), "bad", bad.exchange, bad.key, bad.replyTo); msg.Key != amqp.ChanClose ||
+			msg.Int(0) != bad.code {
+			t.Fatal(bad, msg.Method)
 		}
 	}
-	c := enter("apart")
-	if m := put(c, "m", "other", "7", "mine-a"); m.Key != amqp.Ack {
-		t.Fatal(m.Method)
+	client := enter("apart")
+	if msg := publish(client, "m", "other", "7", "mine-a"); msg.Key != amqp.Ack {
+		t.Fatal(msg.Method)
 	}
 	root := enter("/")
-	if m := put(root, "m", "messages", "7", "mine-a"); m.Key != amqp.Nack { // another host's id
-		t.Fatal(m.Method)
+	if msg := publish(root, "m", "messages", "7", "mine-a"); msg.Key != amqp.Nack { // an ID in use by another host
+		t.Fatal(msg.Method)
 	}
-	wait := func(c *client) {
+	wait := func(client *testClient) {
 		t.Helper()
-		c.method(1, amqp.Consume, 0, "mine-a", "", false, false, false, false, amqp.Table{})
-		c.want(amqp.ConsumeOk)
-		if m := c.want(amqp.Deliver); m.Props.MessageID != "m" || m.Props.Type != "delivered" {
-			t.Fatal(m.Props)
+		client.writeMethod(1, amqp.Consume, 0, "mine-a", "", false, false, false, false, amqp.Table{})
+		client.want(amqp.ConsumeOk)
+		if msg := client.want(amqp.Deliver); msg.Props.MessageID != "m" || msg.Props.Type != "delivered" {
+			t.Fatal(msg.Props)
 		}
 	}
-	wait(c) // and does not acknowledge
+	wait(client) // without an acknowledgement
 	kill()
-	addr, _ = startFor(t, dir, b, lab(t))
+	addr, _ = startFor(t, dir, broker, labPolicy(t))
 	root = enter("/")
-	root.method(1, amqp.Get, 0, "mine-a", false)
+	root.writeMethod(1, amqp.Get, 0, "mine-a", false)
 	root.want(amqp.ChanClose) // no such queue here
 	wait(enter("apart"))
-	if b.count("m") != 1 {
-		t.Fatal(b.count("m"))
+	if broker.count("m") != 1 {
+		t.Fatal(broker.count("m"))
 	}
 }
--- a/internal/net/amqpfront/tx_test.go
+++ b/internal/net/amqpfront/tx_test.go
@@ -7,106 +7,107 @@
 	"brackendale/internal/net/amqp"
 )
 
-// dialTx opens a client whose channel 2 has transactions.
-func dialTx(t *testing.T, addr string) *client {
+// dialTx opens a client with channel 1 in confirm mode and channel 2 with transactions.
+func dialTx(t *testing.T, addr string) *testClient {
 	t.Helper()
-	c := dial(t, addr)
-	c.method(2, amqp.ChanOpen, "")
-	c.want(amqp.ChanOpenOk)
-	c.method(2, amqp.TxSelect)
-	c.want(amqp.TxSelectOk)
-	return c
+	client := dial(t, addr)
+	client.writeMethod(2, amqp.ChanOpen, "")
+	client.want(amqp.ChanOpenOk)
+	client.writeMethod(2, amqp.TxSelect)
+	client.want(amqp.TxSelectOk)
+	return client
 }
 
-// put publishes on channel 2, which says nothing until its commit.
-func (c *client) put(id string) {
-	p := &amqp.Props{MessageID: id, Type: "once", ReplyTo: "answers"}
-	_, _ = c.Write(amqp.AppendMessage(nil, 2, amqp.Publish, p, []byte("body"), amqp.FrameMin, 0, "messages", "7",
+// publishInTx publishes on channel 2, which sends no reply until the commit.
+func (c *testClient) publishInTx(id string) {
+	props := &amqp.Props{MessageID: id, Type: "once", ReplyTo: "answers"}
+	_, _ = c.Write(amqp.AppendMessage(nil, 2, amqp.Publish, props, []byte("body"), amqp.FrameMin, 0, "messages", "7",
 		false, false))
 }
 
-// What was published counts from the commit on, all of it; what was rolled back, or cut off before the commit's last
-// byte, never does.
+// The publishes of a transaction take effect together at its commit. They have no effect after a rollback, or if the
+// connection ends before the last byte of the commit.
 func TestTxPublishes(t *testing.T) {
-	b := newBroker(t)
-	addr, _ := start(t, t.TempDir(), b)
-	c := dialTx(t, addr)
-	c.put("back")
-	c.method(2, amqp.TxRollback)
-	c.want(amqp.TxRollbackOk)
+	broker := newBroker(t)
+	addr, _ := start(t, t.TempDir(), broker)
+	client := dialTx(t, addr)
+	client.publishInTx("back")
+	client.writeMethod(2, amqp.TxRollback)
+	client.want(amqp.TxRollbackOk)
 	commit := amqp.AppendMethod(nil, 2, amqp.TxCommit)
 	for cut := range commit {
-		x := dialTx(t, addr)
-		x.put(fmt.Sprint("cut", cut))
-		_, _ = x.Write(commit[:cut])
-		_ = x.Close()
+		interrupted := dialTx(t, addr)
+		interrupted.publishInTx(fmt.Sprint("cut", cut))
+		_, _ = interrupted.Write(commit[:cut])
+		_ = interrupted.Close()
 	}
-	c.put("a")
-	c.put("b")
-	c.method(2, amqp.TxCommit)
-	c.want(amqp.TxCommitOk)
-	c.consume()
+	client.publishInTx("a")
+	client.publishInTx("b")
+	client.writeMethod(2, amqp.TxCommit)
+	client.want(amqp.TxCommitOk)
+	client.consume()
 	for range 2 {
-		c.method(1, amqp.Ack, c.want(amqp.Deliver).Int(1), false)
+		client.writeMethod(1, amqp.Ack, client.want(amqp.Deliver).Int(1), false)
 	}
-	if len(b.applied) != 2 || b.count("a") != 1 || b.count("b") != 1 {
-		t.Fatal(b.applied)
+	if len(broker.applied) != 2 || broker.count("a") != 1 || broker.count("b") != 1 {
+		t.Fatal(broker.applied)
 	}
 }
 
-// A transaction that has no room as a whole is refused as a whole, with its channel; so is one that was never bounded.
+// A transaction that exceeds the sender's queue limit is rejected as a whole, and its channel is closed. So is one that
+// exceeds the limit for transactions. Neither leaves anything in the queue.
 func TestTxAllOrNone(t *testing.T) {
-	b := newBroker(t)
-	addr, _ := start(t, t.TempDir(), b)
-	for _, n := range []int{101, maxTxMessages + 1} { // the hold has 100
-		c := dialTx(t, addr)
+	broker := newBroker(t)
+	addr, _ := start(t, t.TempDir(), broker)
+	for _, n := range []int{101, maxTxMessages + 1} { // the sender's queue limit is 100 messages
+		client := dialTx(t, addr)
 		for i := range n {
-			c.put(fmt.Sprint("m", i))
+			client.publishInTx(fmt.Sprint("m", i))
 		}
-		c.method(2, amqp.TxCommit)
-		if x := c.want(amqp.ChanClose); x.Int(0) != amqp.PreconditionFailed {
-			t.Fatal(x.Int(0), x.Str(1))
+		client.writeMethod(2, amqp.TxCommit)
+		if msg := client.want(amqp.ChanClose); msg.Int(0) != amqp.PreconditionFailed {
+			t.Fatal(msg.Int(0), msg.Str(1))
 		}
-		c.publish("after", "once") // the hold is as free as before
-		c.want(amqp.Ack)
+		client.publish("after", "once") // the queue has as much room as before
+		client.want(amqp.Ack)
 	}
-	if len(b.applied) > 1 {
-		t.Fatal(b.applied)
+	if len(broker.applied) > 1 {
+		t.Fatal(broker.applied)
 	}
 }
 
-// An acknowledgement counts once it is committed: rolled back it may be said again, and with its channel gone its
-// answer comes again, as redelivered.
+// An acknowledgement takes effect at its commit. After a rollback it can be sent again, and if its channel ends before
+// the commit, the answer is delivered again.
 func TestTxAcks(t *testing.T) {
-	b := newBroker(t)
-	addr, _ := start(t, t.TempDir(), b)
-	c := dialTx(t, addr)
-	c.put("m")
-	c.method(2, amqp.TxCommit)
-	c.want(amqp.TxCommitOk)
-	consume := func(c *client) uint64 {
-		c.method(2, amqp.Consume, 0, "answers", "me", false, false, false, false, amqp.Table{})
-		c.want(amqp.ConsumeOk)
-		return c.want(amqp.Deliver).Int(1)
+	broker := newBroker(t)
+	addr, _ := start(t, t.TempDir(), broker)
+	client := dialTx(t, addr)
+	client.publishInTx("m")
+	client.writeMethod(2, amqp.TxCommit)
+	client.want(amqp.TxCommitOk)
+	consume := func(client *testClient) uint64 {
+		client.writeMethod(2, amqp.Consume, 0, "answers", "me", false, false, false, false, amqp.Table{})
+		client.want(amqp.ConsumeOk)
+		return client.want(amqp.Deliver).Int(1)
 	}
-	tag := consume(c)
+	tag := consume(client)
 	for range 2 {
-		c.method(2, amqp.Ack, tag, false)
-		c.method(2, amqp.TxRollback)
-		c.want(amqp.TxRollbackOk)
+		client.writeMethod(2, amqp.Ack, tag, false)
+		client.writeMethod(2, amqp.TxRollback)
+		client.want(amqp.TxRollbackOk)
 	}
-	c.method(2, amqp.Ack, tag, false) // said, and not committed
-	c.method(2, amqp.ChanClose, 200, "", 0, 0)
-	c.want(amqp.ChanCloseOk)
-	c = dialTx(t, addr)
-	tag = consume(c)
-	c.method(2, amqp.Ack, tag, false)
-	c.method(2, amqp.TxCommit)
-	c.want(amqp.TxCommitOk)
-	c.method(2, amqp.Ack, tag, false) // over
-	c.want(amqp.ChanClose)
-	c.method(1, amqp.Get, 0, "answers", false)
-	if x := c.want(amqp.ChanClose); x.Int(0) != amqp.NotFound { // the queue went with its last answer
-		t.Fatal(x.Int(0))
+	client.writeMethod(2, amqp.Ack, tag, false) // not committed
+	client.writeMethod(2, amqp.ChanClose, 200, "", 0, 0)
+	client.want(amqp.ChanCloseOk)
+	client = dialTx(t, addr)
+	tag = consume(client)
+	client.writeMethod(2, amqp.Ack, tag, false)
+	client.writeMethod(2, amqp.TxCommit)
+	client.want(amqp.TxCommitOk)
+	client.writeMethod(2, amqp.Ack, tag, false) // committed before: an unknown tag now
+	client.want(amqp.ChanClose)
+	client.writeMethod(1, amqp.Get, 0, "answers", false)
+	if msg := client.want(amqp.ChanClose); msg.Int(0) != amqp.NotFound { // the queue was deleted with its last answer
+		t.Fatal(msg.Int(0))
 	}
 }
