--- a/internal/app/idle_test.go
+++ b/internal/app/idle_test.go
@@ -212,7 +212,7 @@
 		}
 	}
 	say := func(b []byte) { _, _ = conn.Write(b) } // a peer that went is seen by the next read
-	say([]byte(amqp.Preamble))
+	say([]byte(amqp.ProtocolHeader))
 	want(amqp.ConnStart)
 	say(amqp.AppendMethod(nil, 0, amqp.ConnStartOk, amqp.Table{}, "PLAIN", "\x00a\x00b", "en_US"))
 	want(amqp.ConnTune)
@@ -222,7 +222,7 @@
 	if err := c.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	beat := amqp.AppendFrame(nil, amqp.FrameBeat, 0, nil)
+	beat := amqp.AppendFrame(nil, amqp.FrameHeartbeat, 0, nil)
 	for range 10 { // for longer than two heartbeats
 		say(beat)
 		time.Sleep(300 * time.Millisecond)
--- a/internal/load/idle.go
+++ b/internal/load/idle.go
@@ -74,7 +74,7 @@
 		m.write([]byte("*1\r\n$4\r\nPING\r\n"))
 		return
 	}
-	m.write([]byte(amqp.Preamble))
+	m.write([]byte(amqp.ProtocolHeader))
 }
 
 func (m *idleClient) write(b []byte) {
@@ -112,7 +112,7 @@
 	if m.pool.proto == RESP {
 		m.write([]byte("*1\r\n$4\r\nPING\r\n"))
 	} else {
-		m.write(amqp.AppendFrame(nil, amqp.FrameBeat, 0, nil))
+		m.write(amqp.AppendFrame(nil, amqp.FrameHeartbeat, 0, nil))
 	}
 	m.rearm()
 }
--- a/internal/net/amqp/amqp.go
+++ b/internal/net/amqp/amqp.go
@@ -57,10 +57,10 @@
 
 // The frame types.
 const (
-	FrameMethod = 1
-	FrameHeader = 2
-	FrameBody   = 3
-	FrameBeat   = 8 // a heartbeat
+	FrameMethod    = 1
+	FrameHeader    = 2
+	FrameBody      = 3
+	FrameHeartbeat = 8
 )
 
 // The layout of a frame: a header of type, channel and payload size, the payload, and the end octet.
@@ -80,8 +80,8 @@
 	MaxBody = 64 << 10
 )
 
-// Preamble is the protocol header, which a client sends first on a connection.
-const Preamble = "AMQP\x00\x00\x09\x01"
+// ProtocolHeader is the header that a client sends first on a connection.
+const ProtocolHeader = "AMQP\x00\x00\x09\x01"
 
 // Frame is one frame. Its payload is a slice of the buffer from which it was decoded.
 type Frame struct {
@@ -97,7 +97,7 @@
 		return Frame{}, 0, nil
 	}
 	switch kind := data[0]; kind {
-	case FrameMethod, FrameHeader, FrameBody, FrameBeat:
+	case FrameMethod, FrameHeader, FrameBody, FrameHeartbeat:
 	default:
 		return Frame{}, 0, Errorf(FrameError, "unknown kind of frame %d", kind)
 	}
@@ -116,7 +116,7 @@
 		return Frame{}, 0, Errorf(FrameError, "a frame without its end")
 	}
 	frame := Frame{Kind: data[0], Channel: binary.BigEndian.Uint16(data[1:]), Payload: data[frameHeaderSize:end]}
-	if frame.Kind == FrameBeat && (frame.Channel != 0 || size != 0) {
+	if frame.Kind == FrameHeartbeat && (frame.Channel != 0 || size != 0) {
 		return Frame{}, 0, Errorf(FrameError, "malformed heartbeat")
 	}
 	return frame, end + frameEndSize, nil
--- a/internal/net/amqp/amqp_test.go
+++ b/internal/net/amqp/amqp_test.go
@@ -20,7 +20,7 @@
 	stream = append(stream, AppendMessage(nil, 3, Publish, props, bytes.Repeat([]byte("body"), 3000), FrameMin,
 		0, "ex", "7", true, false)...)
 	stream = AppendMethod(stream, 3, Nack, uint64(1)<<40, false, true)
-	return AppendFrame(stream, FrameBeat, 0, nil)
+	return AppendFrame(stream, FrameHeartbeat, 0, nil)
 }
 
 // readMessages decodes messages up to the end of data or the first error, and returns the number of bytes consumed.
@@ -32,7 +32,7 @@
 			return messages, used, err
 		}
 		used += size
-		if frame.Kind == FrameBeat {
+		if frame.Kind == FrameHeartbeat {
 			continue
 		}
 		if assemblies[frame.Channel] == nil {
--- a/internal/net/amqp/grammar.go
+++ b/internal/net/amqp/grammar.go
@@ -14,7 +14,7 @@
 // RabbitMQ's documented extensions: confirm, basic.nack, connection.blocked and unblocked, connection.update-secret,
 // exchange.bind and exchange.unbind.
 //
-// Sides: S the server, C the client, B both. An = after the IDs names the method that must answer it, if there is one.
+// Sides: S the server, C the client, B both. An = after the IDs names the method with which the other side must reply.
 // Kinds: o octet, s short, l long, L longlong, b bit (adjacent bits share an octet), S short string, X long string,
 // T table. A * at the end means that a content follows.
 const grammar = `
@@ -96,7 +96,7 @@
 	FromServer bool // the server may send it
 	FromClient bool // the client may send it
 	Content    bool // a content header and a body follow
-	Answer     Key  // the method that must answer it; 0: none
+	Response   Key  // the method with which the other side must reply; 0: none
 
 	kinds string // the kinds of Args, one byte each
 }
@@ -133,7 +133,7 @@
 // parseGrammar parses the grammar. It panics on an error, because the text is a constant of this package.
 func parseGrammar(text string) map[Key]*Spec {
 	byKey, byName := map[Key]*Spec{}, map[string]*Spec{}
-	answers := map[*Spec]string{}
+	responses := map[*Spec]string{}
 	text = strings.ReplaceAll(text, "\n  ", " ") // continued lines
 	for line := range strings.Lines(strings.TrimSpace(text)) {
 		fields := strings.Fields(line)
@@ -151,7 +151,7 @@
 			case arg == "*":
 				spec.Content = true
 			case arg[0] == '=':
-				answers[spec] = strings.Split(name, ".")[0] + "." + arg[1:]
+				responses[spec] = strings.Split(name, ".")[0] + "." + arg[1:]
 			default:
 				spec.Args = append(spec.Args, Arg{Name: argName, Kind: kind[0]})
 				spec.kinds += kind
@@ -159,8 +159,8 @@
 		}
 		byKey[spec.Key], byName[name] = spec, spec
 	}
-	for spec, answer := range answers {
-		spec.Answer = byName[answer].Key
+	for spec, response := range responses {
+		spec.Response = byName[response].Key
 	}
 	return byKey
 }
--- a/internal/net/amqp/grammar_test.go
+++ b/internal/net/amqp/grammar_test.go
@@ -12,15 +12,15 @@
 
 func TestMain(m *testing.M) { testkit.Seeded(m, "100") }
 
-// The grammar has all 64 methods, those of the specification and RabbitMQ's documented extensions. The answer to a
+// The grammar has all 64 methods, those of the specification and RabbitMQ's documented extensions. The response to a
 // method is one of the same class that the other side may send.
 func TestGrammarIsComplete(t *testing.T) {
 	classes := map[uint16]int{}
 	Specs(func(spec *Spec) {
 		classes[spec.Class()]++
-		if answer, ok := SpecOf(spec.Answer); spec.Answer != 0 &&
-			(!ok || answer.FromServer != spec.FromClient && !spec.FromServer || answer.Class() != spec.Class()) {
-			t.Errorf("%s: answer %s is unknown, of another class, or not sent by the other side", spec.Name, spec.Answer)
+		if response, ok := SpecOf(spec.Response); spec.Response != 0 &&
+			(!ok || response.FromServer != spec.FromClient && !spec.FromServer || response.Class() != spec.Class()) {
+			t.Errorf("%s: response %s is unknown, of another class, or not sent by the other side", spec.Name, spec.Response)
 		}
 	})
 	for class, count := range map[uint16]int{10: 14, 20: 6, 40: 8, 50: 10, 60: 18, 85: 2, 90: 6} {
@@ -30,7 +30,7 @@
 	}
 	for method, name := range map[Key]string{
 		ExchangeUnbindOk: "exchange.unbind-ok", QueueUnbind: "queue.unbind", GetEmpty: "basic.get-empty",
-		RecoverOk: "basic.recover-ok", TxRollbackOk: "tx.rollback-ok", ConnSecretOk: "connection.update-secret-ok",
+		RecoverOk: "basic.recover-ok", TxRollbackOk: "tx.rollback-ok", ConnUpdateSecretOk: "connection.update-secret-ok",
 		Key(99 << 16): "method 99.0",
 	} {
 		if method.String() != name {
--- a/internal/net/amqpfront/brokerchannel.go
+++ b/internal/net/amqpfront/brokerchannel.go
@@ -144,7 +144,7 @@
 	switch msg.Key {
 	case amqp.ChanOpenOk:
 		l.writeMethod(ch.id, amqp.ConfirmSelect, false)
-	case amqp.ConfirmOk:
+	case amqp.ConfirmSelectOk:
 		if ch.state == channelOpening {
 			ch.state = channelOpen
 		}
--- a/internal/net/amqpfront/brokerlink.go
+++ b/internal/net/amqpfront/brokerlink.go
@@ -65,7 +65,7 @@
 // Up sends the protocol header once the transport is connected.
 func (l *brokerLink) Up(*reactor.Conn) {
 	l.connected = true
-	l.write([]byte(amqp.Preamble))
+	l.write([]byte(amqp.ProtocolHeader))
 }
 
 // Data handles the complete frames among the received bytes.
--- a/internal/net/amqpfront/dribble_test.go
+++ b/internal/net/amqpfront/dribble_test.go
@@ -49,7 +49,7 @@
 		conn = tls.Client(conn, keys)
 	}
 	client := &testClient{newFrameConn(conn), t}
-	_, _ = client.Write([]byte(amqp.Preamble))
+	_, _ = client.Write([]byte(amqp.ProtocolHeader))
 	return client
 }
 
--- a/internal/net/amqpfront/flowcontrol_test.go
+++ b/internal/net/amqpfront/flowcontrol_test.go
@@ -100,7 +100,7 @@
 	}
 	defer conn.Close()
 	reader, publisher := &testClient{newFrameConn(conn), t}, dial(t, addr)
-	_, _ = reader.Write([]byte(amqp.Preamble))
+	_, _ = reader.Write([]byte(amqp.ProtocolHeader))
 	reader.handshake(amqp.Table{}, 0)
 	// With no-ack, the number of unacknowledged answers is no limit.
 	reader.writeMethod(1, amqp.Consume, 0, "answers", "me", false, true, false, false, amqp.Table{})
--- a/internal/net/amqpfront/flowhelp_test.go
+++ b/internal/net/amqpfront/flowhelp_test.go
@@ -64,7 +64,7 @@
 		conn = tls.Client(conn, flowClientTLS)
 	}
 	client := &testClient{newFrameConn(conn), b}
-	_, _ = client.Write([]byte(amqp.Preamble))
+	_, _ = client.Write([]byte(amqp.ProtocolHeader))
 	client.handshake(amqp.Table{}, 0)
 	return client
 }
--- a/internal/net/amqpfront/front_test.go
+++ b/internal/net/amqpfront/front_test.go
@@ -37,7 +37,7 @@
 		}
 		if size > 0 {
 			c.buf = c.buf[size:]
-			if frame.Kind != amqp.FrameBeat {
+			if frame.Kind != amqp.FrameHeartbeat {
 				return frame, nil
 			}
 			continue
@@ -110,7 +110,7 @@
 // serve handles a connection until it ends.
 func (b *testBroker) serve(conn *frameConn) {
 	defer conn.Close()
-	header := make([]byte, len(amqp.Preamble))
+	header := make([]byte, len(amqp.ProtocolHeader))
 	if _, err := conn.Read(header); err != nil || b.step("preamble") {
 		return
 	}
@@ -156,7 +156,7 @@
 			if b.step("select") {
 				return
 			}
-			conn.writeMethod(frame.Channel, amqp.ConfirmOk)
+			conn.writeMethod(frame.Channel, amqp.ConfirmSelectOk)
 		case amqp.ChanClose:
 			conn.writeMethod(frame.Channel, amqp.ChanCloseOk)
 		case amqp.Publish:
@@ -225,7 +225,7 @@
 	}
 	t.Cleanup(func() { _ = c.Close() })
 	client := &testClient{newFrameConn(c), t}
-	_, _ = client.Write([]byte(amqp.Preamble))
+	_, _ = client.Write([]byte(amqp.ProtocolHeader))
 	return client, nil
 }
 
@@ -255,7 +255,7 @@
 	c.writeMethod(1, amqp.ChanOpen, "")
 	c.want(amqp.ChanOpenOk)
 	c.writeMethod(1, amqp.ConfirmSelect, false)
-	c.want(amqp.ConfirmOk)
+	c.want(amqp.ConfirmSelectOk)
 }
 
 // testClient is a client of the front. Its methods fail the test when the front replies with something else.
--- a/internal/net/amqpfront/golden_test.go
+++ b/internal/net/amqpfront/golden_test.go
@@ -121,13 +121,13 @@
 // open opens the connection and a channel in confirm mode, and lists each reply.
 func (r *recorder) open() {
 	r.t.Helper()
-	r.step("preamble", []byte(amqp.Preamble), amqp.ConnStart)
+	r.step("preamble", []byte(amqp.ProtocolHeader), amqp.ConnStart)
 	r.step("start-ok", encodeMethod(0, amqp.ConnStartOk, amqp.Table{}, "PLAIN", "\x00guest\x00guest", "en_US"),
 		amqp.ConnTune)
 	tune := encodeMethod(0, amqp.ConnTuneOk, 8, amqp.FrameMin, 0)
 	r.step("tune-ok, open", append(tune, encodeMethod(0, amqp.ConnOpen, "/", "", false)...), amqp.ConnOpenOk)
 	r.step("channel.open", encodeMethod(1, amqp.ChanOpen, ""), amqp.ChanOpenOk)
-	r.step("confirm.select", encodeMethod(1, amqp.ConfirmSelect, false), amqp.ConfirmOk)
+	r.step("confirm.select", encodeMethod(1, amqp.ConfirmSelect, false), amqp.ConfirmSelectOk)
 }
 
 // newTappedBroker starts a broker that records what the egress writes to it. The channel has a tap for each connection.
@@ -175,7 +175,7 @@
 	golden.Check(t, "client.txt", rec.out.String())
 	tapped := <-taps
 	raw := tapped.all()
-	n := len(amqp.Preamble)
+	n := len(amqp.ProtocolHeader)
 	golden.Check(t, "broker.txt", fmt.Sprintf("%q\n%s", raw[:n], frames(raw[n:])))
 }
 
--- a/internal/net/amqpfront/idle_test.go
+++ b/internal/net/amqpfront/idle_test.go
@@ -108,7 +108,7 @@
 	go func() {
 		defer done.Done()
 		for index, client := range idle {
-			_, _ = client.Write(amqp.AppendFrame(nil, amqp.FrameBeat, 0, nil))
+			_, _ = client.Write(amqp.AppendFrame(nil, amqp.FrameHeartbeat, 0, nil))
 			if index%2 == 0 {
 				_ = client.Conn.(interface{ SetLinger(int) error }).SetLinger(0)
 				_ = client.Close()
@@ -149,7 +149,7 @@
 			case <-stop:
 				return
 			case <-time.After(300 * time.Millisecond):
-				_, _ = client.Write(amqp.AppendFrame(nil, amqp.FrameBeat, 0, nil))
+				_, _ = client.Write(amqp.AppendFrame(nil, amqp.FrameHeartbeat, 0, nil))
 			}
 		}
 	}()
--- a/internal/net/amqpfront/login.go
+++ b/internal/net/amqpfront/login.go
@@ -125,7 +125,7 @@
 func (s *session) updateSecret(password string) error {
 	account, ok := s.ingress.policy.User(s.grant.User())
 	if s.ingress.policy.Open() {
-		s.writeMethod(0, amqp.ConnSecretOk)
+		s.writeMethod(0, amqp.ConnUpdateSecretOk)
 		return nil
 	}
 	if !ok {
@@ -133,13 +133,13 @@
 	}
 	return s.checkPassword(account, password, func(ok bool) {
 		if ok {
-			s.writeMethod(0, amqp.ConnSecretOk)
+			s.writeMethod(0, amqp.ConnUpdateSecretOk)
 			return
 		}
 		s.closeWith(0, &amqp.Fault{
 			Code:   amqp.AccessRefused,
 			Text:   "the new secret is not the user's",
-			Method: amqp.ConnSecret,
+			Method: amqp.ConnUpdateSecret,
 		})
 	})
 }
--- a/internal/net/amqpfront/login_test.go
+++ b/internal/net/amqpfront/login_test.go
@@ -85,11 +85,11 @@
 			t.Errorf("%s %q to host %q: got %s %v", test.mechanism, test.response, test.host, msg.Key, msg.Method)
 		}
 		if test.response == "\x00guest\x00s3" && test.code == 0 {
-			for secret, want := range map[string]amqp.Key{"s3": amqp.ConnSecretOk} {
-				client.writeMethod(0, amqp.ConnSecret, secret, "")
+			for secret, want := range map[string]amqp.Key{"s3": amqp.ConnUpdateSecretOk} {
+				client.writeMethod(0, amqp.ConnUpdateSecret, secret, "")
 				client.want(want)
 			}
-			client.writeMethod(0, amqp.ConnSecret, "s4", "")
+			client.writeMethod(0, amqp.ConnUpdateSecret, "s4", "")
 			client.want(amqp.ConnClose)
 		}
 		_ = client.Close()
@@ -110,7 +110,7 @@
 		client.writeMethod(1, amqp.ChanOpen, "")
 		client.want(amqp.ChanOpenOk)
 		client.writeMethod(1, amqp.ConfirmSelect, false)
-		client.want(amqp.ConfirmOk)
+		client.want(amqp.ConfirmSelectOk)
 		return client
 	}
 	publish := func(client *testClient, id, exchange, key, replyTo string) *amqp.Message {
--- a/internal/net/amqpfront/model_test.go
+++ b/internal/net/amqpfront/model_test.go
@@ -47,7 +47,7 @@
 		m.t.Fatal(err)
 	}
 	m.conn, m.channels = newFrameConn(netConn), [3]modelChannel{}
-	_, _ = m.conn.Write([]byte(amqp.Preamble))
+	_, _ = m.conn.Write([]byte(amqp.ProtocolHeader))
 	m.want(amqp.ConnStart)
 	m.conn.writeMethod(0, amqp.ConnStartOk, amqp.Table{}, "PLAIN", "\x00g\x00g", "en_US")
 	m.want(amqp.ConnTune)
@@ -67,7 +67,7 @@
 		m.want(amqp.TxSelectOk)
 	} else {
 		m.conn.writeMethod(id, amqp.ConfirmSelect, false)
-		m.want(amqp.ConfirmOk)
+		m.want(amqp.ConfirmSelectOk)
 	}
 }
 
--- a/internal/net/amqpfront/peer.go
+++ b/internal/net/amqpfront/peer.go
@@ -49,7 +49,7 @@
 			return nil
 		}
 		received = received[size:]
-		if frame.Kind == amqp.FrameBeat {
+		if frame.Kind == amqp.FrameHeartbeat {
 			continue
 		}
 		if err := handle(frame); err != nil {
@@ -79,7 +79,7 @@
 	p.commitBuffer(amqp.AppendMessage(p.conn.Buffer(), channel, key, props, body, p.maxFrame, args...))
 }
 
-var heartbeatFrame = amqp.AppendFrame(nil, amqp.FrameBeat, 0, nil)
+var heartbeatFrame = amqp.AppendFrame(nil, amqp.FrameHeartbeat, 0, nil)
 
 // startHeartbeats starts the negotiated heartbeats. handler must call checkHeartbeat when the timer fires.
 func (p *amqpConn) startHeartbeats(interval time.Duration, handler timers.Handler) {
--- a/internal/net/amqpfront/sequence_test.go
+++ b/internal/net/amqpfront/sequence_test.go
@@ -30,7 +30,7 @@
 		indexOf(amqp.ChanOpen), 1, 0,
 	})
 	f.Add([]byte{
-		indexOf(amqp.ConnOpen), 0, 0, indexOf(amqp.ConnSecret), 0, 1, indexOf(amqp.ChanFlow), 3, 0,
+		indexOf(amqp.ConnOpen), 0, 0, indexOf(amqp.ConnUpdateSecret), 0, 1, indexOf(amqp.ChanFlow), 3, 0,
 		indexOf(amqp.ConnCloseOk), 0, 0,
 	})
 	// An input found by fuzzing, which made the sender end the connection.
--- a/internal/net/amqpfront/session.go
+++ b/internal/net/amqpfront/session.go
@@ -165,17 +165,17 @@
 // specification requires the header of the supported version as the reply.
 func (s *session) readHeader(received []byte) (following []byte, ok bool) {
 	received = s.partialFrame.Append(received)
-	if len(received) < len(amqp.Preamble) && strings.HasPrefix(amqp.Preamble, string(received)) {
+	if len(received) < len(amqp.ProtocolHeader) && strings.HasPrefix(amqp.ProtocolHeader, string(received)) {
 		s.partialFrame.Store(received)
 		return nil, false
 	}
-	if !strings.HasPrefix(string(received), amqp.Preamble) {
-		s.write([]byte(amqp.Preamble))
+	if !strings.HasPrefix(string(received), amqp.ProtocolHeader) {
+		s.write([]byte(amqp.ProtocolHeader))
 		s.conn.Close()
 		return nil, false
 	}
 	s.stage = stageStart
-	following = bytes.Clone(received[len(amqp.Preamble):])
+	following = bytes.Clone(received[len(amqp.ProtocolHeader):])
 	s.partialFrame.Reset()
 	caps := amqp.Table{
 		"publisher_confirms":           true,
@@ -309,7 +309,7 @@
 		return s.acceptTuning(msg)
 	case msg.Key == amqp.ConnOpen && s.stage == stageOpen:
 		return s.openHost(msg.Str(0))
-	case msg.Key == amqp.ConnSecret && s.stage == stageReady:
+	case msg.Key == amqp.ConnUpdateSecret && s.stage == stageReady:
 		return s.updateSecret(msg.Str(0))
 	case msg.Key == amqp.ConnClose:
 		s.writeMethod(0, amqp.ConnCloseOk)
--- a/internal/net/amqpfront/sessionchannel.go
+++ b/internal/net/amqpfront/sessionchannel.go
@@ -54,7 +54,7 @@
 			return fault(amqp.PreconditionFailed, "the channel has transactions, and cannot have publisher confirms too")
 		}
 		if ch.confirms = true; !msg.Bool(0) {
-			s.writeMethod(ch.id, amqp.ConfirmOk)
+			s.writeMethod(ch.id, amqp.ConfirmSelectOk)
 		}
 	case amqp.Qos:
 		ch.prefetch = uint16(msg.Int(1))
--- a/internal/net/amqpfront/topology.go
+++ b/internal/net/amqpfront/topology.go
@@ -127,7 +127,7 @@
 		return fault(amqp.PreconditionFailed, "the name is too long")
 	}
 	if name == directReplyTo {
-		s.reply(ch, msg.Bool(6), amqp.QueueOk, name, 0, 0)
+		s.reply(ch, msg.Bool(6), amqp.QueueDeclareOk, name, 0, 0)
 		return nil
 	}
 	q, err := s.findQueue(name, fault)
@@ -158,7 +158,7 @@
 		q.lastUsed = s.loop.Now()
 		q.enforceLimits()
 	}
-	s.reply(ch, msg.Bool(6), amqp.QueueOk, name, len(q.answers), len(q.consumers))
+	s.reply(ch, msg.Bool(6), amqp.QueueDeclareOk, name, len(q.answers), len(q.consumers))
 	return nil
 }
 
--- a/internal/net/amqpfront/topology_test.go
+++ b/internal/net/amqpfront/topology_test.go
@@ -19,7 +19,7 @@
 	addr, _ := start(t, t.TempDir(), newBroker(t))
 	owner := dial(t, addr)
 	owner.writeMethod(1, amqp.QueueDeclare, 0, "locked", false, false, true, false, false, amqp.Table{})
-	owner.want(amqp.QueueOk)
+	owner.want(amqp.QueueDeclareOk)
 	for method, args := range map[amqp.Key][]any{
 		amqp.QueueDeclare: {0, "locked", true, false, false, false, false, amqp.Table{}},
 		amqp.QueueDelete:  {0, "locked", false, false, false},
@@ -63,7 +63,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	client.writeMethod(1, amqp.QueueDeclare, 0, "answers", false, false, false, false, false, amqp.Table{})
-	client.want(amqp.QueueOk)
+	client.want(amqp.QueueDeclareOk)
 	msg := fetch()
 	if msg.Bool(1) || msg.Props.MessageID != "m" || msg.Props.Type != "delivered" || msg.Int(4) != 0 {
 		t.Fatal(msg.Props, msg.Bool(1))
@@ -112,7 +112,7 @@
 	addr, _ = start(t, dir, broker)
 	second := dial(t, addr)
 	second.writeMethod(1, amqp.QueueDeclare, 0, "x", false, false, false, false, false, amqp.Table{})
-	second.want(amqp.QueueOk)
+	second.want(amqp.QueueDeclareOk)
 	second.publish("m", "once", func(props *amqp.Props) { props.ReplyTo = "x" }) // an acknowledged ID never runs again
 	second.want(amqp.Ack)
 	second.publish("k", "safe", func(props *amqp.Props) { props.ReplyTo = directReplyTo })
@@ -183,7 +183,7 @@
 			client.writeMethod(1, amqp.ChanOpen, "")
 			client.want(amqp.ChanOpenOk)
 			client.writeMethod(1, amqp.ConfirmSelect, false)
-			client.want(amqp.ConfirmOk)
+			client.want(amqp.ConfirmSelectOk)
 			return 99
 		}
 		return msg.Int(1)
@@ -193,7 +193,7 @@
 		"brief": {"x-expires": int64(100)},
 	} {
 		client.writeMethod(1, amqp.QueueDeclare, 0, name, false, false, false, false, false, args)
-		client.want(amqp.QueueOk)
+		client.want(amqp.QueueDeclareOk)
 	}
 	for _, id := range []string{"a", "b", "c"} {
 		publish("two", id)
@@ -221,7 +221,7 @@
 	client := dial(t, addr)
 	client.writeMethod(1, amqp.QueueDeclare, 0, "answers", false, false, false, false, false,
 		amqp.Table{"x-message-ttl": int64(300)})
-	client.want(amqp.QueueOk)
+	client.want(amqp.QueueDeclareOk)
 	client.consume()
 	client.publish("m", "once")
 	client.want(amqp.Ack)
@@ -232,7 +232,7 @@
 	client.writeMethod(1, amqp.Recover, true)
 	client.want(amqp.RecoverOk)
 	client.writeMethod(1, amqp.QueueDeclare, 0, "answers", true, false, false, false, false, amqp.Table{})
-	if msg := client.want(amqp.QueueOk); msg.Int(1) != 0 {
+	if msg := client.want(amqp.QueueDeclareOk); msg.Int(1) != 0 {
 		t.Fatal("the answer is queued again:", msg.Int(1))
 	}
 }
--- a/internal/testing/amqptest/broker.go
+++ b/internal/testing/amqptest/broker.go
@@ -74,12 +74,12 @@
 		}
 		buf = append(buf, chunk[:n]...)
 		if !greeted {
-			k := min(len(buf), len(amqp.Preamble))
-			if string(buf[:k]) != amqp.Preamble[:k] {
-				_, _ = conn.Write([]byte(amqp.Preamble))
+			k := min(len(buf), len(amqp.ProtocolHeader))
+			if string(buf[:k]) != amqp.ProtocolHeader[:k] {
+				_, _ = conn.Write([]byte(amqp.ProtocolHeader))
 				return
 			}
-			if k < len(amqp.Preamble) {
+			if k < len(amqp.ProtocolHeader) {
 				continue
 			}
 			buf, greeted = buf[k:], true
@@ -90,7 +90,7 @@
 			if err == nil && used == 0 {
 				break
 			}
-			if err == nil && f.Kind != amqp.FrameBeat {
+			if err == nil && f.Kind != amqp.FrameHeartbeat {
 				err = c.frame(f)
 			}
 			if errors.Is(err, net.ErrClosed) {
@@ -194,8 +194,8 @@
 		return net.ErrClosed
 	case message.Key == amqp.ConnCloseOk:
 		return nil
-	case message.Key == amqp.ConnSecret && c.open:
-		c.send(0, amqp.ConnSecretOk)
+	case message.Key == amqp.ConnUpdateSecret && c.open:
+		c.send(0, amqp.ConnUpdateSecretOk)
 		return nil
 	case message.Key != c.stage:
 		return refuse(message, amqp.CommandInvalid, "out of place")
@@ -248,7 +248,7 @@
 		c.send(id, amqp.ChanFlowOk, message.Bool(0))
 	case amqp.ConfirmSelect:
 		if ch.confirm = true; !message.Bool(0) {
-			c.send(id, amqp.ConfirmOk)
+			c.send(id, amqp.ConfirmSelectOk)
 		}
 	case amqp.Qos:
 		c.send(id, amqp.QosOk)
--- a/internal/testing/amqptest/play.go
+++ b/internal/testing/amqptest/play.go
@@ -83,7 +83,7 @@
 	if p.scene.open == "" {
 		steps = append(steps[:len(steps):len(steps)], channel...)
 	}
-	if err := p.send([]byte(amqp.Preamble)); err != nil {
+	if err := p.send([]byte(amqp.ProtocolHeader)); err != nil {
 		return err
 	}
 	for _, st := range steps {
@@ -124,12 +124,12 @@
 	case "raw":
 		return p.send(s.raw)
 	case "beat":
-		return p.send(amqp.AppendFrame(nil, amqp.FrameBeat, 0, nil))
+		return p.send(amqp.AppendFrame(nil, amqp.FrameHeartbeat, 0, nil))
 	case "again":
 		return p.open()
 	case "header":
-		b := make([]byte, len(amqp.Preamble))
-		if _, err := io.ReadFull(p.conn, b); err != nil || string(b) != amqp.Preamble {
+		b := make([]byte, len(amqp.ProtocolHeader))
+		if _, err := io.ReadFull(p.conn, b); err != nil || string(b) != amqp.ProtocolHeader {
 			return fmt.Errorf("%q came, %w", b, err)
 		}
 	case "eof":
@@ -275,7 +275,7 @@
 			continue
 		}
 		p.buf = p.buf[n:]
-		if f.Kind == amqp.FrameBeat {
+		if f.Kind == amqp.FrameHeartbeat {
 			continue
 		}
 		if p.asm[f.Channel] == nil {
--- a/internal/testing/amqptest/queue.go
+++ b/internal/testing/amqptest/queue.go
@@ -85,7 +85,7 @@
 	}
 	channel.last = name
 	if !noWait {
-		c.send(id, amqp.QueueOk, name, 0, q.consumers)
+		c.send(id, amqp.QueueDeclareOk, name, 0, q.consumers)
 	}
 	return nil
 }
