--- a/internal/app/transport.go
+++ b/internal/app/transport.go
@@ -116,7 +116,7 @@
 }
 
 // inFlight is the number of attempts in flight.
-func (t *transport) inFlight() int { return t.platformEgress.Out() + t.amqpEgress.Out() }
+func (t *transport) inFlight() int { return t.platformEgress.Out() + t.amqpEgress.InFlight() }
 
 // consoleView is what the console shows of the transport. It waits for the loop and may be called on any other
 // goroutine.
@@ -152,10 +152,10 @@
 		t.platformIngress.Move(finalsAddr(cfg))
 	}
 	if t.amqpIngress != nil {
-		t.amqpIngress.Follow(cfg.Policy)
+		t.amqpIngress.SetPolicy(cfg.Policy)
 		t.serverTLS.Store(cfg.Secure.Server)
 	}
-	t.amqpEgress.Secure(cfg.Secure.Targets)
+	t.amqpEgress.SetTLSConfigs(cfg.Secure.Targets)
 	t.clientRoom.SetMost(cfg.ClientSockets())
 	t.targetRoom.SetMost(cfg.TargetSockets())
 	for ingress, table := range t.tables {
--- a/internal/app/transport_start.go
+++ b/internal/app/transport_start.go
@@ -62,7 +62,7 @@
 	params.core.AddEgress(platform.Proto, t.platformEgress)
 	connectTimeout := microseconds(params.cfg.Settings.Limits.ConnectTimeoutUs)
 	t.amqpEgress = amqpfront.NewEgress(params.core, params.reactor, connectTimeout, t.targetRoom)
-	t.amqpEgress.Secure(params.cfg.Secure.Targets)
+	t.amqpEgress.SetTLSConfigs(params.cfg.Secure.Targets)
 	t.amqpEgress.Gate = t.platformEgress.Gate // a destination may have endpoints of both protocols
 	t.stops = append(t.stops, params.reactor.AllowAllGracefulCloses, t.platformEgress.Stop, t.amqpEgress.Stop)
 	params.core.AddEgress(amqpfront.Proto, t.amqpEgress)
@@ -128,9 +128,9 @@
 		Policy:    params.cfg.Policy,
 		Heartbeat: time.Duration(params.cfg.AMQP.HeartbeatS) * time.Second,
 		Channels:  params.cfg.AMQP.Channels,
-	}, t.newTable(amqpfront.Front, params.cfg))
+	}, t.newTable(amqpfront.FrontName, params.cfg))
 	if addr := params.cfg.AMQP.Listen; addr != "" {
-		if err := t.listen(params, addr, amqpfront.TurnedAway, t.amqpIngress.Accept); err != nil {
+		if err := t.listen(params, addr, amqpfront.OverLimitReply, t.amqpIngress.Accept); err != nil {
 			return err
 		}
 	}
--- a/internal/net/amqpfront/cut_test.go
+++ b/internal/net/amqpfront/cut_test.go
@@ -145,7 +145,7 @@
 						})
 						tlsByRoute[name] = clientTLS
 					}
-					egress.Secure(tlsByRoute)
+					egress.SetTLSConfigs(tlsByRoute)
 					core.UpdateRoutes("whole", routes)
 					return ingress.Accept
 				})
--- a/internal/net/amqpfront/egress.go
+++ b/internal/net/amqpfront/egress.go
@@ -60,11 +60,11 @@
 	}
 }
 
-// Out returns the number of attempts without an outcome.
-func (e *Egress) Out() int { return len(e.attempts) }
+// InFlight returns the number of attempts without an outcome.
+func (e *Egress) InFlight() int { return len(e.attempts) }
 
-// Secure sets the TLS configuration for each route. It does not affect open connections.
-func (e *Egress) Secure(byRoute map[string]*tls.Config) { e.tlsByRoute = byRoute }
+// SetTLSConfigs sets the TLS configurations by route. It does not affect open connections.
+func (e *Egress) SetTLSConfigs(byRoute map[string]*tls.Config) { e.tlsByRoute = byRoute }
 
 // Send publishes each attempt as a message of its own.
 func (e *Egress) Send(route sender.Route, attempts []sender.Attempt) {
--- a/internal/net/amqpfront/golden_test.go
+++ b/internal/net/amqpfront/golden_test.go
@@ -208,7 +208,7 @@
 	rec := newRecorder(t, addr)
 	rec.end("another protocol", []byte("GET / HTTP/1.1\r\n\r\n"))
 	out.WriteString(rec.out.String())
-	fmt.Fprintf(&out, "turned away\n%s", frames(TurnedAway))
+	fmt.Fprintf(&out, "turned away\n%s", frames(OverLimitReply))
 	golden.Check(t, "faults.txt", out.String())
 }
 
--- a/internal/net/amqpfront/host.go
+++ b/internal/net/amqpfront/host.go
@@ -24,15 +24,15 @@
 // versions, which had only this host.
 func frontName(host string) string {
 	if host == access.Root {
-		return Front
+		return FrontName
 	}
-	return Front + ":" + host
+	return FrontName + ":" + host
 }
 
-// Follow applies a policy. Hosts that are missing from it stay as fronts, to receive the answers to their
+// SetPolicy applies a policy. Hosts that are missing from it stay as fronts, to receive the answers to their
 // messages, but can't be opened. A connection whose user no longer has access to its host is closed;
 // one that was opened with a password that has since changed stays open.
-func (in *Ingress) Follow(policy *access.Policy) {
+func (in *Ingress) SetPolicy(policy *access.Policy) {
 	in.policy = policy
 	for _, h := range policy.Hosts() {
 		if in.hosts[h.Name] == nil {
--- a/internal/net/amqpfront/ingress.go
+++ b/internal/net/amqpfront/ingress.go
@@ -11,8 +11,8 @@
 	"brackendale/sender"
 )
 
-// Front is the name of this front in the journal.
-const Front = "amqp"
+// FrontName is the name of this front in the journal.
+const FrontName = "amqp"
 
 // The limits on clients' resources.
 const (
@@ -77,12 +77,14 @@
 		checker: access.NewChecker(),
 		hosts:   map[string]*host{},
 	}
-	in.Follow(options.Policy)
+	in.SetPolicy(options.Policy)
 	return in
 }
 
-// TurnedAway is the reply to a new connection over the limit. The specification allows connection.close at any time.
-var TurnedAway = amqp.AppendMethod(nil, 0, amqp.ConnClose, amqp.ResourceError, "no room for another connection", 0, 0)
+// OverLimitReply is the reply to a new connection over the limit. The specification allows connection.close at any
+// time.
+var OverLimitReply = amqp.AppendMethod(nil, 0, amqp.ConnClose,
+	amqp.ResourceError, "no room for another connection", 0, 0)
 
 // Accept admits a client's connection. At the limit, a connection that has not completed its handshake is evicted, so
 // that connections without a login can't exclude others.
@@ -93,7 +95,7 @@
 		if conn.Secured() { // a reply would need a TLS handshake
 			return nil
 		}
-		return in.reactor.RejectWith(TurnedAway)
+		return in.reactor.RejectWith(OverLimitReply)
 	}
 	return s
 }
