--- a/internal/net/amqpfront/cut_test.go
+++ b/internal/net/amqpfront/cut_test.go
@@ -83,9 +83,10 @@
 	return broker
 }
 
-// The connection to the broker ends at each byte that the broker reads or writes: of the TLS handshake (at every 11th
-// byte), the AMQP handshake, the publish and its confirm, its return or the close of its channel. No unsafe message
-// is applied twice, none that is reported as delivered is missing, and every message has one final answer.
+// The connection to the broker ends at each byte that the broker reads or writes: of the AMQP handshake, the publish
+// and its confirm; of these over TLS, at every 11th byte from the TLS handshake on; of a return, or the close of the
+// channel, in place of the confirm, at every 2nd byte. No unsafe message is applied twice, none that is reported as
+// delivered is missing, and every message has one final answer.
 func TestBrokerKilledAtEveryByte(t *testing.T) {
 	serverTLS, clientTLS := newTLSConfigs(t)
 	returnMessage := func(conn *frameConn, ch uint16, msg *amqp.Message, tag uint64) { // the message has not run
--- a/internal/net/amqpfront/ledger.go
+++ b/internal/net/amqpfront/ledger.go
@@ -17,42 +17,42 @@
 }
 
 // add records the next publish.
-func (l *confirmTracker) add(p *publishAttempt) {
-	l.lastTag++
-	l.unconfirmed = append(l.unconfirmed, unconfirmedPublish{l.lastTag, p})
+func (t *confirmTracker) add(p *publishAttempt) {
+	t.lastTag++
+	t.unconfirmed = append(t.unconfirmed, unconfirmedPublish{t.lastTag, p})
 }
 
 // settle removes and returns the publishes that a confirm covers; tag 0 with multiple means all. ok is
 // false for a tag that was never published: the two sides count differently, so that no confirm on the
 // channel can be trusted. A tag that was settled before is not an error.
-func (l *confirmTracker) settle(tag uint64, multiple bool) (settled []*publishAttempt, ok bool) {
-	if tag > l.lastTag || tag == 0 && !multiple {
+func (t *confirmTracker) settle(tag uint64, multiple bool) (settled []*publishAttempt, ok bool) {
+	if tag > t.lastTag || tag == 0 && !multiple {
 		return nil, false
 	}
 	if tag == 0 {
-		tag = l.lastTag
+		tag = t.lastTag
 	}
-	remaining := l.unconfirmed[:0]
-	for _, entry := range l.unconfirmed {
+	remaining := t.unconfirmed[:0]
+	for _, entry := range t.unconfirmed {
 		if entry.tag == tag || multiple && entry.tag < tag {
 			settled = append(settled, entry.publish)
 		} else {
 			remaining = append(remaining, entry)
 		}
 	}
-	clear(l.unconfirmed[len(remaining):])
-	l.unconfirmed = remaining
+	clear(t.unconfirmed[len(remaining):])
+	t.unconfirmed = remaining
 	return settled, true
 }
 
 // remove drops a publish that ended without a confirm.
-func (l *confirmTracker) remove(p *publishAttempt) {
-	l.unconfirmed = slices.DeleteFunc(l.unconfirmed, func(entry unconfirmedPublish) bool { return entry.publish == p })
+func (t *confirmTracker) remove(p *publishAttempt) {
+	t.unconfirmed = slices.DeleteFunc(t.unconfirmed, func(entry unconfirmedPublish) bool { return entry.publish == p })
 }
 
 // find returns the publish of a message, or nil.
-func (l *confirmTracker) find(messageID string) *publishAttempt {
-	for _, entry := range l.unconfirmed {
+func (t *confirmTracker) find(messageID string) *publishAttempt {
+	for _, entry := range t.unconfirmed {
 		if entry.publish.attempt.ID == messageID {
 			return entry.publish
 		}
@@ -61,8 +61,8 @@
 }
 
 // anyAwaited reports whether the confirm of any publish is still awaited, because it has not been given up.
-func (l *confirmTracker) anyAwaited() bool {
-	return slices.ContainsFunc(l.unconfirmed, func(entry unconfirmedPublish) bool {
+func (t *confirmTracker) anyAwaited() bool {
+	return slices.ContainsFunc(t.unconfirmed, func(entry unconfirmedPublish) bool {
 		return entry.publish.giveUpOutcome == ""
 	})
 }
--- a/internal/net/amqpfront/queuelimits.go
+++ b/internal/net/amqpfront/queuelimits.go
@@ -23,7 +23,7 @@
 	queueTypeClassic = "classic"
 )
 
-// maxLimitTime is the maximum of the time limits that a client may set, as with RabbitMQ.
+// maxLimitTime is the upper bound of the time limits that a client may set, as with RabbitMQ.
 const maxLimitTime = 10 * 365 * 24 * time.Hour
 
 // readLimits decodes the limits from the arguments of queue.declare. The fault for an invalid argument names it.
--- a/internal/net/amqpfront/session.go
+++ b/internal/net/amqpfront/session.go
@@ -150,7 +150,7 @@
 	s.ingress.core.Submit(s.ingress.submissions...)
 	s.ingress.submissions = nil
 	partial := s.partialFrame.Len()
-	// The partial frame is complete and another has begun, which has a time limit of its own.
+	// The earlier partial frame is complete, and another one has begun, whose time limit starts now.
 	if partial > 0 && partial < unhandled && s.hasPartialFrame {
 		s.ingress.table.Move(&s.Entry, s.Class(), s.loop.Now())
 	}
--- a/internal/net/amqpfront/sessionchannel.go
+++ b/internal/net/amqpfront/sessionchannel.go
@@ -128,7 +128,7 @@
 			name = fmt.Sprintf("%s.%x-%d", directReplyTo, s.ingress.core.Now(), s.host.generatedNames)
 		}
 	}
-	old, err := s.findQueue(name, fault)
+	existing, err := s.findQueue(name, fault)
 	switch {
 	case err != nil:
 		return err
@@ -138,7 +138,7 @@
 		return fault(amqp.PreconditionFailed, "direct reply-to is consumed with no-ack")
 	case directReply && ch.directQueue != "":
 		return fault(amqp.PreconditionFailed, "direct reply-to is consumed already")
-	case old != nil && len(old.consumers) > 0 && (exclusive || old.consumers[0].exclusive):
+	case existing != nil && len(existing.consumers) > 0 && (exclusive || existing.consumers[0].exclusive):
 		return fault(amqp.AccessRefused, "queue %q has a consumer, and one is to be alone", name)
 	case len(ch.consumers) >= maxConsumers || s.host.queues[name] == nil && len(s.host.queues) >= maxQueues:
 		return fault(amqp.ResourceError, "too many consumers or queues")
--- a/internal/net/amqpfront/tx.go
+++ b/internal/net/amqpfront/tx.go
@@ -85,15 +85,15 @@
 
 // commit submits the transaction to the core.
 func (ch *channel) commit() {
-	txn := &txCommit{ch, *ch.tx}
+	pendingCommit := &txCommit{ch, *ch.tx}
 	*ch.tx = txState{}
-	transaction := &sender.Transaction{Front: ch.session.host.front, Requests: txn.requests, Ref: txn}
-	for _, a := range txn.acks {
+	transaction := &sender.Transaction{Front: ch.session.host.front, Requests: pendingCommit.requests, Ref: pendingCommit}
+	for _, a := range pendingCommit.acks {
 		if !a.requeue {
 			transaction.Acknowledged = append(transaction.Acknowledged, a.answer.id)
 		}
 	}
-	ch.pendingCommits += int32(1 + len(txn.acks)) // each acknowledgement stays pending until the verdict
+	ch.pendingCommits += int32(1 + len(pendingCommit.acks)) // each acknowledgement stays pending until the verdict
 	ch.session.addPending(1)
 	ch.session.ingress.core.SubmitTransaction(transaction)
 }
