--- a/internal/app/transport_start.go
+++ b/internal/app/transport_start.go
@@ -105,7 +105,7 @@
 	params.core.AddIngress(platform.Front, t.platformIngress)
 	var noRoomReply []byte // of clients beyond the connection limit; the platform's hear nothing
 	if appliance {
-		noRoomReply = platform.NoRoomReply
+		noRoomReply = platform.OverLimitReply
 	}
 	if params.cfg.AcceptFD > 0 {
 		listener, err := params.reactor.ListenInherited(params.cfg.AcceptFD, noRoomReply, t.platformIngress.Accept)
--- a/internal/net/platform/golden_test.go
+++ b/internal/net/platform/golden_test.go
@@ -187,7 +187,7 @@
 	exchange(submit("m3", validFields), "+OK\r\n", nothing)
 	exchange("*1\r\n$99999999\r\n", nothing)
 	exchange("*0\r\n", nothing)
-	fmt.Fprintf(&out, "turned away: %q\n", NoRoomReply)
+	fmt.Fprintf(&out, "turned away: %q\n", OverLimitReply)
 	golden.Check(t, "resp.txt", out.String())
 }
 
--- a/internal/net/platform/ingress.go
+++ b/internal/net/platform/ingress.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// NoRoomReply is sent to a new connection that exceeds the limit: its client may retry after 500 ms.
-var NoRoomReply = []byte("-BUSY 500\r\n")
+// OverLimitReply is sent to a new connection that exceeds the limit: its client may retry after 500 ms.
+var OverLimitReply = []byte("-BUSY 500\r\n")
 
 var errCommandTimeout = errors.New("ERR no whole command in time")
 
@@ -57,7 +57,7 @@
 	notices        *notices
 	table          *conntable.Table
 	limiter        *connlimit.Limiter
-	sendRetryAfter bool // rejected connections get NoRoomReply, and notices may have the field again
+	sendRetryAfter bool // rejected connections get OverLimitReply, and notices may have the field again
 
 	// The state of the read that is being handled, which belongs to one client.
 	elements [][]byte          // the elements of a command; the slice is reused
@@ -91,7 +91,7 @@
 		return cl
 	}
 	if in.sendRetryAfter {
-		return in.reactor.RejectWith(NoRoomReply)
+		return in.reactor.RejectWith(OverLimitReply)
 	}
 	return nil
 }
