--- a/internal/app/open_core.go
+++ b/internal/app/open_core.go
@@ -79,7 +79,7 @@
 		}
 		core, err := o.openCore(nil)
 		if err == nil {
-			o.machine.On(hotrestart.JournalUnlocked)
+			o.machine.Handle(hotrestart.JournalUnlocked)
 			return openedCore{core: core}, nil
 		}
 		if err := o.pause(ctx); err != nil {
@@ -87,7 +87,7 @@
 		}
 		switch {
 		case errors.Is(err, journal.ErrLocked):
-			o.machine.On(hotrestart.JournalLocked)
+			o.machine.Handle(hotrestart.JournalLocked)
 		case failure.Transient(err):
 			o.reportUnusable(err)
 			deadline = time.Now().Add(openTimeout)
@@ -148,7 +148,7 @@
 	link := newRestartLink(conn)
 	state, err := o.negotiate(link)
 	if err != nil {
-		o.machine.On(hotrestart.PeerDisconnected)
+		o.machine.Handle(hotrestart.PeerDisconnected)
 		link.close()
 		return nil, nil, err
 	}
@@ -163,7 +163,7 @@
 		return nil, err
 	}
 	if msg.Kind != hotrestart.KindWelcome || msg.Version != hotrestart.Version ||
-		o.machine.On(hotrestart.PeerConnected) != hotrestart.SendPrepared {
+		o.machine.Handle(hotrestart.PeerConnected) != hotrestart.SendPrepared {
 		return nil, &refusedError{reason: msg.Reason}
 	}
 	link.send(hotrestart.Message{Kind: hotrestart.KindPrepared})
@@ -174,14 +174,14 @@
 	if err := sender.ValidateCheckpoint(o.cfg.Settings, &state.Core, clock.Steady()); err != nil {
 		return nil, err
 	}
-	if o.machine.On(hotrestart.StateLoaded) != hotrestart.SendAccepted {
+	if o.machine.Handle(hotrestart.StateLoaded) != hotrestart.SendAccepted {
 		return nil, hotrestart.ErrMalformed
 	}
 	link.send(hotrestart.Message{Kind: hotrestart.KindStateAccepted})
 	if _, err := receiveKind(link, hotrestart.KindJournalReleased, journalReleasedTimeout); err != nil {
 		return nil, err
 	}
-	if o.machine.On(hotrestart.JournalFree) != hotrestart.OpenWithState {
+	if o.machine.Handle(hotrestart.JournalReceived) != hotrestart.OpenWithState {
 		return nil, hotrestart.ErrMalformed
 	}
 	return state, nil
--- a/internal/app/predecessor.go
+++ b/internal/app/predecessor.go
@@ -137,7 +137,7 @@
 func (p *predecessor) on(event hotrestart.Event) hotrestart.Action {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.machine.On(event)
+	return p.machine.Handle(event)
 }
 
 // setShares takes a share of the memory and of the connections to endpoints, and a share of the client connections. A
@@ -174,7 +174,7 @@
 		p.setShares(halfShare, fullShare)
 		failpoint.Reach(failpoint.SuccessorWelcomed)
 		p.handOver(link)
-	case hotrestart.Retire:
+	case hotrestart.RefuseAndShutDown:
 		refuse(link, "another version: it gets the journal once this process has ended")
 		p.log.Warn().Int("version", msg.Version).
 			Msg("hot restart: the new process speaks another version: this process shuts down in order")
--- a/internal/hotrestart/codec_test.go
+++ b/internal/hotrestart/codec_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Messages that cannot be read are errors, not hangs or panics.
+// Malformed messages must be reported as errors, without a hang or a panic.
 func FuzzMessages(f *testing.F) {
 	f.Add(`{"Kind":"hello","Version":1}` + "\n" + `{"Kind":"offer","N":1,"Offer":{"ID":"a","Body":"eA=="}}`)
 	f.Add(`{"Kind":"state"}`)
@@ -24,9 +24,9 @@
 				return
 			}
 			if msg.Kind == KindOffer && msg.Offer.Request().ID != msg.Offer.ID {
-				t.Fatal("another id")
+				t.Fatal("the request of an offer has another id than the offer")
 			}
 		}
-		t.Fatal("messages without end")
+		t.Fatal("the reader returns more messages than the text has bytes")
 	})
 }
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -23,18 +23,18 @@
 //	go test ./internal/hotrestart -run TestGolden -update-golden
 //
 // The files are the wire format between two processes of different builds. They change only together with Version, or
-// with scheduler.SavedForm for the contents of a saved state.
+// with scheduler.StateFormat for the contents of a saved state.
 var updateGolden = flag.Bool("update-golden", false, "rewrite testdata/golden from the present code")
 
 const goldenDir = "testdata/golden"
 
-// goldenCase is the golden file of one kind of message: its lines, in order.
+// goldenCase has the messages in the golden file of one kind, one a line and in order.
 type goldenCase struct {
 	kind     string
 	messages []Message
 }
 
-// goldenCases lists every kind of message, the first line of each with all of its fields set. The kinds and the
+// goldenCases returns the messages of every kind; the first of each kind has all of its fields set. The kinds and the
 // reasons are literals on purpose: a changed constant must not change the expected file.
 func goldenCases() []goldenCase {
 	return []goldenCase{
@@ -74,7 +74,7 @@
 	}
 }
 
-// fullReport has an outcome of each reason, the first with all fields set.
+// fullReport returns a result for each outcome; the first has all of its fields set.
 func fullReport() []sender.AttemptResult {
 	list := []sender.AttemptResult{{
 		ID: "m-0", Attempt: 2, Endpoint: "e1", Outcome: "FULL", RetryAfterMs: 1500, Final: true,
@@ -93,7 +93,7 @@
 	return list
 }
 
-// fullState has every field of every nested struct set, with all elements of a list different.
+// fullState returns a state with every field of every nested struct set and with all elements of a list different.
 func fullState() *State {
 	return &State{Discovery: "127.0.0.1:8500", ListVersion: 42, Core: sender.Checkpoint{
 		Scheduler:      fullSaved(),
@@ -146,18 +146,18 @@
 	}
 }
 
-// emptyState is the smallest state: nil lists and maps are sent as null.
+// emptyState returns the smallest state: nil lists and maps are sent as null.
 func emptyState() *State { return &State{ListVersion: -1} }
 
 func goldenPath(kind string) string { return filepath.Join(goldenDir, kind+".jsonl") }
 
-// encode writes messages as the connection of package app does: one JSON value a line, by one encoder.
+// encode returns messages as package app writes them to a connection: one JSON value a line, by one encoder.
 func encode(t *testing.T, messages []Message) []byte {
 	t.Helper()
 	var out bytes.Buffer
-	enc := json.NewEncoder(&out)
-	for _, w := range messages {
-		if err := enc.Encode(w); err != nil {
+	encoder := json.NewEncoder(&out)
+	for _, msg := range messages {
+		if err := encoder.Encode(msg); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -175,27 +175,27 @@
 
 // TestGoldenWrite checks that each message is written as its golden file has it, byte for byte.
 func TestGoldenWrite(t *testing.T) {
-	for _, c := range goldenCases() {
-		t.Run(c.kind, func(t *testing.T) {
-			got := encode(t, c.messages)
+	for _, testCase := range goldenCases() {
+		t.Run(testCase.kind, func(t *testing.T) {
+			got := encode(t, testCase.messages)
 			if *updateGolden {
-				if err := os.WriteFile(goldenPath(c.kind), got, 0o600); err != nil {
+				if err := os.WriteFile(goldenPath(testCase.kind), got, 0o600); err != nil {
 					t.Fatal(err)
 				}
 			}
-			if want := readGolden(t, c.kind); !bytes.Equal(got, want) {
-				t.Errorf("%s:\n got %s\nwant %s", goldenPath(c.kind), got, want)
+			if want := readGolden(t, testCase.kind); !bytes.Equal(got, want) {
+				t.Errorf("%s:\n got %s\nwant %s", goldenPath(testCase.kind), got, want)
 			}
 		})
 	}
 }
 
-// TestGoldenRead checks that the protocol's reader gives every field of each golden message, and nothing after them.
+// TestGoldenRead checks that the reader returns every field of each golden message, and nothing after the last one.
 func TestGoldenRead(t *testing.T) {
-	for _, c := range goldenCases() {
-		t.Run(c.kind, func(t *testing.T) {
-			in := NewReader(bytes.NewReader(readGolden(t, c.kind)))
-			for i, want := range c.messages {
+	for _, testCase := range goldenCases() {
+		t.Run(testCase.kind, func(t *testing.T) {
+			in := NewReader(bytes.NewReader(readGolden(t, testCase.kind)))
+			for i, want := range testCase.messages {
 				got, err := in.Next()
 				if err != nil {
 					t.Fatalf("line %d: %v", i+1, err)
@@ -204,35 +204,35 @@
 					t.Errorf("line %d:\n got %+v\nwant %+v", i+1, got, want)
 				}
 			}
-			if w, err := in.Next(); err == nil {
-				t.Errorf("one line too many: %+v", w)
+			if msg, err := in.Next(); err == nil {
+				t.Errorf("the file has one message too many: %+v", msg)
 			}
 		})
 	}
 }
 
-// TestGoldenStrict checks that each name in a golden file is a field that this program knows, and that a message that
-// was read is written again byte for byte.
+// TestGoldenStrict checks that each name in a golden file is a field of this program's messages, and that a message
+// that was read is written again byte for byte.
 func TestGoldenStrict(t *testing.T) {
-	for _, c := range goldenCases() {
-		t.Run(c.kind, func(t *testing.T) {
-			data := readGolden(t, c.kind)
-			dec := json.NewDecoder(bytes.NewReader(data))
-			dec.DisallowUnknownFields()
+	for _, testCase := range goldenCases() {
+		t.Run(testCase.kind, func(t *testing.T) {
+			data := readGolden(t, testCase.kind)
+			decoder := json.NewDecoder(bytes.NewReader(data))
+			decoder.DisallowUnknownFields()
 			var messages []Message
 			for {
-				var w Message
-				err := dec.Decode(&w)
+				var msg Message
+				err := decoder.Decode(&msg)
 				if err == io.EOF {
 					break
 				}
 				if err != nil {
 					t.Fatalf("line %d: %v", len(messages)+1, err)
 				}
-				messages = append(messages, w)
+				messages = append(messages, msg)
 			}
 			if again := encode(t, messages); !bytes.Equal(again, data) {
-				t.Errorf("read and written again:\n got %s\nwant %s", again, data)
+				t.Errorf("messages written again:\n got %s\nwant %s", again, data)
 			}
 		})
 	}
@@ -240,29 +240,29 @@
 
 // TestGoldenNamesExact checks the spelling of each name: encoding/json reads names in any case, the files do not.
 func TestGoldenNamesExact(t *testing.T) {
-	for _, c := range goldenCases() {
-		for i, line := range bytes.Split(bytes.TrimSpace(readGolden(t, c.kind)), []byte("\n")) {
+	for _, testCase := range goldenCases() {
+		for i, line := range bytes.Split(bytes.TrimSpace(readGolden(t, testCase.kind)), []byte("\n")) {
 			var raw map[string]json.RawMessage
 			if err := json.Unmarshal(line, &raw); err != nil {
-				t.Fatalf("%s, line %d: %v", c.kind, i+1, err)
+				t.Fatalf("%s, line %d: %v", testCase.kind, i+1, err)
 			}
 			for name := range raw {
 				if !slices.Contains([]string{
 					"Kind", "Version", "Why", "State", "Offer", "N", "Verdict", "WaitMs", "Report",
 					"ID", "Try",
 				}, name) {
-					t.Errorf("%s, line %d: unknown name %q", c.kind, i+1, name)
+					t.Errorf("%s, line %d: unknown name %q", testCase.kind, i+1, name)
 				}
 			}
 		}
 	}
 }
 
-// TestGoldenFiles checks that the directory holds the files of the known kinds and no others.
+// TestGoldenFiles checks that the directory has the files of all kinds and no others.
 func TestGoldenFiles(t *testing.T) {
 	var want, got []string
-	for _, c := range goldenCases() {
-		want = append(want, c.kind+".jsonl")
+	for _, testCase := range goldenCases() {
+		want = append(want, testCase.kind+".jsonl")
 	}
 	list, err := os.ReadDir(goldenDir)
 	if err != nil {
@@ -281,9 +281,9 @@
 // field has to be added to the cases above.
 func TestGoldenComplete(t *testing.T) {
 	set := map[string]bool{}
-	for _, c := range goldenCases() {
-		for _, w := range c.messages {
-			markSet(reflect.ValueOf(w), set)
+	for _, testCase := range goldenCases() {
+		for _, msg := range testCase.messages {
+			markSet(reflect.ValueOf(msg), set)
 		}
 	}
 	known := map[string]bool{}
@@ -294,11 +294,11 @@
 		}
 	}
 	if len(known) < 60 {
-		t.Errorf("only %d fields found: the walk misses some", len(known))
+		t.Errorf("only %d fields found: listFields misses some", len(known))
 	}
 }
 
-// listFields adds "Type.Field" for each field of typ and of all types that it holds.
+// listFields adds "Type.Field" for each field of typ and of all types nested in it.
 func listFields(typ reflect.Type, known map[string]bool) {
 	switch typ.Kind() {
 	case reflect.Pointer, reflect.Slice, reflect.Array, reflect.Map:
@@ -312,7 +312,7 @@
 	}
 }
 
-// markSet adds "Type.Field" for each field of v that is not zero, in all that it holds.
+// markSet adds "Type.Field" for each field of v, and of all values nested in it, that is not zero.
 func markSet(v reflect.Value, set map[string]bool) {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -333,25 +333,25 @@
 	}
 }
 
-// TestGoldenOffer checks that a request passes through an offer with every field that is sent.
+// TestGoldenOffer checks that the conversion of a request to an offer and back keeps every field that is sent.
 func TestGoldenOffer(t *testing.T) {
-	x := fullOffer().Request()
-	if got := NewOffer(x); !reflect.DeepEqual(got, fullOffer()) {
+	req := fullOffer().Request()
+	if got := NewOffer(req); !reflect.DeepEqual(got, fullOffer()) {
 		t.Errorf("got %+v, want %+v", got, fullOffer())
 	}
 	want := &sender.Request{
 		ID: "m-1", Class: "charge", Tenant: "tenant", Key: "key", Destination: 7, Deadline: 123456789,
 		Body: []byte("body \x00\xff<&>"), Front: "platform", Correlation: "note\nof the front",
 	}
-	if !reflect.DeepEqual(x, want) {
-		t.Errorf("got %+v, want %+v", x, want)
+	if !reflect.DeepEqual(req, want) {
+		t.Errorf("got %+v, want %+v", req, want)
 	}
 }
 
-// TestGoldenNumbers holds the numbers of the protocol: its version, the form of a saved state, the longest message, and
-// the verdicts of an answer.
+// TestGoldenNumbers checks the numbers of the protocol: its version, the format of a saved state, the size limit of a
+// message, and the verdicts of an answer.
 func TestGoldenNumbers(t *testing.T) {
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		name      string
 		got, want int
 	}{
@@ -362,16 +362,16 @@
 		{"busy", int(sender.Rejected), 1},
 		{"failed", int(sender.Failed), 2},
 	} {
-		if c.got != c.want {
-			t.Errorf("%s: %d, want %d", c.name, c.got, c.want)
+		if testCase.got != testCase.want {
+			t.Errorf("%s: %d, want %d", testCase.name, testCase.got, testCase.want)
 		}
 	}
 }
 
-// TestGoldenTolerance holds what a reader takes from another build: unknown names are passed over, messages without
-// their contents and values of a wrong type are refused.
+// TestGoldenTolerance checks what a reader accepts from another build: unknown names are ignored; messages without
+// their required contents and values of a wrong type are errors.
 func TestGoldenTolerance(t *testing.T) {
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		line string
 		ok   bool
 	}{
@@ -385,9 +385,9 @@
 		{`{"Kind":"hello","Version":"2"}`, false},
 		{`nonsense`, false},
 	} {
-		_, err := NewReader(strings.NewReader(c.line + "\n")).Next()
-		if (err == nil) != c.ok {
-			t.Errorf("%s: %v", c.line, err)
+		_, err := NewReader(strings.NewReader(testCase.line + "\n")).Next()
+		if (err == nil) != testCase.ok {
+			t.Errorf("%s: %v", testCase.line, err)
 		}
 	}
 }
--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -1,43 +1,44 @@
-// Package hotrestart is the protocol by which a new process takes the place of an old one while it serves: the
-// predecessor holds the journal, the successor requests it. Both sides are explicit state machines without I/O or
-// clocks (predecessor.go, successor.go); messages.go has the messages, codec.go reads them.
+// Package hotrestart defines the protocol by which a new process (the successor) takes over from the running one (the
+// predecessor) without an interruption of service: the successor requests the state and the journal, which the
+// predecessor holds. Both sides are explicit state machines without I/O or clocks (predecessor.go, successor.go).
+// messages.go defines the messages, codec.go reads them.
 package hotrestart
 
-// Event is an input of a state machine.
+// Event is an input of either state machine.
 type Event int
 
 // The events.
 const (
-	PeerConnected     Event = iota // a hello reached the predecessor or a welcome the successor, of the same version
-	VersionMismatch                // the other side speaks another version
-	SuccessorPrepared              // to the predecessor: the successor needs nothing but the state
-	StateLoaded                    // to the successor: it has read the state and can go on from it
-	StateAccepted                  // to the predecessor: the successor has read the state
-	JournalFree                    // to the successor: the predecessor has released the journal
-	PeerDisconnected               // the connection to the other side has ended
-	StepTimedOut                   // no message came within the step's time
-	DrainComplete                  // to the predecessor: it has no attempt in flight and no client left
-	JournalUnlocked                // to the successor: nobody holds the journal
-	JournalLocked                  // to the successor: another process holds the journal and does not hand it over
+	PeerConnected     Event = iota // the predecessor received a hello, or the successor a welcome, of the same version
+	VersionMismatch                // the other side uses another version of the protocol
+	SuccessorPrepared              // predecessor: the successor needs nothing more than the state
+	StateLoaded                    // successor: it has read the state and can continue from it
+	StateAccepted                  // predecessor: the successor has read the state
+	JournalReceived                // successor: the predecessor has released the journal
+	PeerDisconnected               // the connection to the other side is closed
+	StepTimedOut                   // no message was received within the timeout of the step
+	DrainComplete                  // predecessor: no attempt is in flight and no client is connected
+	JournalUnlocked                // successor: no process holds the journal
+	JournalLocked                  // successor: another process holds the journal and does not release it
 )
 
-// Action is what a side does after an event.
+// Action is what a process has to do after an event.
 type Action int
 
 // The actions.
 const (
-	DoNothing      Action = iota
-	SendWelcome           // send welcome and give half of the limits to the successor
-	SendPrepared          // send prepared
-	Quiesce               // stop the core between two steps and send its state
-	SendAccepted          // send that the state is accepted
-	ReleaseJournal        // close the journal, say so, and pass on requests from here on
-	Resume                // the core goes on as before; the connection is closed
-	OpenWithState         // open the journal and serve, with the state that was received
-	OpenAlone             // open the journal and serve, as after an ordinary restart
-	ReclaimJournal        // the successor has ended with the journal: start anew from it
-	Exit                  // end this process
-	RetryLater            // look again shortly for a free journal or a predecessor
-	Retire                // refuse, and shut this process down in order
-	Refuse                // tell the newcomer that a hot restart is under way
+	DoNothing         Action = iota
+	SendWelcome              // send welcome and leave half of the limits to the successor
+	SendPrepared             // send prepared
+	Quiesce                  // pause the core between two steps and send its state
+	SendAccepted             // report that the state is accepted
+	ReleaseJournal           // close the journal, notify the successor and forward all new requests to it
+	Resume                   // let the core continue as before; the connection is closed
+	OpenWithState            // open the journal and serve with the state received
+	OpenAlone                // open the journal and serve, as after an ordinary restart
+	ReclaimJournal           // the successor exited while it held the journal: restart from the journal
+	Exit                     // exit this process
+	RetryLater               // check again shortly for an unlocked journal or a predecessor
+	RefuseAndShutDown        // refuse the new process and shut this process down gracefully
+	Refuse                   // notify the new process that another hot restart is in progress
 )
--- a/internal/hotrestart/messages.go
+++ b/internal/hotrestart/messages.go
@@ -5,41 +5,41 @@
 	"brackendale/sender"
 )
 
-// Version is the version of the protocol. Two processes of different versions pass on the journal alone.
+// Version is the version of the protocol. Between two processes of different versions only the journal is handed over.
 const Version = 2
 
-// Kind says what a message means. Its values are the protocol's.
+// Kind is the type of a message. Its values are sent over the wire.
 type Kind string
 
-// The kinds of message, in the order in which a hot restart sends them.
+// The kinds of message, in the order in which they are sent in a hot restart.
 const (
-	// From the successor: it wants to take over, and names its version.
+	// From the successor: a request to take over, with its version of the protocol.
 	KindHello Kind = "hello"
-	// From the predecessor: it agrees.
+	// From the predecessor: it accepts the request.
 	KindWelcome Kind = "welcome"
-	// From the predecessor: it does not agree; Reason says why.
+	// From the predecessor: it refuses the request; Reason has the reason.
 	KindRefused Kind = "refused"
 	// From the successor: it has started all that it can start without the state.
 	KindPrepared Kind = "prepared"
-	// From the predecessor: its checkpoint, taken while its core stands still.
+	// From the predecessor: its checkpoint, taken while its core is paused.
 	KindState Kind = "state"
-	// From the successor: it has read the state and can go on from it.
+	// From the successor: it has read the state and can continue from it.
 	KindStateAccepted Kind = "taken"
-	// From the predecessor: it has closed the journal, which is the successor's now.
+	// From the predecessor: it has closed the journal, which the successor may open now.
 	KindJournalReleased Kind = "yours"
-	// From the predecessor: a request that one of its clients has submitted.
+	// From the predecessor: a request that one of its clients submitted.
 	KindOffer Kind = "offer"
-	// From the predecessor: the client of an offer has gone.
+	// From the predecessor: the client of an offer has disconnected.
 	KindWithdraw Kind = "withdraw"
-	// From the successor: its verdict on an offer.
+	// From the successor: its verdict on an offer (accepted, rejected or failed).
 	KindAnswer Kind = "answer"
-	// From the predecessor: results of the attempts that were in flight there.
+	// From the predecessor: results of its attempts that were in flight when it released the journal.
 	KindReport Kind = "report"
-	// From the successor: an attempt in flight at the predecessor is to be canceled.
+	// From the successor: a request to cancel an attempt that is in flight at the predecessor.
 	KindCancel Kind = "recall"
 )
 
-// Message is one message of the protocol. Kind decides which of the other fields are set.
+// Message is one message of the protocol. Its kind determines which of the other fields are set.
 type Message struct {
 	Kind Kind `json:"Kind"`
 
@@ -48,16 +48,16 @@
 	State   *State `json:"State,omitempty"`   // of state
 
 	Offer        *Offer `json:"Offer,omitempty"`   // of offer
-	OfferID      uint64 `json:"N,omitempty"`       // of offer, withdraw and answer
+	OfferID      uint64 `json:"N,omitempty"`       // of offer, withdraw and answer: the number of the offer
 	Verdict      int    `json:"Verdict,omitempty"` // of answer: a sender.Verdict
 	RetryAfterMs int64  `json:"WaitMs,omitempty"`  // of answer
 
 	Results []sender.AttemptResult `json:"Report"`        // of report
-	ID      string                 `json:"ID,omitempty"`  // of recall: the message
+	ID      string                 `json:"ID,omitempty"`  // of recall: the ID of the message
 	Attempt int                    `json:"Try,omitempty"` // of recall: the number of its attempt
 }
 
-// valid tells whether the message has the contents that its kind requires.
+// valid reports whether the message has the contents that its kind requires.
 func (m *Message) valid() bool {
 	switch m.Kind {
 	case "":
@@ -70,14 +70,14 @@
 	return true
 }
 
-// State is what the successor needs to go on from where the predecessor stopped.
+// State is the state of the predecessor from which the successor continues.
 type State struct {
 	Core        sender.Checkpoint `json:"Core"`
-	Discovery   string            `json:"Discovery"` // address of the registry; empty: the routes are configured
-	ListVersion int64             `json:"Seq"`       // version of the registry's endpoint list; below 0: none
+	Discovery   string            `json:"Discovery"` // address of the registry; empty if the routes are configured
+	ListVersion int64             `json:"Seq"`       // version of the registry's endpoint list; negative if there is none
 }
 
-// Offer is a request that a client of the predecessor submits to the successor.
+// Offer is a request of a client of the predecessor, forwarded to the successor.
 type Offer struct {
 	ID          string        `json:"ID"`
 	Class       string        `json:"Class"`
@@ -90,7 +90,7 @@
 	Correlation string        `json:"Note"`
 }
 
-// NewOffer makes the offer of a request.
+// NewOffer returns the offer of a request.
 func NewOffer(req *sender.Request) *Offer {
 	return &Offer{
 		ID:          req.ID,
@@ -105,7 +105,7 @@
 	}
 }
 
-// Request gives the offered request, without a function that replies.
+// Request returns the offered request, without a function that sends the reply.
 func (o *Offer) Request() *sender.Request {
 	return &sender.Request{
 		ID:          o.ID,
--- a/internal/hotrestart/predecessor.go
+++ b/internal/hotrestart/predecessor.go
@@ -5,15 +5,15 @@
 
 // The states of the predecessor.
 const (
-	NoSuccessor        PredecessorState = iota // no process has asked for the journal
-	SuccessorPreparing                         // a successor is connected and prepares itself
-	Quiesced                                   // the core stands still
-	JournalReleased                            // the successor has the journal; attempts in flight end here
-	PredecessorExited                          // the process ends, or starts anew
+	NoSuccessor        PredecessorState = iota // no process has requested the journal
+	SuccessorPreparing                         // a successor is connected and starts up
+	Quiesced                                   // the core is paused
+	JournalReleased                            // the successor has the journal; this process drains
+	PredecessorExited                          // the process exits, or restarts from the journal
 )
 
-// Predecessor is the state machine of the old process. The zero value has no successor. It is not safe for concurrent
-// use.
+// Predecessor is the state machine of the old process. The zero value has no successor. It is not safe for
+// concurrent use.
 type Predecessor struct{ State PredecessorState }
 
 type predecessorInput struct {
@@ -26,11 +26,11 @@
 	action Action
 }
 
-// predecessorTable has each step of the predecessor. An input without an entry changes nothing.
+// predecessorTable lists the transitions of the predecessor. An input without an entry is ignored.
 var predecessorTable = map[predecessorInput]predecessorStep{
 	{NoSuccessor, PeerConnected}: {SuccessorPreparing, SendWelcome},
-	// The successor gets the journal once this process has ended in order.
-	{NoSuccessor, VersionMismatch}: {PredecessorExited, Retire},
+	// The successor can open the journal once this process has shut down gracefully.
+	{NoSuccessor, VersionMismatch}: {PredecessorExited, RefuseAndShutDown},
 
 	{SuccessorPreparing, SuccessorPrepared}: {Quiesced, Quiesce},
 	{SuccessorPreparing, PeerDisconnected}:  {NoSuccessor, Resume},
@@ -53,11 +53,11 @@
 	{PredecessorExited, VersionMismatch}: {PredecessorExited, Refuse},
 }
 
-// Owns tells whether the predecessor holds the journal.
-func (p *Predecessor) Owns() bool { return p.State < JournalReleased }
+// HoldsJournal reports whether the predecessor holds the journal.
+func (p *Predecessor) HoldsJournal() bool { return p.State < JournalReleased }
 
-// On takes an event and returns what to do.
-func (p *Predecessor) On(event Event) Action {
+// Handle applies an event and returns the action to take.
+func (p *Predecessor) Handle(event Event) Action {
 	step, ok := predecessorTable[predecessorInput{p.State, event}]
 	if !ok {
 		return DoNothing
--- a/internal/hotrestart/successor.go
+++ b/internal/hotrestart/successor.go
@@ -5,14 +5,14 @@
 
 // The states of the successor.
 const (
-	ConnectingToPredecessor SuccessorState = iota // no predecessor has agreed yet
-	Welcomed                                      // the predecessor has agreed and hears that this side is prepared
+	ConnectingToPredecessor SuccessorState = iota // no predecessor has accepted the request yet
+	Welcomed                                      // the predecessor has accepted, and this side has sent prepared
 	AwaitingJournal                               // the state is read and accepted
 	OwnsJournal                                   // this process holds the journal
 )
 
-// Successor is the state machine of the new process. The zero value looks for a predecessor. It is not safe for
-// concurrent use.
+// Successor is the state machine of the new process. The zero value is looking for a predecessor. It is not
+// safe for concurrent use.
 type Successor struct{ State SuccessorState }
 
 type successorInput struct {
@@ -25,8 +25,8 @@
 	action Action
 }
 
-// successorTable has each step of the successor. An input without an entry changes nothing. After a failure a state
-// that was read is dropped: the predecessor may have gone on.
+// successorTable lists the transitions of the successor. An input without an entry is ignored. After a failure the
+// state that was read is discarded, since the predecessor may have resumed.
 var successorTable = map[successorInput]successorStep{
 	{ConnectingToPredecessor, PeerConnected}:    {Welcomed, SendPrepared},
 	{ConnectingToPredecessor, JournalUnlocked}:  {OwnsJournal, OpenAlone},
@@ -41,18 +41,18 @@
 	{Welcomed, VersionMismatch}:  {ConnectingToPredecessor, RetryLater},
 	{Welcomed, JournalLocked}:    {ConnectingToPredecessor, RetryLater},
 
-	{AwaitingJournal, JournalFree}:      {OwnsJournal, OpenWithState},
+	{AwaitingJournal, JournalReceived}:  {OwnsJournal, OpenWithState},
 	{AwaitingJournal, PeerDisconnected}: {ConnectingToPredecessor, RetryLater},
 	{AwaitingJournal, StepTimedOut}:     {ConnectingToPredecessor, RetryLater},
 	{AwaitingJournal, VersionMismatch}:  {ConnectingToPredecessor, RetryLater},
 	{AwaitingJournal, JournalLocked}:    {ConnectingToPredecessor, RetryLater},
 }
 
-// Owns tells whether the successor holds the journal.
-func (s *Successor) Owns() bool { return s.State == OwnsJournal }
+// HoldsJournal reports whether the successor holds the journal.
+func (s *Successor) HoldsJournal() bool { return s.State == OwnsJournal }
 
-// On takes an event and returns what to do.
-func (s *Successor) On(event Event) Action {
+// Handle applies an event and returns the action to take.
+func (s *Successor) Handle(event Event) Action {
 	step, ok := successorTable[successorInput{s.State, event}]
 	if !ok {
 		return DoNothing
