--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -1,4 +1,4 @@
-// Package app assembles a running sender from its parts.
+// Package app assembles a running sender from its parts, runs it, and shuts it down.
 package app
 
 import (
@@ -11,35 +11,37 @@
 	"brackendale/sender"
 )
 
-// Options say how a sender serves.
+// Options are the options of Serve.
 type Options struct {
-	Trace       bool               // standard error also gets a line for each step of the decisions
-	FolderTrust sender.FolderTrust // FolderTrusted: an appliance judges its state folder, the platform does not
+	Trace bool // write a line for each step of the scheduler to standard error
+	// FolderTrust says whether the state folder is verified at the start. Where it is FolderTrusted, an appliance
+	// verifies its folder all the same; under the platform it is trusted.
+	FolderTrust sender.FolderTrust
 }
 
-// signals are the process's. An incarnation that follows on another reads the same ones.
+// signals has the signals that the process receives. All incarnations of a process share them.
 type signals struct {
 	reload    chan os.Signal
 	terminate chan os.Signal
 }
 
-// Serve reads the configuration and serves until ctx ends or a signal comes.
+// Serve reads the configuration and serves until ctx ends or a signal ends the process.
 func Serve(ctx context.Context, file string, opt Options) error {
-	// Before all else: a signal without a listener ends the process.
+	// First of all: a signal that no channel is registered for kills the process.
 	sig := signals{reload: make(chan os.Signal, 1), terminate: make(chan os.Signal, 1)}
 	signal.Notify(sig.reload, syscall.SIGHUP)
 	signal.Notify(sig.terminate, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(sig.reload)
 	ended := false
 	defer func() {
-		if !ended { // the signal that follows on a hot restart may find a process that ends in order just now
+		if !ended { // after a hot restart SIGTERM may arrive while the process exits, and must not kill it
 			signal.Stop(sig.terminate)
 		}
 	}()
 	for {
 		err := runIncarnation(ctx, file, opt, sig)
-		opt.FolderTrust = sender.FolderTrusted // what the operator said is of the folder at the first start
-		if ended = errors.Is(err, errProcessEnds); ended {
+		opt.FolderTrust = sender.FolderTrusted // the option concerns the folder as it was at the first start
+		if ended = errors.Is(err, errProcessExit); ended {
 			return nil
 		}
 		if !errors.Is(err, errJournalReclaimed) {
--- a/internal/app/handshake_log.go
+++ b/internal/app/handshake_log.go
@@ -9,25 +9,25 @@
 	"github.com/rs/zerolog"
 )
 
-// maxHandshakeLogsPerSecond bounds the log lines of failed TLS handshakes; of the others the log has the number.
+// maxHandshakeLogsPerSecond limits the log lines of failed TLS handshakes; of further ones only the number is logged.
 const maxHandshakeLogsPerSecond = 10
 
-// handshakeLog logs TLS handshakes that failed, a bounded number each second. It belongs to the loop.
+// handshakeLog logs failed TLS handshakes, a limited number per second. It is used on the event loop only.
 type handshakeLog struct {
 	log zerolog.Logger
 	now func() time.Duration
 
-	secondBegan time.Duration
-	logged      int // in this second
-	suppressed  int // in this second
+	windowStart time.Duration
+	logged      int // in the second since windowStart
+	suppressed  int // in the second since windowStart
 }
 
 func (h *handshakeLog) report(failed *reactor.HandshakeError) {
-	if now := h.now(); now-h.secondBegan >= time.Second {
+	if now := h.now(); now-h.windowStart >= time.Second {
 		if h.suppressed > 0 {
 			h.log.Warn().Int("more", h.suppressed).Msg("tls refused")
 		}
-		h.secondBegan, h.logged, h.suppressed = now, 0, 0
+		h.windowStart, h.logged, h.suppressed = now, 0, 0
 	}
 	if h.logged++; h.logged > maxHandshakeLogsPerSecond {
 		h.suppressed++
--- a/internal/app/incarnation.go
+++ b/internal/app/incarnation.go
@@ -23,28 +23,30 @@
 	"github.com/rs/zerolog"
 )
 
-// incarnation is one run of the sender: the whole time of the process, unless a successor dies with the journal and
-// this process takes it back. The steps of run set its fields, in their order; close undoes the steps in reverse.
+// incarnation is one run of the sender. A process has one incarnation, and a further one each time that a successor
+// exits while it holds the journal and this process reclaims the journal. The steps of run set the fields in order;
+// close undoes the steps in reverse order.
 type incarnation struct {
-	file    string // of the configuration; empty: the environment alone
+	file    string // configuration file; empty if the environment alone configures the sender
 	cfg     config.Config
 	log     zerolog.Logger
 	signals signals
 	options sender.Options
 
-	admin     *admin.Server // nil without a second address
-	loop      *loop.Loop
-	reactor   *reactor.Reactor
-	core      *sender.Sender
-	handover  openedCore // what a predecessor left, if there was one
-	peers     *peers     // nil without a group
-	transport *transport
-	end       context.CancelCauseFunc // ends this incarnation
+	admin          *admin.Server // nil without a control address
+	loop           *loop.Loop
+	reactor        *reactor.Reactor
+	core           *sender.Sender
+	handover       openedCore // state and connection of the predecessor, if there is one
+	peers          *peers     // nil without a group
+	transport      *transport
+	endIncarnation context.CancelCauseFunc // ends this incarnation
 
-	closers []func() // of the started parts, in the order of their starts
+	closers []func() // for the started parts, in the order of their starts
 }
 
-// runIncarnation serves once. The error is errJournalReclaimed where another incarnation has to follow in this process.
+// runIncarnation runs one incarnation. The error is errJournalReclaimed if another incarnation has to follow in this
+// process.
 func runIncarnation(ctx context.Context, file string, opt Options, sig signals) error {
 	inc, err := newIncarnation(file, opt, sig)
 	if err != nil {
@@ -54,7 +56,7 @@
 	return inc.run(ctx)
 }
 
-// newIncarnation reads the configuration and starts nothing.
+// newIncarnation reads the configuration. It starts nothing.
 func newIncarnation(file string, opt Options, sig signals) (*incarnation, error) {
 	cfg, err := config.Load(os.Getenv, file)
 	if err != nil {
@@ -93,7 +95,7 @@
 	if opt.Trace {
 		options.Trace = os.Stderr
 		inc.log.Info().Interface("settings", settings.Wire(&inc.cfg.Settings)).Interface("limits", inc.cfg.Limits).
-			Msg("the trace of decisions begins: these are the settings and limits")
+			Msg("trace started, with these settings and limits")
 	}
 	if inc.cfg.Control != "" || inc.cfg.Console.Socket != "" {
 		var classes []string
@@ -105,23 +107,24 @@
 	return options
 }
 
-// onPlatform tells whether the platform configures this process, and not an appliance's file alone.
+// onPlatform reports whether the platform configures this process. If not, it is an appliance, which a configuration
+// file alone configures.
 func onPlatform() bool { return os.Getenv("LB_CONFIG") != "" }
 
-// journalBytes is how much may lie in the state folder.
+// journalBytes returns the size limit of the state folder.
 func journalBytes(cfg config.Config) int64 { return int64(cfg.JournalMB() * (1 << 20)) }
 
-// run starts the parts and serves until ctx ends, a graceful shutdown is over, or another process goes on.
+// run starts the parts and serves until ctx ends, a graceful shutdown is complete, or another process has taken over.
 func (inc *incarnation) run(ctx context.Context) error {
 	for _, start := range []func(context.Context) error{
-		inc.startAdmin, inc.startReactor, inc.openCore, inc.createPeers, inc.startTransport, inc.announceReady,
+		inc.startAdmin, inc.startReactor, inc.openCore, inc.createPeers, inc.startTransport, inc.serveReadiness,
 	} {
 		if err := start(ctx); err != nil {
 			return err
 		}
 	}
-	ctx, inc.end = context.WithCancelCause(ctx)
-	inc.onClose(func() { inc.end(nil) })
+	ctx, inc.endIncarnation = context.WithCancelCause(ctx)
+	inc.onClose(func() { inc.endIncarnation(nil) })
 	if err := inc.startHotRestart(ctx); err != nil {
 		return err
 	}
@@ -135,34 +138,34 @@
 	return inc.serve(ctx)
 }
 
-// serve runs core and loop until ctx ends.
+// serve runs the core and the event loop until ctx ends.
 func (inc *incarnation) serve(ctx context.Context) error {
 	go inc.loop.Run(ctx)
 	if err := inc.core.Run(ctx); err != nil {
 		return err
 	}
-	if err := context.Cause(ctx); errors.Is(err, errJournalReclaimed) || errors.Is(err, errProcessEnds) {
+	if err := context.Cause(ctx); errors.Is(err, errJournalReclaimed) || errors.Is(err, errProcessExit) {
 		return err
 	}
 	return nil
 }
 
-// onClose adds what close has to do for a part that has started.
-func (inc *incarnation) onClose(f func()) { inc.closers = append(inc.closers, f) }
+// onClose registers a function that close calls.
+func (inc *incarnation) onClose(closer func()) { inc.closers = append(inc.closers, closer) }
 
-// close ends the started parts, the last one first.
+// close stops the started parts, the last one first.
 func (inc *incarnation) close() {
-	for _, f := range slices.Backward(inc.closers) {
-		f()
+	for _, closer := range slices.Backward(inc.closers) {
+		closer()
 	}
 }
 
-// retry does a part of the start that the system may refuse for a moment.
-func (inc *incarnation) retry(ctx context.Context, part func() error) error {
-	return retryStart(ctx, inc.signals.terminate, inc.log, part)
+// retry runs an operation of the start and repeats it while it fails with a transient error.
+func (inc *incarnation) retry(ctx context.Context, operation func() error) error {
+	return retryStart(ctx, inc.signals.terminate, inc.log, operation)
 }
 
-// startAdmin opens the second address, which answers from here on that the process starts.
+// startAdmin opens the control address, which reports from now on that the process is starting.
 func (inc *incarnation) startAdmin(ctx context.Context) error {
 	if inc.cfg.Control == "" {
 		return nil
@@ -171,7 +174,7 @@
 		inc.admin, err = admin.Listen(inc.cfg.Control, inc.options.Metrics.Write, metrics.Format)
 		return err
 	})
-	if errors.Is(err, errProcessEnds) {
+	if errors.Is(err, errProcessExit) {
 		return err
 	}
 	if err != nil {
@@ -194,7 +197,7 @@
 	return nil
 }
 
-// openCore opens the journal and the core on it, after a hot restart where a predecessor serves.
+// openCore opens the journal and creates the core. If a predecessor is running, a hot restart comes first.
 func (inc *incarnation) openCore(ctx context.Context) error {
 	opener := &coreOpener{
 		cfg:         inc.cfg,
@@ -217,11 +220,11 @@
 		return err
 	}
 	inc.core, inc.handover = opened.core, opened
-	inc.options.Checkpoint = nil // the memory of a large state is not held for long
+	inc.options.Checkpoint = nil // releases the memory of a large checkpoint
 	return nil
 }
 
-// createPeers makes this sender a member of its group. It takes part once the peers are started.
+// createPeers creates the member of the group, if one is configured. It joins the group once the peers are started.
 func (inc *incarnation) createPeers(context.Context) error {
 	if inc.cfg.Group.Is() {
 		inc.peers = newPeers(inc.core, inc.cfg, inc.log)
@@ -243,25 +246,25 @@
 		cfg:      inc.cfg,
 		handover: inc.handover.state,
 		console:  console.Sources{Group: member, Drain: drainer.drain},
-		retry:    func(part func() error) error { return inc.retry(ctx, part) },
+		retry:    func(operation func() error) error { return inc.retry(ctx, operation) },
 	})
 	inc.handover.state = nil
 	failpoint.Reach(failpoint.SocketInherited)
 	return err
 }
 
-// announceReady lets the second address ask the core.
-func (inc *incarnation) announceReady(context.Context) error {
+// serveReadiness lets the control address report the readiness of the core and exclude endpoints.
+func (inc *incarnation) serveReadiness(context.Context) error {
 	if inc.admin != nil {
 		inc.admin.SetReady(inc.core.Ready, inc.exclude)
 	}
 	return nil
 }
 
-// exclude takes an endpoint out or puts it back, and returns once the core has recorded that.
-func (inc *incarnation) exclude(ctx context.Context, endpoint string, out bool) error {
+// exclude excludes an endpoint or includes it again, and returns once the core has recorded that.
+func (inc *incarnation) exclude(ctx context.Context, endpoint string, excluded bool) error {
 	done := make(chan error, 1)
-	inc.core.Exclude(endpoint, out, func(err error) { done <- err })
+	inc.core.Exclude(endpoint, excluded, func(err error) { done <- err })
 	select {
 	case err := <-done:
 		if errors.Is(err, sender.ErrUnknownEndpoint) {
@@ -273,44 +276,45 @@
 	}
 }
 
-// startHotRestart follows the predecessor, if there is one, and lets a later process take this one's place.
+// startHotRestart handles the messages of the predecessor, if there is one, and lets a later process take over from
+// this one.
 func (inc *incarnation) startHotRestart(ctx context.Context) error {
-	own := &predecessor{
-		core:          inc.core,
-		loop:          inc.loop,
-		transport:     inc.transport,
-		cfg:           inc.cfg,
-		log:           inc.log,
-		end:           inc.end,
-		startShutdown: inc.startShutdown,
+	predecessorSide := &predecessor{
+		core:           inc.core,
+		loop:           inc.loop,
+		transport:      inc.transport,
+		cfg:            inc.cfg,
+		log:            inc.log,
+		endIncarnation: inc.endIncarnation,
+		startShutdown:  inc.startShutdown,
 	}
 	if inc.handover.link != nil {
-		own.setShares(halfShare, halfShare)
-		s := &successor{
+		predecessorSide.setShares(halfShare, halfShare)
+		successorSide := &successor{
 			core:             inc.core,
 			link:             inc.handover.link,
-			predecessorEnded: func() { own.setShares(fullShare, fullShare) },
+			predecessorEnded: func() { predecessorSide.setShares(fullShare, fullShare) },
 			offers:           map[uint64]*sender.Request{},
 		}
-		inc.core.SetPredecessor(s)
-		go s.followPredecessor()
+		inc.core.SetPredecessor(successorSide)
+		go successorSide.handlePredecessorMessages()
 	}
 	if !inc.cfg.Upgrade {
 		return nil
 	}
-	if err := own.listen(ctx); err != nil {
+	if err := predecessorSide.listen(ctx); err != nil {
 		return err
 	}
-	inc.onClose(own.close)
+	inc.onClose(predecessorSide.close)
 	return nil
 }
 
-// startShutdown has the effect of SIGTERM.
+// startShutdown starts a graceful shutdown, as SIGTERM does.
 func (inc *incarnation) startShutdown() { inc.signals.terminate <- syscall.SIGTERM }
 
-// warnOfExpiry logs the certificates that expire soon.
+// warnOfExpiry logs a warning for each certificate that expires soon.
 func warnOfExpiry(log zerolog.Logger, cfg config.Config) {
 	for name, expires := range cfg.Secure.Renew(time.Now()) {
-		log.Warn().Str("of", name).Time("expires", expires).Msg("certificate expires soon: it is to be renewed")
+		log.Warn().Str("of", name).Time("expires", expires).Msg("certificate expires soon: renew it")
 	}
 }
--- a/internal/app/limits.go
+++ b/internal/app/limits.go
@@ -14,40 +14,40 @@
 
 // Shares of the configured memory limit.
 const (
-	// runtimeMemoryShare is for what the runtime counts. The rest is for stacks, the binary and files in $TMPDIR.
+	// runtimeMemoryShare is the memory limit of the Go runtime. The rest is for stacks, the binary and files in $TMPDIR.
 	runtimeMemoryShare = 0.7
-	// unsentMemoryShare is for bytes that wait for peers that do not read.
+	// unsentMemoryShare is for output buffered for peers that read slowly or not at all.
 	unsentMemoryShare = 0.1
 )
 
-// fitDescriptors checks the configured number of connections against the process's limit on open files. An appliance
-// that asks for more does not start; on the platform fewer are used.
+// fitDescriptors checks the configured number of connections against the process's limit on open files. If it exceeds
+// the limit, an appliance does not start; under the platform the number is lowered.
 func fitDescriptors(cfg *config.Config, log zerolog.Logger) error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
-		return fmt.Errorf("reading the limit on open files: %w", err)
+		return fmt.Errorf("get the limit on open files: %w", err)
 	}
 	err := cfg.Descriptors(limit.Cur)
 	if err == nil || !onPlatform() {
 		return err
 	}
-	log.Warn().Err(err).Msg("the limit on open files is below the configured connections: fewer are used")
+	log.Warn().Err(err).Msg("the limit on open files is below the configured connections: fewer connections are used")
 	cfg.Limits.Sockets = int(limit.Cur)
 	return nil
 }
 
-// clientLimits are the limits of one ingress's client connections. A RESP2 ingress that the platform configures keeps
-// the platform's.
+// clientLimits returns the limits of the client connections of an ingress. A RESP2 ingress that the platform
+// configures has the platform's fixed limits.
 func clientLimits(ingress string, cfg config.Config) conntable.Limits {
-	most := cfg.ClientSockets()
+	maxConnections := cfg.ClientSockets()
 	if ingress == platform.Front && cfg.Resp.Listen == "" {
-		limits := platform.Limits(most)
+		limits := platform.Limits(maxConnections)
 		limits.PerAddr = cfg.Clients.PerAddress
 		return limits
 	}
-	limits := conntable.Limits{Most: most, PerAddr: cfg.Clients.PerAddress, Keep: 1}
+	limits := conntable.Limits{Most: maxConnections, PerAddr: cfg.Clients.PerAddress, Keep: 1}
 	if ingress == platform.Front {
-		preset := platform.Limits(most)
+		preset := platform.Limits(maxConnections)
 		limits.Patience, limits.Grace = preset.Patience, preset.Grace
 		limits.First = seconds(cfg.Resp.FirstS)
 		limits.Whole = seconds(cfg.Resp.CommandS)
--- a/internal/app/open_core.go
+++ b/internal/app/open_core.go
@@ -18,49 +18,51 @@
 	"github.com/rs/zerolog"
 )
 
-// The times of a process that finds the journal locked.
+// The timing of a process that starts while another one holds the journal.
 const (
-	// openTimeout lets a predecessor end in order (3.5 s) and stays within the platform's 6 s for a start.
+	// openTimeout leaves a predecessor time to shut down gracefully (3.5 s) and stays below the platform's limit of 6 s
+	// for a start.
 	openTimeout             = 5500 * time.Millisecond
 	openRetryInterval       = 25 * time.Millisecond
 	predecessorDialTimeout  = 200 * time.Millisecond
 	journalReleasedTimeout  = time.Second
-	stateFolderReasonPrefix = "the state folder: " // of what the second address answers
+	stateFolderReasonPrefix = "the state folder: " // of the reason that the control address reports
 )
 
-// errNoPredecessor reports that no process answers at the restart socket.
-var errNoPredecessor = errors.New("no predecessor answers")
+// errNoPredecessor reports that no process listens at the restart socket.
+var errNoPredecessor = errors.New("no predecessor listens at the restart socket")
 
-// refusedError reports that the predecessor does not hand over.
+// refusedError reports that the predecessor refuses the hot restart.
 type refusedError struct{ reason string }
 
 func (e *refusedError) Error() string { return "the predecessor refuses: " + e.reason }
 
-// coreOpener opens the core of this process: at once where nobody holds the journal, by a hot restart where a
+// coreOpener opens the core of this process: at once if no process holds the journal, by a hot restart if a
 // predecessor does.
 type coreOpener struct {
 	cfg         config.Config
 	log         zerolog.Logger
 	terminate   <-chan os.Signal
-	setStarting func(reason string) // tells callers of the second address why this process is not ready
+	setStarting func(reason string) // sets the reason, reported at the control address, why this process is not ready
 
-	// openCore opens the core, with the state of a predecessor or with nil. Its error wraps journal.ErrLocked where
-	// another process holds the journal.
+	// openCore opens the core from the state of a predecessor or, with nil, from the journal. Its error wraps
+	// journal.ErrLocked if another process holds the journal.
 	openCore func(*hotrestart.State) (*sender.Sender, error)
 
 	machine        hotrestart.Successor
-	lockCause      error // why the journal is not this process's yet
-	unusableLogged bool  // the log tells that the state folder cannot be used
+	lockCause      error // reason why this process does not hold the journal yet
+	unusableLogged bool  // it has been logged that the state folder cannot be used
 }
 
-// openedCore is a core and, after a hot restart, what the predecessor handed over and the link to it.
+// openedCore is a core and, after a hot restart, the state received from the predecessor and the link to it.
 type openedCore struct {
 	core  *sender.Sender
-	state *hotrestart.State // nil: no hot restart
-	link  *restartLink      // nil: no hot restart
+	state *hotrestart.State // nil without a hot restart
+	link  *restartLink      // nil without a hot restart
 }
 
-// run opens the core, or gives up after openTimeout, with ctx, or at a signal (errProcessEnds).
+// run opens the core. It fails after openTimeout, when ctx ends, or at a signal that ends the process
+// (errProcessExit).
 func (o *coreOpener) run(ctx context.Context) (openedCore, error) {
 	o.lockCause = journal.ErrLocked
 	for deadline := time.Now().Add(openTimeout); time.Now().Before(deadline); {
@@ -70,11 +72,11 @@
 			if err == nil || !failure.Transient(err) {
 				return opened, err
 			}
-			o.lockCause = err // the predecessor starts anew from the journal, or this process does
+			o.lockCause = err // the predecessor restarts from the journal, or this process opens it alone
 			continue
 		}
 		if !errors.Is(err, errNoPredecessor) {
-			o.log.Warn().Err(err).Msg("hot restart: not taken over from the predecessor: trying again")
+			o.log.Warn().Err(err).Msg("hot restart: taking over from the predecessor failed: trying again")
 			o.lockCause = err
 		}
 		core, err := o.openCore(nil)
@@ -105,12 +107,12 @@
 		return openedCore{}, err
 	}
 	o.log.Info().Int("open", len(state.Core.Scheduler.Messages)).
-		Msg("hot restart: this process has taken over from its predecessor")
+		Msg("hot restart: this process has taken over from the predecessor")
 	return openedCore{core: core, state: state, link: link}, nil
 }
 
-// pause waits until the next try. The error is errProcessEnds where the process is told to end: it has accepted nothing
-// yet.
+// pause waits until the next attempt. The error is errProcessExit if a signal ends the process, which has accepted no
+// message yet.
 func (o *coreOpener) pause(ctx context.Context) error {
 	select {
 	case <-time.After(openRetryInterval):
@@ -118,7 +120,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-o.terminate:
-		return errProcessEnds
+		return errProcessExit
 	}
 }
 
@@ -126,12 +128,12 @@
 	o.setStarting(stateFolderReasonPrefix + err.Error())
 	if !o.unusableLogged {
 		o.unusableLogged = true
-		o.log.Error().Err(err).Msg("the state folder cannot be used: the start waits until it can")
+		o.log.Error().Err(err).Msg("the state folder cannot be used: the start continues once it can")
 	}
 }
 
-// requestJournal takes over from a predecessor, up to its message that the journal is free. The error is
-// errNoPredecessor where none answers.
+// requestJournal requests state and journal from a predecessor and returns once the predecessor has released the
+// journal. The error is errNoPredecessor if no process listens.
 func (o *coreOpener) requestJournal() (*hotrestart.State, *restartLink, error) {
 	if !o.cfg.Upgrade {
 		return nil, nil, errNoPredecessor
@@ -155,7 +157,7 @@
 	return state, link, nil
 }
 
-// negotiate is the successor's side of the protocol from hello to the released journal.
+// negotiate runs the successor's side of the protocol from hello to the release of the journal.
 func (o *coreOpener) negotiate(link *restartLink) (*hotrestart.State, error) {
 	link.send(hotrestart.Message{Kind: hotrestart.KindHello, Version: hotrestart.Version})
 	msg, err := link.receive(helloTimeout)
@@ -187,7 +189,7 @@
 	return state, nil
 }
 
-// receiveKind receives a message that must be of one kind.
+// receiveKind receives a message, which must be of the given kind.
 func receiveKind(link *restartLink, kind hotrestart.Kind, timeout time.Duration) (hotrestart.Message, error) {
 	msg, err := link.receive(timeout)
 	if err == nil && msg.Kind != kind {
--- a/internal/app/peers.go
+++ b/internal/app/peers.go
@@ -20,31 +20,31 @@
 )
 
 const (
-	// healthReportsPerLease is how often the group hears of the destinations' health within one lease.
+	// healthReportsPerLease is how often the health of the destinations is reported to the group within one lease.
 	healthReportsPerLease   = 8
 	minHealthReportInterval = 10 * time.Millisecond
 
-	milliPerUnit = 1000 // the group counts rates in thousandths of a call per second
+	milliPerUnit = 1000 // the group's unit of rates is a thousandth of a call per second
 )
 
-// peers joins a sender's core to its group: the core's health reports go to the group, and the group's hints and quotas
-// are posted to the core. Neither waits for the other.
+// peers connects a sender's core to its group: the core's health reports are published to the group, and the group's
+// hints and quotas are posted to the core. Neither waits for the other.
 type peers struct {
 	core  *sender.Sender
 	group *group.Group
 	log   zerolog.Logger
 	name  string // of this member
 
-	probeDuty string         // the duty of the kind "return"; empty: none
+	probeDuty string         // name of the duty of the kind "return"; empty if there is none
 	limited   []int64        // destinations that have a shared limit
-	demand    []atomic.Int64 // of the limited destinations, as the core reported it last
+	demand    []atomic.Int64 // demand for each of the limited destinations, as last reported by the core
 
-	health chan []scheduler.Health // the core's last report
-	// probing has the destinations that this member alone probes. It belongs to the goroutine that calls OnHints.
+	health chan []scheduler.Health // the last report of the core
+	// probing has the destinations that only this member probes. It is used by the goroutine that calls OnHints.
 	probing map[int64]bool
 }
 
-// GroupDir is the folder of a group's state.
+// GroupDir returns the folder of the group's state.
 func GroupDir(cfg config.Config) string { return filepath.Join(cfg.State, "group") }
 
 func newPeers(core *sender.Sender, cfg config.Config, log zerolog.Logger) *peers {
@@ -78,7 +78,7 @@
 	return p
 }
 
-// addDuty adds what the configuration says of one duty to the group's options.
+// addDuty adds the options of one configured duty to the group's options.
 func (p *peers) addDuty(opt *group.Options, duty config.Duty, cfg config.Config) {
 	switch duty.Kind {
 	case config.DutyCall:
@@ -113,44 +113,45 @@
 	}
 }
 
-// sharedLimit joins a limit of the group to the core; index is its place among the limited destinations. Until the
-// group has assigned quotas the even part counts.
+// sharedLimit connects a shared limit of the group to the core; index is the index of its destination in p.limited.
+// Until the group has assigned quotas, an even share of the limit applies.
 func (p *peers) sharedLimit(duty config.Duty, index int) group.Limit {
 	return group.Limit{
 		Name:   duty.Name,
 		Rate:   int64(duty.PerS * milliPerUnit),
 		Demand: func() int64 { return p.demand[index].Load() },
-		Apply: func(quota int64, until time.Duration, even int64) {
+		Apply: func(quota int64, expiresAt time.Duration, evenQuota int64) {
 			p.core.Inject(scheduler.Event{
 				Kind:        scheduler.QuotaAssigned,
 				Destination: duty.Dest,
 				Quota:       quota,
-				EvenQuota:   even,
-				Deadline:    eventTime(until),
+				EvenQuota:   evenQuota,
+				Deadline:    eventTime(expiresAt),
 			})
 		},
 	}
 }
 
-// eventTime converts a time of the group's clock to the scheduler's microseconds: both read the machine's steady clock.
-func eventTime(at time.Duration) int64 { return at.Microseconds() }
+// eventTime converts a time of the group's clock to the scheduler's microseconds. Both are based on the machine's
+// monotonic clock.
+func eventTime(instant time.Duration) int64 { return instant.Microseconds() }
 
-// verifyJournal is the act of the duty that reads the journal back.
+// verifyJournal returns the function that executes the duty of the kind "verify": it reads the journal back from disk.
 func verifyJournal(cfg config.Config, log zerolog.Logger) func(context.Context, group.Execution) error {
-	return func(_ context.Context, act group.Execution) error {
+	return func(_ context.Context, execution group.Execution) error {
 		records, err := journal.Verify(cfg.State, journalBytes(cfg))
 		if err != nil {
-			log.Error().Err(err).Str("duty", act.Duty).Msg("the journal does not read back")
+			log.Error().Err(err).Str("duty", execution.Duty).Msg("the journal cannot be verified")
 			return err
 		}
-		log.Debug().Str("duty", act.Duty).Int("records", records).Msg("the journal reads back")
+		log.Debug().Str("duty", execution.Duty).Int("records", records).Msg("the journal has been verified")
 		return nil
 	}
 }
 
-// onHints passes on to the core what came with an answer of the group's leader. holders has the member that holds the
-// lease on probing a destination; it counts until until.
-func (p *peers) onHints(hints []group.Hint, holders map[string]string, until time.Duration) {
+// onHints posts to the core the hints and probe leases in a reply of the group's leader. holders has the member that
+// holds the lease on probing a destination, by the name of the lease; it is valid until expiresAt.
+func (p *peers) onHints(hints []group.Hint, holders map[string]string, expiresAt time.Duration) {
 	if p.probeDuty == "" {
 		return
 	}
@@ -160,7 +161,7 @@
 		if err != nil || recovering[dest] {
 			continue
 		}
-		event := scheduler.Event{Kind: scheduler.ProbeDelegated, Destination: dest, Deadline: eventTime(until)}
+		event := scheduler.Event{Kind: scheduler.ProbeDelegated, Destination: dest, Deadline: eventTime(expiresAt)}
 		own := holder == p.name
 		if own {
 			event.Deadline = 0
@@ -168,14 +169,15 @@
 		if own != p.probing[dest] {
 			p.probing[dest] = own
 			p.log.Info().Int64("dest", dest).Bool("mine", own).Str("by", holder).
-				Msg("destination that is out is tried by one member") // the fleet harness counts these lines
+				Msg("unavailable destination is tried by one member") // the fleet harness matches "tried by one member"
 		}
 		events = append(events, event)
 	}
 	p.core.Inject(events...)
 }
 
-// hintEvents gives the core's events of hints, and the destinations that recover: each member probes those by itself.
+// hintEvents converts hints to events of the core. It also returns the recovering destinations, which each member
+// probes by itself.
 func (p *peers) hintEvents(hints []group.Hint) (events []scheduler.Event, recovering map[int64]bool) {
 	recovering = map[int64]bool{}
 	for _, hint := range hints {
@@ -194,7 +196,7 @@
 	return events, recovering
 }
 
-// reportHealth tells the group of the destinations' health and of the demand for limited ones until ctx ends.
+// reportHealth reports the health of the destinations and the demand for limited ones to the group until ctx ends.
 func (p *peers) reportHealth(ctx context.Context) {
 	ticker := time.NewTicker(max(p.group.LeaseLength()/healthReportsPerLease, minHealthReportInterval))
 	defer ticker.Stop()
@@ -204,8 +206,8 @@
 			return
 		case <-ticker.C:
 			p.core.Health(p.limited, func(health []scheduler.Health, demand []int64) {
-				for i, d := range demand {
-					p.demand[i].Store(d)
+				for i, destDemand := range demand {
+					p.demand[i].Store(destDemand)
 				}
 				select {
 				case p.health <- health:
@@ -213,12 +215,12 @@
 				}
 			})
 		case health := <-p.health:
-			p.publish(health)
+			p.publishHealth(health)
 		}
 	}
 }
 
-func (p *peers) publish(health []scheduler.Health) {
+func (p *peers) publishHealth(health []scheduler.Health) {
 	if p.probeDuty == "" {
 		return
 	}
@@ -232,7 +234,7 @@
 			Recovering:   h.Recovering,
 			RecoveringUs: h.RecoveringUs,
 		})
-		if h.Unavailable && h.HasPending { // without pending messages there is nothing to probe with
+		if h.Unavailable && h.HasPending { // without pending messages it cannot be probed
 			claims = append(claims, p.probeLease(h.Destination))
 		}
 	}
@@ -240,10 +242,10 @@
 	p.group.Claim(claims)
 }
 
-// probeLease names the lease on probing an unavailable destination.
+// probeLease returns the name of the lease on probing an unavailable destination.
 func (p *peers) probeLease(dest int64) string { return p.probeDuty + "@" + strconv.FormatInt(dest, 10) }
 
-// start joins the group; p may be nil. leave gives back all leases and returns once that is done; it may be called more
+// start joins the group; p may be nil. leave releases all leases and returns once that is done; it may be called more
 // than once, on any goroutine.
 func (p *peers) start() (leave func()) {
 	if p == nil {
--- a/internal/app/predecessor.go
+++ b/internal/app/predecessor.go
@@ -19,42 +19,43 @@
 	"github.com/rs/zerolog"
 )
 
-// The times of the predecessor's steps in a hot restart.
+// The timing of the predecessor's steps in a hot restart.
 const (
 	helloTimeout   = time.Second
 	prepareTimeout = 6 * time.Second
-	// quiesceTimeout is how long the core stands still at most: clients wait 400 ms for an answer.
+	// quiesceTimeout is how long the core may be paused: clients wait 400 ms for a reply.
 	quiesceTimeout      = 300 * time.Millisecond
 	acceptRetryInterval = 20 * time.Millisecond
 	drainCheckInterval  = 20 * time.Millisecond
 )
 
-// The share of the limits that a process uses.
+// The shares of the configured limits that a process may use.
 const (
 	fullShare = 1.0
-	halfShare = 0.5 // while predecessor and successor run side by side
+	halfShare = 0.5 // while predecessor and successor both run
 )
 
 var (
-	// errJournalReclaimed ends an incarnation whose successor has died with the journal: the process starts anew from it.
-	errJournalReclaimed = errors.New("the successor has died: this process takes the journal back")
-	// errProcessEnds ends the process: another one goes on, or it was told to end before it had started.
-	errProcessEnds = errors.New("this process ends")
+	// errJournalReclaimed ends an incarnation whose successor exited while it held the journal: the process restarts from
+	// the journal.
+	errJournalReclaimed = errors.New("the successor exited with the journal: this process reclaims the journal")
+	// errProcessExit ends the process: another one has taken over, or a signal arrived during the start.
+	errProcessExit = errors.New("this process exits")
 
-	errNoCheckpoint = errors.New("no checkpoint: the disk takes nothing")
+	errNoCheckpoint = errors.New("no checkpoint: writes to the disk fail")
 )
 
-// predecessor is this process's part in a hot restart while it serves and a new process may take its place. Each
-// connection to its socket has a goroutine of its own; the state machine decides which of them counts. It is the core's
-// sender.Successor once the journal is released.
+// predecessor is the predecessor's side of a hot restart: it lets a new process take over from this one. Each
+// connection to its socket has its own goroutine; the state machine decides which one becomes the successor. Once the
+// journal is released, predecessor is the sender.Successor of the core and forwards its calls to the new process.
 type predecessor struct {
-	core          *sender.Sender
-	loop          *loop.Loop
-	transport     *transport
-	cfg           config.Config
-	log           zerolog.Logger
-	end           func(error) // ends this incarnation
-	startShutdown func()      // starts the graceful shutdown of this process
+	core           *sender.Sender
+	loop           *loop.Loop
+	transport      *transport
+	cfg            config.Config
+	log            zerolog.Logger
+	endIncarnation func(error) // ends this incarnation
+	startShutdown  func()      // starts a graceful shutdown of this process
 
 	listener    *net.UnixListener
 	releasePath func()
@@ -63,18 +64,18 @@
 	closed  bool
 	machine hotrestart.Predecessor
 	link    *restartLink               // to the successor that has the journal
-	offers  map[uint64]*sender.Request // passed on and not answered, by the number of the offer
-	offerID uint64                     // of the last offer
+	offers  map[uint64]*sender.Request // forwarded and not answered yet, by the number of the offer
+	offerID uint64                     // number of the last offer
 }
 
-// listen lets a new process ask for this one's place. Where the state folder takes no socket for the moment, the sender
-// serves all the same and listens once it does.
+// listen accepts new processes that request to take over. If the socket cannot be opened in the state folder because
+// of a transient error, the sender serves all the same, and listen retries in the background.
 func (p *predecessor) listen(ctx context.Context) error {
 	err := p.listenOnce()
 	if err == nil || !failure.Transient(err) {
 		return err
 	}
-	p.log.Warn().Err(err).Msg("hot restart: the socket cannot be opened yet: no new process can take over")
+	p.log.Warn().Err(err).Msg("hot restart: the socket cannot be opened: no new process can take over until it can")
 	go func() {
 		for failure.Transient(err) {
 			select {
@@ -96,7 +97,7 @@
 	listener, err := listenRestartSocket(path)
 	if err != nil {
 		release()
-		return fmt.Errorf("hot restart: opening the socket: %w", err)
+		return fmt.Errorf("hot restart: open the socket: %w", err)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -133,30 +134,30 @@
 	}
 }
 
-// on gives an event to the state machine. It may be called on any goroutine.
-func (p *predecessor) on(event hotrestart.Event) hotrestart.Action {
+// handle passes an event to the state machine and returns the action to take. It may be called on any goroutine.
+func (p *predecessor) handle(event hotrestart.Event) hotrestart.Action {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.machine.Handle(event)
 }
 
-// setShares takes a share of the memory and of the connections to endpoints, and a share of the client connections. A
-// predecessor does not lower the latter: it accepts none once the journal is released, and those that are open may be
-// in the middle of a command.
+// setShares sets the share of the limits that this process uses: share for the memory and the connections to
+// endpoints, clientShare for the client connections. A predecessor does not lower the latter: it accepts no client
+// once the journal is released, and clients that are connected may be in the middle of a command.
 func (p *predecessor) setShares(share, clientShare float64) {
 	setMemoryLimit(p.cfg, share)
 	p.loop.Post(func() {
-		p.transport.clientRoom.SetMost(int(float64(p.cfg.ClientSockets()) * clientShare))
-		p.transport.targetRoom.SetMost(max(1, int(float64(p.cfg.TargetSockets())*share)))
+		p.transport.clientBudget.SetMost(int(float64(p.cfg.ClientSockets()) * clientShare))
+		p.transport.endpointBudget.SetMost(max(1, int(float64(p.cfg.TargetSockets())*share)))
 	})
 }
 
-// setMemoryLimit gives the runtime its part of a share of the memory limit.
+// setMemoryLimit sets the memory limit of the Go runtime for a share of the configured limit.
 func setMemoryLimit(cfg config.Config, share float64) {
 	debug.SetMemoryLimit(int64(cfg.Limits.MemoryMB * runtimeMemoryShare * share * (1 << 20)))
 }
 
-// serve talks to one new process until the end of its connection.
+// serve handles the connection of one new process until it is closed.
 func (p *predecessor) serve(link *restartLink) {
 	defer link.close()
 	msg, err := link.receive(helloTimeout)
@@ -167,9 +168,9 @@
 	if msg.Version != hotrestart.Version {
 		event = hotrestart.VersionMismatch
 	}
-	switch p.on(event) {
+	switch p.handle(event) {
 	case hotrestart.SendWelcome:
-		p.log.Info().Msg("hot restart: a new process has connected: preparing to release the journal")
+		p.log.Info().Msg("hot restart: new process connected: preparing to release the journal")
 		link.send(hotrestart.Message{Kind: hotrestart.KindWelcome, Version: hotrestart.Version})
 		p.setShares(halfShare, fullShare)
 		failpoint.Reach(failpoint.SuccessorWelcomed)
@@ -177,61 +178,62 @@
 	case hotrestart.RefuseAndShutDown:
 		refuse(link, "another version: it gets the journal once this process has ended")
 		p.log.Warn().Int("version", msg.Version).
-			Msg("hot restart: the new process speaks another version: this process shuts down in order")
+			Msg("hot restart: the new process uses another version of the protocol: this process shuts down gracefully")
 		p.startShutdown()
 	default:
 		refuse(link, "another upgrade is under way")
 	}
 }
 
-// refuse tells a new process why it gets nothing, and leaves it time to read that. The reasons belong to the protocol.
+// refuse sends the reason of a refusal to a new process and waits until it disconnects, helloTimeout at most, so that
+// it can read the reason. The reasons are part of the protocol.
 func refuse(link *restartLink, reason string) {
 	link.send(hotrestart.Message{Kind: hotrestart.KindRefused, Version: hotrestart.Version, Reason: reason})
 	_, _ = link.receive(helloTimeout)
 }
 
-// handOver passes state and journal to the successor at link; if that fails this process goes on.
+// handOver transfers state and journal to the successor at link. If that fails, this process continues to serve.
 func (p *predecessor) handOver(link *restartLink) {
 	msg, err := link.receive(prepareTimeout)
 	if err != nil || msg.Kind != hotrestart.KindPrepared ||
-		p.on(hotrestart.SuccessorPrepared) != hotrestart.Quiesce {
-		p.goOn(link, hotrestart.PeerDisconnected, nil, err)
+		p.handle(hotrestart.SuccessorPrepared) != hotrestart.Quiesce {
+		p.abort(link, hotrestart.PeerDisconnected, nil, err)
 		return
 	}
 	state, resume, err := p.quiesce()
 	if err != nil {
-		p.goOn(link, hotrestart.StepTimedOut, nil, err)
+		p.abort(link, hotrestart.StepTimedOut, nil, err)
 		return
 	}
 	failpoint.Reach(failpoint.CoreQuiesced)
-	began := time.Now()
+	started := time.Now()
 	link.send(hotrestart.Message{Kind: hotrestart.KindState, State: &state})
 	if msg, err = link.receive(quiesceTimeout); err != nil || msg.Kind != hotrestart.KindStateAccepted ||
-		p.on(hotrestart.StateAccepted) != hotrestart.ReleaseJournal {
-		p.goOn(link, hotrestart.StepTimedOut, resume, err)
+		p.handle(hotrestart.StateAccepted) != hotrestart.ReleaseJournal {
+		p.abort(link, hotrestart.StepTimedOut, resume, err)
 		return
 	}
 	p.mu.Lock()
 	p.link, p.offers = link, map[uint64]*sender.Request{}
 	p.mu.Unlock()
 	resume(p)
-	p.log.Info().Dur("stood_ms", time.Since(began)).Int("out", len(state.Core.Scheduler.Calls)).
-		Msg("hot restart: the successor has the journal: this process drains")
+	p.log.Info().Dur("stood_ms", time.Since(started)).Int("out", len(state.Core.Scheduler.Calls)).
+		Msg("hot restart: the successor has the journal: this process is draining")
 	_ = p.listener.Close()
 	failpoint.Reach(failpoint.JournalReleased)
 	p.loop.Post(func() {
 		p.transport.release()
 		failpoint.Reach(failpoint.TransportReleased)
-		p.awaitDrained()
+		p.exitWhenDrained()
 	})
-	p.followSuccessor(link)
+	p.handleSuccessorMessages(link)
 }
 
-// quiesce stops the core between two steps and gives its state. resume lets the core go on, with a successor or with
-// nil. After an error everything goes on already.
+// quiesce pauses the core between two steps and returns its state. resume lets the core continue, with a successor or
+// with nil. After an error nothing is paused.
 func (p *predecessor) quiesce() (state hotrestart.State, resume func(sender.Successor), err error) {
 	listVersion := make(chan int64, 1)
-	// Read before the core stands still: its endpoint list is then no older than this version.
+	// Read before the core is paused, so that the endpoint list in the checkpoint is no older than this version.
 	p.loop.Post(func() { listVersion <- p.transport.listVersion() })
 	p.transport.pauseListeners()
 	failpoint.Reach(failpoint.ListenersPaused)
@@ -245,20 +247,21 @@
 	return state, resume, nil
 }
 
-// goOn ends a hot restart that failed before the journal was released. resume is nil where the core runs.
-func (p *predecessor) goOn(link *restartLink, event hotrestart.Event, resume func(sender.Successor), err error) {
-	p.on(event)
+// abort ends a hot restart that failed before the journal was released: this process continues to serve. resume is nil
+// if the core is not paused.
+func (p *predecessor) abort(link *restartLink, event hotrestart.Event, resume func(sender.Successor), err error) {
+	p.handle(event)
 	link.close()
 	if resume != nil {
 		resume(nil)
 		p.transport.resumeListeners()
 	}
 	p.setShares(fullShare, fullShare)
-	p.log.Warn().Err(err).Msg("hot restart: the new process did not take over: this process goes on")
+	p.log.Warn().Err(err).Msg("hot restart: the new process did not take over: this process continues to serve")
 }
 
-// followSuccessor handles the successor's messages until it disconnects.
-func (p *predecessor) followSuccessor(link *restartLink) {
+// handleSuccessorMessages handles the successor's messages until it disconnects.
+func (p *predecessor) handleSuccessorMessages(link *restartLink) {
 	for {
 		msg, err := link.receive(0)
 		if err != nil {
@@ -266,21 +269,21 @@
 		}
 		switch msg.Kind {
 		case hotrestart.KindAnswer:
-			if req := p.takeOffer(msg.OfferID); req != nil {
+			if req := p.removeOffer(msg.OfferID); req != nil {
 				p.core.AnswerForwarded(req, sender.Verdict(msg.Verdict), msg.RetryAfterMs)
 			}
 		case hotrestart.KindCancel:
-			p.loop.Post(func() { p.transport.cancel(msg.ID, msg.Attempt) })
+			p.loop.Post(func() { p.transport.cancelAttempt(msg.ID, msg.Attempt) })
 		}
 	}
-	if p.on(hotrestart.PeerDisconnected) == hotrestart.ReclaimJournal {
-		p.log.Error().Msg("hot restart: the successor has died: this process starts anew from the journal")
-		p.end(errJournalReclaimed)
+	if p.handle(hotrestart.PeerDisconnected) == hotrestart.ReclaimJournal {
+		p.log.Error().Msg("hot restart: the successor exited with the journal: this process restarts from the journal")
+		p.endIncarnation(errJournalReclaimed)
 	}
 }
 
-// takeOffer gives the request of an offer, once; nil: it has its answer.
-func (p *predecessor) takeOffer(id uint64) *sender.Request {
+// removeOffer removes an offer and returns its request, or nil if the offer was answered before.
+func (p *predecessor) removeOffer(id uint64) *sender.Request {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	req := p.offers[id]
@@ -288,34 +291,35 @@
 	return req
 }
 
-// awaitDrained closes idle client connections and ends this process once nothing is in flight. It runs on the loop.
-func (p *predecessor) awaitDrained() {
-	clients := p.transport.acceptingListeners() + p.transport.retireClients()
+// exitWhenDrained closes idle client connections and exits this process once no client is connected and no offer or
+// attempt is pending. It runs on the event loop.
+func (p *predecessor) exitWhenDrained() {
+	clients := p.transport.acceptingListeners() + p.transport.closeIdleClients()
 	p.mu.Lock()
 	offers := len(p.offers)
 	p.mu.Unlock()
 	if clients+offers+p.transport.inFlight() > 0 {
-		p.loop.After(drainCheckInterval, p.awaitDrained)
+		p.loop.After(drainCheckInterval, p.exitWhenDrained)
 		return
 	}
 	reported := make(chan bool)
-	p.core.Post(func() { close(reported) }) // behind the results that were reported to the core
+	p.core.Post(func() { close(reported) }) // runs after the results that were reported to the core
 	go func() {
 		<-reported
 		p.link.waitFlushed()
-		if p.on(hotrestart.DrainComplete) == hotrestart.Exit {
-			p.log.Info().Msg("hot restart: drained: this process ends")
-			p.end(errProcessEnds)
+		if p.handle(hotrestart.DrainComplete) == hotrestart.Exit {
+			p.log.Info().Msg("hot restart: drained: this process exits")
+			p.endIncarnation(errProcessExit)
 		}
 	}()
 }
 
-// JournalReleased tells the successor that the journal is free.
+// JournalReleased notifies the successor that the journal is released.
 func (p *predecessor) JournalReleased() {
 	p.link.send(hotrestart.Message{Kind: hotrestart.KindJournalReleased})
 }
 
-// Submit passes a request of one of this process's clients on to the successor.
+// Submit forwards a request of one of this process's clients to the successor.
 func (p *predecessor) Submit(req *sender.Request) {
 	p.mu.Lock()
 	p.offerID++
@@ -325,7 +329,7 @@
 	p.link.send(hotrestart.Message{Kind: hotrestart.KindOffer, OfferID: id, Offer: hotrestart.NewOffer(req)})
 }
 
-// Withdraw takes a request back that has no answer yet.
+// Withdraw withdraws a forwarded request that is not answered yet.
 func (p *predecessor) Withdraw(req *sender.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -337,7 +341,7 @@
 	}
 }
 
-// Report passes on the results of attempts that were in flight here.
+// Report forwards the results of attempts that were in flight here.
 func (p *predecessor) Report(results []sender.AttemptResult) {
 	p.link.send(hotrestart.Message{Kind: hotrestart.KindReport, Results: results})
 }
--- a/internal/app/reload.go
+++ b/internal/app/reload.go
@@ -10,7 +10,7 @@
 	"github.com/rs/zerolog"
 )
 
-// The times of a reload. A configuration that cannot be read, or is only half written, is read again.
+// The timing of a reload. A configuration that cannot be read, or is only partly written, is read again.
 const (
 	reloadTimeout       = 3 * time.Second
 	reloadRetryInterval = 50 * time.Millisecond
@@ -28,19 +28,20 @@
 	}
 }
 
-// reload reads the configuration again and applies what may change under a running sender: the registry's address or
-// the appliance's own routes. A bad file changes nothing. It is read again until reloadTimeout, since nobody signals
-// twice for a file that was being replaced; another signal starts that time anew.
+// reload reads the configuration again and applies the settings that may change while the sender runs, such as the
+// address of the registry, the configured routes and the connection limits. A file with errors changes nothing. It is
+// read again until reloadTimeout, since no second signal follows if the file was being replaced during the first one;
+// a further signal restarts the timeout.
 func (inc *incarnation) reload(ctx context.Context) {
 	cfg, err := loadAgain(inc.file, inc.log)
 	if err != nil {
-		inc.log.Warn().Err(err).Msg("reload: the configuration cannot be read: it is read again shortly")
+		inc.log.Warn().Err(err).Msg("reload: the configuration cannot be read: trying again")
 	}
-	for began := time.Now(); err != nil && time.Since(began) < reloadTimeout; cfg, err = loadAgain(inc.file, inc.log) {
+	for started := time.Now(); err != nil && time.Since(started) < reloadTimeout; cfg, err = loadAgain(inc.file, inc.log) {
 		select {
 		case <-time.After(reloadRetryInterval):
 		case <-inc.signals.reload:
-			began = time.Now()
+			started = time.Now()
 		case <-ctx.Done():
 			return
 		}
@@ -60,10 +61,10 @@
 }
 
 func (inc *incarnation) logRejectedReload(err error) {
-	inc.log.Error().Err(err).Msg("reload: the configuration is rejected: the old one stays in force")
+	inc.log.Error().Err(err).Msg("reload: the configuration is rejected: the old one stays in effect")
 }
 
-// loadAgain reads the configuration of a process that serves.
+// loadAgain reads the configuration again in a running process.
 func loadAgain(file string, log zerolog.Logger) (config.Config, error) {
 	cfg, err := config.Load(os.Getenv, file)
 	if err == nil {
--- a/internal/app/restart_link.go
+++ b/internal/app/restart_link.go
@@ -9,25 +9,25 @@
 	"brackendale/internal/hotrestart"
 )
 
-// The bounds of a restart link.
+// The limits of a restart link.
 const (
-	maxQueuedMessages  = 4096        // messages that wait for a peer that does not read
+	maxQueuedMessages  = 4096        // messages queued while the peer does not read
 	linkWriteTimeout   = time.Second // for one message
 	flushCheckInterval = time.Millisecond
 )
 
-// restartLink is the connection between predecessor and successor. A goroutine of its own writes the messages in
-// order, so neither core waits for the other process. send, flushed and close may be called on any goroutine; receive
-// belongs to one.
+// restartLink is the connection between predecessor and successor. A separate goroutine writes the messages in order,
+// so neither core waits for the other process. send, flushed and close may be called on any goroutine; receive is not
+// safe for concurrent use.
 type restartLink struct {
 	conn   net.Conn
 	reader *hotrestart.Reader
-	wake   chan struct{} // tells the writer of new messages or of the end
+	wake   chan struct{} // notifies the writer of new messages and of the close
 
 	mu     sync.Mutex
 	queue  []hotrestart.Message
 	closed bool
-	idle   bool // the writer has nothing left
+	idle   bool // the writer has written all messages
 }
 
 func newRestartLink(conn net.Conn) *restartLink {
@@ -36,7 +36,7 @@
 	return l
 }
 
-// send queues a message. A peer that does not read for long counts as gone: the connection is closed.
+// send queues a message. If the queue is full since the peer does not read, the connection is closed.
 func (l *restartLink) send(msg hotrestart.Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,12 +60,12 @@
 	}
 }
 
-// write is the writer's goroutine; it ends with the connection.
+// write runs on the writer's goroutine until the connection is closed.
 func (l *restartLink) write() {
 	encoder := json.NewEncoder(l.conn)
 	for range l.wake {
 		for {
-			batch, closed := l.takeQueue()
+			batch, closed := l.dequeueAll()
 			if closed {
 				return
 			}
@@ -83,8 +83,8 @@
 	}
 }
 
-// takeQueue gives the writer all messages that wait.
-func (l *restartLink) takeQueue() (batch []hotrestart.Message, closed bool) {
+// dequeueAll removes all messages from the queue and returns them to the writer.
+func (l *restartLink) dequeueAll() (batch []hotrestart.Message, closed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	batch, l.queue = l.queue, nil
@@ -92,7 +92,7 @@
 	return batch, l.closed
 }
 
-// receive reads one message. A timeout of 0 waits without limit.
+// receive reads one message. With a timeout of 0 it waits without limit.
 func (l *restartLink) receive(timeout time.Duration) (hotrestart.Message, error) {
 	var deadline time.Time
 	if timeout > 0 {
@@ -102,7 +102,7 @@
 	return l.reader.Next()
 }
 
-// flushed tells whether all messages have been written.
+// flushed reports whether all messages have been written.
 func (l *restartLink) flushed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/app/shutdown.go
+++ b/internal/app/shutdown.go
@@ -7,32 +7,33 @@
 	"brackendale/internal/failpoint"
 )
 
-// The times of a graceful shutdown. The platform leaves at least 3.7 s between SIGTERM and SIGKILL.
+// The timing of a graceful shutdown. The platform waits at least 3.7 s between SIGTERM and SIGKILL.
 const (
-	shutdownTime = 3500 * time.Millisecond
-	// noticePerClient is for telling one client of the end and closing its connection.
+	shutdownDuration = 3500 * time.Millisecond
+	// noticePerClient is the time to notify one client of the shutdown and to close its connection.
 	noticePerClient = 50 * time.Microsecond
-	// flushTime is for the core's last answers, and for clients to read them and close their side.
-	flushTime = 100 * time.Millisecond
+	// flushDuration is the time for the core to send its last replies, and for clients to read them and close their side.
+	flushDuration = 100 * time.Millisecond
 )
 
-// shutDownOnSignal waits for a signal that ends the process and shuts down.
+// shutDownOnSignal waits for a signal that ends the process, then shuts down.
 func (inc *incarnation) shutDownOnSignal(ctx context.Context, leaveGroup func()) {
 	select {
 	case <-inc.signals.terminate:
 	case <-ctx.Done():
 		return
 	}
-	go leaveGroup() // other members get the leases while this sender still finishes its messages
+	go leaveGroup() // other members can take over the leases while this sender finishes its messages
 	inc.shutDown()
 }
 
-// shutDown stops the core, closes client connections as late as they still can be told, and ends the incarnation.
+// shutDown stops the core, closes client connections as late as the time to notify all of them permits, and ends the
+// incarnation.
 func (inc *incarnation) shutDown() {
-	inc.core.Stop(inc.core.Now().Add(shutdownTime))
+	inc.core.Stop(inc.core.Now().Add(shutdownDuration))
 	failpoint.Reach(failpoint.ShutdownStarted)
-	began := time.Now()
-	time.Sleep(shutdownTime - min(inc.noticeTime(), shutdownTime/2))
+	started := time.Now()
+	time.Sleep(shutdownDuration - min(inc.noticeDuration(), shutdownDuration/2))
 	failpoint.Reach(failpoint.ShutdownWaitEnded)
 	stopped := make(chan bool)
 	inc.loop.Post(func() {
@@ -41,15 +42,16 @@
 	})
 	select {
 	case <-stopped:
-	case <-time.After(shutdownTime - time.Since(began)):
+	case <-time.After(shutdownDuration - time.Since(started)):
 	}
-	time.Sleep(min(flushTime, shutdownTime-time.Since(began)))
-	inc.end(nil)
+	time.Sleep(min(flushDuration, shutdownDuration-time.Since(started)))
+	inc.endIncarnation(nil)
 }
 
-// noticeTime is what telling all clients of the end and closing their connections may take.
-func (inc *incarnation) noticeTime() time.Duration {
+// noticeDuration returns the time that it may take to notify all clients of the shutdown and to close their
+// connections.
+func (inc *incarnation) noticeDuration() time.Duration {
 	clients := make(chan int, 1)
-	inc.loop.Post(func() { clients <- inc.transport.clientRoom.Used() })
-	return flushTime + time.Duration(<-clients)*noticePerClient
+	inc.loop.Post(func() { clients <- inc.transport.clientBudget.Used() })
+	return flushDuration + time.Duration(<-clients)*noticePerClient
 }
--- a/internal/app/start_retry.go
+++ b/internal/app/start_retry.go
@@ -10,31 +10,31 @@
 	"github.com/rs/zerolog"
 )
 
-// The times of a start whose needs, such as a socket to listen on, the system refuses for a moment.
+// The timing of retries during the start, for example while an address to listen on is still in use.
 const (
 	startRetryTimeout  = 20 * time.Second
 	startRetryInterval = 50 * time.Millisecond
 )
 
-// retryStart does a part of the start until it succeeds, fails for a reason that does not pass by itself, or
-// startRetryTimeout is over. The error is errProcessEnds where the process is told to end meanwhile: it has accepted
-// nothing yet.
-func retryStart(ctx context.Context, terminate <-chan os.Signal, log zerolog.Logger, part func() error) error {
-	began := time.Now()
+// retryStart repeats an operation of the start until it succeeds, fails with an error that is not transient, or
+// startRetryTimeout has passed. The error is errProcessExit if a signal ends the process meanwhile, which has accepted
+// no message yet.
+func retryStart(ctx context.Context, terminate <-chan os.Signal, log zerolog.Logger, operation func() error) error {
+	started := time.Now()
 	for attempt := 0; ; attempt++ {
-		err := part()
-		if err == nil || !failure.Transient(err) || time.Since(began) > startRetryTimeout {
+		err := operation()
+		if err == nil || !failure.Transient(err) || time.Since(started) > startRetryTimeout {
 			return err
 		}
 		if attempt == 0 {
-			log.Warn().Err(err).Msg("the system refuses a part of the start for the moment: it is tried again")
+			log.Warn().Err(err).Msg("the start is delayed by a transient error: trying again")
 		}
 		select {
 		case <-time.After(startRetryInterval):
 		case <-ctx.Done():
 			return err
 		case <-terminate:
-			return errProcessEnds
+			return errProcessExit
 		}
 	}
 }
--- a/internal/app/successor.go
+++ b/internal/app/successor.go
@@ -7,24 +7,24 @@
 	"brackendale/sender"
 )
 
-// successor is this process's part in a hot restart while its predecessor still has attempts in flight and clients. It
-// is the core's sender.Predecessor.
+// successor is the successor's side of a hot restart while the predecessor still has clients or attempts in flight. It
+// is the sender.Predecessor of the core.
 type successor struct {
 	core             *sender.Sender
 	link             *restartLink
-	predecessorEnded func() // called once, when the predecessor has disconnected
+	predecessorEnded func() // called once, after the predecessor has disconnected
 
 	mu     sync.Mutex
-	offers map[uint64]*sender.Request // that have no answer yet, by the number of the offer
+	offers map[uint64]*sender.Request // not answered yet, by the number of the offer
 }
 
-// Cancel asks the predecessor to cancel an attempt.
+// Cancel requests the predecessor to cancel an attempt.
 func (s *successor) Cancel(id string, attempt int) {
 	s.link.send(hotrestart.Message{Kind: hotrestart.KindCancel, ID: id, Attempt: attempt})
 }
 
-// followPredecessor handles the predecessor's messages until it disconnects.
-func (s *successor) followPredecessor() {
+// handlePredecessorMessages handles the predecessor's messages until it disconnects.
+func (s *successor) handlePredecessorMessages() {
 	for {
 		msg, err := s.link.receive(0)
 		if err != nil {
@@ -49,7 +49,7 @@
 	s.predecessorEnded()
 }
 
-// submit hands an offered request to the core; its answer goes back over the link.
+// submit submits an offered request to the core; the verdict is sent to the predecessor.
 func (s *successor) submit(offerID uint64, offer *hotrestart.Offer) {
 	req := offer.Request()
 	req.Reply = func(verdict sender.Verdict, retryAfterMs int64) {
--- a/internal/app/transport.go
+++ b/internal/app/transport.go
@@ -18,40 +18,40 @@
 	"brackendale/sender"
 )
 
-// consoleTimeout is how long the console waits for the loop.
+// consoleTimeout is how long the console waits for the event loop.
 const consoleTimeout = time.Second
 
 // errDiscoveryFixed reports a reload that would add or remove the registry.
-var errDiscoveryFixed = errors.New("can be neither added nor left out while the sender runs")
+var errDiscoveryFixed = errors.New("cannot be added or removed while the sender runs")
 
-// transport is the network side of a sender: the ingresses, egresses and registry watch that the configuration asks
-// for, joined to the core. It belongs to the loop, except where a method says otherwise.
+// transport is the network side of a sender: the ingresses, egresses and registry watch of the configuration,
+// connected to the core. Its methods are called on the event loop, unless their comments say otherwise.
 type transport struct {
 	platformEgress *platform.Egress
 	amqpEgress     *amqpfront.Egress
-	registry       *platform.Registry // nil where the routes are the appliance's own
+	registry       *platform.Registry // nil if the routes are configured
 
 	platformIngress *platform.Ingress          // nil without RESP2 clients
 	amqpIngress     *amqpfront.Ingress         // nil without AMQP clients
-	serverTLS       atomic.Pointer[tls.Config] // of the AMQP ingress, as it was read last
+	serverTLS       atomic.Pointer[tls.Config] // of the AMQP ingress, as last loaded
 	listeners       []*reactor.Listener
 
-	clientRoom *conntable.Room             // shared by all client connections
-	targetRoom *conntable.Room             // shared by all connections to endpoints
-	tables     map[string]*conntable.Table // of client connections, by ingress
+	clientBudget   *conntable.Room             // limit shared by all client connections
+	endpointBudget *conntable.Room             // limit shared by all connections to endpoints
+	tables         map[string]*conntable.Table // connection tables of the clients, by ingress
 
-	stops []func() // of a graceful shutdown, in this order
+	stops []func() // steps of a graceful shutdown, in order
 }
 
-// stop ends all connections in order.
+// stop closes all connections gracefully.
 func (t *transport) stop() {
 	for _, stop := range t.stops {
 		stop()
 	}
 }
 
-// release stops all that the successor does from here on. What has not left is the successor's to decide on, which
-// hears the results of its own attempts.
+// release stops everything that the successor does from now on. The successor decides about messages that have not
+// been sent; it is notified of the results of the attempts in flight here.
 func (t *transport) release() {
 	t.platformEgress.Stop()
 	t.amqpEgress.Stop()
@@ -69,21 +69,21 @@
 	}
 }
 
-// pauseListeners accepts no client for a while. It may be called on any goroutine.
+// pauseListeners stops accepting clients until resumeListeners is called. It may be called on any goroutine.
 func (t *transport) pauseListeners() {
 	for _, listener := range t.listeners {
 		listener.Pause()
 	}
 }
 
-// resumeListeners ends pauseListeners. It may be called on any goroutine.
+// resumeListeners accepts clients again. It may be called on any goroutine.
 func (t *transport) resumeListeners() {
 	for _, listener := range t.listeners {
 		listener.Resume()
 	}
 }
 
-// listVersion is the version of the registry's endpoint list; below 0: there is none.
+// listVersion returns the version of the registry's endpoint list; negative if there is none.
 func (t *transport) listVersion() int64 {
 	if t.registry == nil {
 		return -1
@@ -91,21 +91,21 @@
 	return t.registry.Seq()
 }
 
-// cancel cancels an attempt in flight.
-func (t *transport) cancel(id string, attempt int) {
+// cancelAttempt cancels an attempt in flight.
+func (t *transport) cancelAttempt(id string, attempt int) {
 	t.platformEgress.Cancel(id, attempt)
 	t.amqpEgress.Cancel(id, attempt)
 }
 
-// retireClients closes idle RESP2 connections and returns how many are left.
-func (t *transport) retireClients() (left int) {
+// closeIdleClients closes idle RESP2 connections and returns the number of remaining ones.
+func (t *transport) closeIdleClients() (remaining int) {
 	if t.platformIngress == nil {
 		return 0
 	}
 	return t.platformIngress.Retire()
 }
 
-// acceptingListeners is the number of listeners whose last newcomers have no handler yet.
+// acceptingListeners returns the number of listeners whose last accepted connections have no handler yet.
 func (t *transport) acceptingListeners() (count int) {
 	for _, listener := range t.listeners {
 		if !listener.Finished() {
@@ -115,11 +115,11 @@
 	return count
 }
 
-// inFlight is the number of attempts in flight.
+// inFlight returns the number of attempts in flight.
 func (t *transport) inFlight() int { return t.platformEgress.Out() + t.amqpEgress.Out() }
 
-// consoleView is what the console shows of the transport. It waits for the loop and may be called on any other
-// goroutine.
+// consoleView returns the state of the transport that the console shows. It waits for the event loop and may be called
+// on any other goroutine.
 func (t *transport) consoleView(loop *loop.Loop) console.Wire {
 	done := make(chan console.Wire, 1)
 	loop.Post(func() {
@@ -133,12 +133,12 @@
 	select {
 	case view := <-done:
 		return view
-	case <-time.After(consoleTimeout): // the loop has ended
+	case <-time.After(consoleTimeout): // the event loop has stopped
 		return console.Wire{}
 	}
 }
 
-// applyConfig applies a configuration that was read again.
+// applyConfig applies a reloaded configuration.
 func (t *transport) applyConfig(core *sender.Sender, cfg config.Config) error {
 	if (t.registry == nil) != (cfg.Discovery == "") {
 		return &config.KeyError{Key: "discovery", Err: errDiscoveryFixed}
@@ -156,8 +156,8 @@
 		t.serverTLS.Store(cfg.Secure.Server)
 	}
 	t.amqpEgress.Secure(cfg.Secure.Targets)
-	t.clientRoom.SetMost(cfg.ClientSockets())
-	t.targetRoom.SetMost(cfg.TargetSockets())
+	t.clientBudget.SetMost(cfg.ClientSockets())
+	t.endpointBudget.SetMost(cfg.TargetSockets())
 	for ingress, table := range t.tables {
 		table.SetLimits(clientLimits(ingress, cfg))
 	}
@@ -167,5 +167,5 @@
 	return nil
 }
 
-// finalsAddr is where the final answers of RESP2 clients' messages are sent.
+// finalsAddr returns the address to which the final answers of RESP2 clients' messages are sent.
 func finalsAddr(cfg config.Config) string { return cmp.Or(cfg.Resp.Finals, cfg.Discovery) }
--- a/internal/app/transport_start.go
+++ b/internal/app/transport_start.go
@@ -21,31 +21,32 @@
 )
 
 const (
-	// unknownDowntime stands for a downtime that nobody knows: longer than any.
+	// unknownDowntime stands for a downtime of unknown length: it is longer than any real one.
 	unknownDowntime = time.Duration(math.MaxInt64 / 2)
-	// noListVersion is the version of an endpoint list that another registry has sent.
+	// noListVersion replaces the version of an endpoint list that was received from another registry.
 	noListVersion = -1
 )
 
-// errNoServerTLS reports a TLS client of a sender whose configuration has lost its certificates.
-var errNoServerTLS = errors.New("no keys are configured any more")
+// errNoServerTLS fails the handshake of a TLS client after a reload has removed the certificates from the
+// configuration.
+var errNoServerTLS = errors.New("TLS certificates are no longer configured")
 
-// transportParams are what a transport is made of.
+// transportParams are the parameters of newTransport.
 type transportParams struct {
 	core     *sender.Sender
 	reactor  *reactor.Reactor
 	cfg      config.Config
-	handover *hotrestart.State             // of a predecessor; nil: none
-	console  console.Sources               // what the console asks beside the transport
-	retry    func(part func() error) error // does what the system may refuse for a moment
+	handover *hotrestart.State                  // of the predecessor; nil without a hot restart
+	console  console.Sources                    // what the console shows and controls apart from the transport
+	retry    func(operation func() error) error // repeats an operation that fails with a transient error
 }
 
-// newTransport joins ingresses, egresses and the registry watch to the core, and opens the console.
+// newTransport connects ingresses, egresses and the registry watch to the core, and opens the console.
 func newTransport(params transportParams) (*transport, error) {
 	t := &transport{
-		clientRoom: conntable.NewRoom(params.cfg.ClientSockets()),
-		targetRoom: conntable.NewRoom(params.cfg.TargetSockets()),
-		tables:     map[string]*conntable.Table{},
+		clientBudget:   conntable.NewRoom(params.cfg.ClientSockets()),
+		endpointBudget: conntable.NewRoom(params.cfg.TargetSockets()),
+		tables:         map[string]*conntable.Table{},
 	}
 	t.startEgresses(params)
 	t.startRoutes(params)
@@ -58,17 +59,17 @@
 }
 
 func (t *transport) startEgresses(params transportParams) {
-	t.platformEgress = platform.NewEgress(params.core, params.reactor, params.cfg.Settings, t.targetRoom)
+	t.platformEgress = platform.NewEgress(params.core, params.reactor, params.cfg.Settings, t.endpointBudget)
 	params.core.AddEgress(platform.Proto, t.platformEgress)
 	connectTimeout := microseconds(params.cfg.Settings.Limits.ConnectTimeoutUs)
-	t.amqpEgress = amqpfront.NewEgress(params.core, params.reactor, connectTimeout, t.targetRoom)
+	t.amqpEgress = amqpfront.NewEgress(params.core, params.reactor, connectTimeout, t.endpointBudget)
 	t.amqpEgress.Secure(params.cfg.Secure.Targets)
 	t.amqpEgress.Gate = t.platformEgress.Gate // a destination may have endpoints of both protocols
 	t.stops = append(t.stops, params.reactor.AllowAllGracefulCloses, t.platformEgress.Stop, t.amqpEgress.Stop)
 	params.core.AddEgress(amqpfront.Proto, t.amqpEgress)
 }
 
-// startRoutes takes the routes from the configuration or watches the registry for them.
+// startRoutes gets the routes from the configuration or from a watch of the registry.
 func (t *transport) startRoutes(params transportParams) {
 	if params.cfg.Discovery == "" {
 		params.core.UpdateRoutes(scheduler.UpdateFull, platform.Routes(params.cfg.Known))
@@ -89,7 +90,7 @@
 	}
 	routes, version := params.handover.Core.Routes, params.handover.ListVersion
 	if params.handover.Discovery != params.cfg.Discovery {
-		version = noListVersion // versions of different registries do not compare
+		version = noListVersion // versions of different registries cannot be compared
 	}
 	t.registry = platform.Follow(params.core, params.reactor, params.cfg.Discovery, routes, version, watched)
 }
@@ -103,17 +104,17 @@
 	table := t.newTable(platform.Front, params.cfg)
 	t.platformIngress = platform.NewIngress(params.core, params.reactor, finalsAddr(params.cfg), table, appliance)
 	params.core.AddIngress(platform.Front, t.platformIngress)
-	var noRoomReply []byte // of clients beyond the connection limit; the platform's hear nothing
+	var overLimitReply []byte // to clients beyond the connection limit; those of the platform get no reply
 	if appliance {
-		noRoomReply = platform.TurnedAway
+		overLimitReply = platform.TurnedAway
 	}
 	if params.cfg.AcceptFD > 0 {
-		listener, err := params.reactor.ListenInherited(params.cfg.AcceptFD, noRoomReply, t.platformIngress.Accept)
+		listener, err := params.reactor.ListenInherited(params.cfg.AcceptFD, overLimitReply, t.platformIngress.Accept)
 		if err != nil {
 			return &config.KeyError{Key: "LB_ACCEPT_FD", Err: err}
 		}
 		t.addListener(listener, params.cfg)
-	} else if err := t.listen(params, addr, noRoomReply, t.platformIngress.Accept); err != nil {
+	} else if err := t.listen(params, addr, overLimitReply, t.platformIngress.Accept); err != nil {
 		return err
 	}
 	t.stops = append(t.stops, t.platformIngress.CloseIdle)
@@ -165,18 +166,18 @@
 	return nil
 }
 
-// newTable makes the table of one ingress's client connections.
+// newTable creates the connection table of an ingress.
 func (t *transport) newTable(ingress string, cfg config.Config) *conntable.Table {
-	t.tables[ingress] = t.clientRoom.NewTable(clientLimits(ingress, cfg))
+	t.tables[ingress] = t.clientBudget.NewTable(clientLimits(ingress, cfg))
 	return t.tables[ingress]
 }
 
-// listen accepts clients at addr. Those beyond the connection limit get noRoomReply.
-func (t *transport) listen(params transportParams, addr string, noRoomReply []byte,
+// listen accepts clients at addr. Clients beyond the connection limit are sent overLimitReply.
+func (t *transport) listen(params transportParams, addr string, overLimitReply []byte,
 	accept func(*reactor.Conn) reactor.Handler,
 ) error {
 	return params.retry(func() error {
-		listener, err := params.reactor.Listen("tcp", addr, noRoomReply, accept)
+		listener, err := params.reactor.Listen("tcp", addr, overLimitReply, accept)
 		if err == nil {
 			t.addListener(listener, params.cfg)
 		}
@@ -195,7 +196,7 @@
 	})
 }
 
-// listenerTLS is a configuration by which each handshake uses the certificates that were read last.
+// listenerTLS returns a configuration with which each handshake uses the certificates loaded last.
 func (t *transport) listenerTLS() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
