--- a/internal/app/app_test.go
+++ b/internal/app/app_test.go
@@ -27,17 +27,18 @@
 	"github.com/rs/zerolog"
 )
 
-// do carries out one command of the console.
+// do runs one command on the console at path.
 func do(path, command string, out io.Writer) error {
-	tm, err := console.Dial(path)
+	client, err := console.Dial(path)
 	if err != nil {
 		return err
 	}
-	defer tm.Close()
-	return tm.Do(command, out)
+	defer client.Close()
+	return client.Do(command, out)
 }
 
-// The console shows the route table and steers it; without a path in the file there is none.
+// The console shows and changes the state of the routes, its socket is accessible to the owner only, and a socket in
+// use is not replaced.
 func TestConsole(t *testing.T) {
 	t.Setenv("LB_STATE", t.TempDir())
 	cfg, err := config.Load(os.Getenv, "../../deploy/appliance.toml")
@@ -45,39 +46,39 @@
 		t.Fatal(err)
 	}
 	cfg.AMQP.Listen = "127.0.0.1:0"
-	wire := loop.New()
+	eventLoop := loop.New()
 	core, err := sender.New(sender.Options{
-		RunOnFronts: wire.Post, Name: cfg.Name, Settings: cfg.Settings,
+		RunOnFronts: eventLoop.Post, Name: cfg.Name, Settings: cfg.Settings,
 		StateDir: cfg.State, DiskBytes: 1 << 20, Log: zerolog.Nop(),
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := reactor.New(wire, 8<<20)
+	netReactor, err := reactor.New(eventLoop, 8<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer r.Stop()
+	defer netReactor.Stop()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	duties := []group.Duty{{
 		Name: "nightly", Every: time.Second, MaxDuration: time.Second,
 		Execute: func(context.Context, group.Execution) error { return nil },
 	}}
-	member := group.New(group.Options{Name: "alone", Terms: lease.Terms{Length: time.Second}, Duties: duties})
-	network, err := newTransport(transportParams{
-		core: core, reactor: r, cfg: cfg, console: console.Sources{Group: member},
+	groupMember := group.New(group.Options{Name: "alone", Terms: lease.Terms{Length: time.Second}, Duties: duties})
+	netTransport, err := newTransport(transportParams{
+		core: core, reactor: netReactor, cfg: cfg, console: console.Sources{Group: groupMember},
 		retry: func(part func() error) error { return part() },
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer network.stop()
-	go wire.Run(ctx)
+	defer netTransport.stop()
+	go eventLoop.Run(ctx)
 	go func() { _ = core.Run(ctx) }()
 	path := filepath.Join(cfg.State, cfg.Console.Socket)
-	if st, err := os.Stat(path); err != nil || st.Mode().Perm() != 0o600 {
-		t.Fatal(st, err)
+	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
+		t.Fatal(info, err)
 	}
 	for _, c := range []struct{ command, want, not string }{
 		{"state", "lab-archive", "HELD"},
@@ -94,21 +95,21 @@
 	}
 	for _, bad := range []string{"hold nowhere", "explode", "state\nstate"} {
 		if err := do(path, bad, &bytes.Buffer{}); err == nil {
-			t.Errorf("%q was taken", bad)
+			t.Errorf("invalid command %q was accepted", bad)
 		}
 	}
-	tm, err := console.Dial(path)
+	client, err := console.Dial(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var screen bytes.Buffer
-	if err := tm.Run(ctx, strings.NewReader("hold nowhere\nquit\n"), &screen); err != nil ||
+	if err := client.Run(ctx, strings.NewReader("hold nowhere\nquit\n"), &screen); err != nil ||
 		!strings.Contains(screen.String(), "last ends") ||
 		!strings.Contains(screen.String(), "nightly") || !strings.Contains(screen.String(), "alone") {
 		t.Error(err, screen.String())
 	}
 	if _, err := console.Listen(path, core, console.Sources{}); err == nil {
-		t.Error("a socket in use was taken over")
+		t.Error("a second console replaced a socket in use")
 	}
 	if c, err := net.DialTimeout("unix", path, time.Second); err != nil {
 		t.Error(err)
@@ -117,21 +118,22 @@
 	}
 }
 
-// SIGHUP ended the program, and the open watch of the old registry would have kept it there for 20 s: it
-// must go to the new file's registry at once and ask it for the whole list. A bad file changes nothing.
+// After SIGHUP the sender must watch the registry in the new file at once and request its whole endpoint list; a file
+// with errors changes nothing. Guards against two failures: SIGHUP ended the program, and the open watch of the old
+// registry delayed the change by 20 s.
 func TestReload(t *testing.T) {
-	dir, asked := t.TempDir(), make(chan string, 100)
-	agent := func(name string) string {
-		s := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-			asked <- name + r.URL.RawQuery
+	dir, requests := t.TempDir(), make(chan string, 100)
+	startRegistry := func(name string) string {
+		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			requests <- name + r.URL.RawQuery
 			if r.URL.RawQuery == "" {
-				_, _ = io.WriteString(rw, `{"seq":5,"whole":true,"hosts":[]}`)
+				_, _ = io.WriteString(w, `{"seq":5,"whole":true,"hosts":[]}`)
 				return
 			}
 			<-r.Context().Done()
 		}))
-		t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
-		return s.Listener.Addr().String()
+		t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
+		return server.Listener.Addr().String()
 	}
 	file := filepath.Join(dir, "config.json")
 	write := func(discovery string) {
@@ -144,29 +146,29 @@
 	expect := func(want string) {
 		t.Helper()
 		select {
-		case got := <-asked:
+		case got := <-requests:
 			if got != want {
-				t.Fatalf("asked %q, not %q", got, want)
+				t.Fatalf("request %q, want %q", got, want)
 			}
 		case <-time.After(standin.Long):
-			t.Fatal("never asked for", want)
+			t.Fatal("no request received, want", want)
 		}
 	}
-	old, next := agent("old "), agent("new ")
-	for k, v := range map[string]string{"LB_STATE": dir, "LB_CONFIG": file, "LB_DISCOVERY": old} {
+	oldRegistry, newRegistry := startRegistry("old "), startRegistry("new ")
+	for k, v := range map[string]string{"LB_STATE": dir, "LB_CONFIG": file, "LB_DISCOVERY": oldRegistry} {
 		t.Setenv(k, v)
 	}
-	write(old)
+	write(oldRegistry)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- Serve(ctx, "", Options{}) }()
 	expect("old index=9&wait=3000")
-	for _, discovery := range []string{"nowhere", next} {
+	for _, discovery := range []string{"nowhere", newRegistry} {
 		write(discovery)
 		if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(50 * time.Millisecond) // else both signals may be read as one, and the bad file is never read
+		time.Sleep(50 * time.Millisecond) // otherwise both signals may arrive as one, and the file with errors is not read
 	}
 	expect("new ")
 	expect("new index=5&wait=3000")
--- a/internal/app/blocking_socket_test.go
+++ b/internal/app/blocking_socket_test.go
@@ -26,20 +26,21 @@
 )
 
 const (
-	// blockingKey names the environment variable with the failpoint at which a child clears O_NONBLOCK on the clients'
-	// socket, as its launcher could, and behind a space the socket's address.
-	blockingKey = "BRACKENDALE_TEST_BLOCKING"
-	// inheritedFD is the clients' socket in a child.
+	// clearNonblockEnv is the environment variable with the address of the shared listening socket and, after a space,
+	// the failpoint at which a child clears O_NONBLOCK on that socket, as the program that starts it could.
+	clearNonblockEnv = "BRACKENDALE_TEST_BLOCKING"
+	// inheritedFD is the descriptor of the shared listening socket in a child.
 	inheritedFD = 3
-	// newcomerWait bounds the wait for the accept of a newcomer, after which the next accept blocks.
-	newcomerWait = 200 * time.Millisecond
+	// newConnectionTimeout limits the wait until a new connection is accepted, after which the next accept blocks.
+	newConnectionTimeout = 200 * time.Millisecond
 )
 
-// clearNonblockAt lets this process clear the flag each time that it reaches the failpoint.
+// clearNonblockAt makes this process clear O_NONBLOCK each time that it reaches a failpoint. text is the value of
+// clearNonblockEnv.
 func clearNonblockAt(text string) {
 	addr, point, _ := strings.Cut(text, " ")
-	failpoint.SetHook(func(p failpoint.Point) {
-		if string(p) == point {
+	failpoint.SetHook(func(reached failpoint.Point) {
+		if string(reached) == point {
 			if err := clearNonblock(inheritedFD, addr); err != nil {
 				panic(err)
 			}
@@ -47,55 +48,55 @@
 	})
 }
 
-// clearNonblock clears the flag and lets the process that accepts now take a newcomer: its next accept is a blocking
-// one.
+// clearNonblock clears O_NONBLOCK and makes a connection, so that the next accept of the process that is accepting
+// blocks.
 func clearNonblock(fd int, addr string) error {
 	if err := unix.SetNonblock(fd, false); err != nil {
 		return err
 	}
-	if c, err := net.Dial("tcp", addr); err == nil {
-		_ = pingOnce(c, bufio.NewReader(c), newcomerWait) // none: nobody accepts now
-		_ = c.Close()
+	if conn, err := net.Dial("tcp", addr); err == nil {
+		_ = pingOnce(conn, bufio.NewReader(conn), newConnectionTimeout) // there is no reply if no process is accepting
+		_ = conn.Close()
 	}
 	return nil
 }
 
-// pingOnce sends PING and reads its reply. The error is io.EOF where the connection was closed in order.
-func pingOnce(c net.Conn, in *bufio.Reader, limit time.Duration) error {
-	_ = c.SetDeadline(time.Now().Add(limit))
-	if _, err := io.WriteString(c, "*1\r\n$4\r\nPING\r\n"); err != nil && !errors.Is(err, syscall.EPIPE) {
+// pingOnce sends PING and reads the reply. The error is io.EOF if the connection was closed gracefully.
+func pingOnce(conn net.Conn, reader *bufio.Reader, timeout time.Duration) error {
+	_ = conn.SetDeadline(time.Now().Add(timeout))
+	if _, err := io.WriteString(conn, "*1\r\n$4\r\nPING\r\n"); err != nil && !errors.Is(err, syscall.EPIPE) {
 		return err
 	}
-	line, err := in.ReadString('\n')
+	line, err := reader.ReadString('\n')
 	if err == nil && line != "+PONG\r\n" {
 		err = fmt.Errorf("reply %q", line)
 	}
 	return err
 }
 
-// applianceOffice is an office whose senders serve AMQP and AMQPS, too.
-type applianceOffice struct {
-	*office
-	amqp, amqps string
-	trust       *x509.CertPool
+// applianceEnv is a testEnv whose senders serve AMQP and AMQPS, too.
+type applianceEnv struct {
+	*testEnv
+	amqpAddr, amqpsAddr string
+	rootCAs             *x509.CertPool
 }
 
-func newApplianceOffice(t *testing.T) *applianceOffice {
+func newApplianceEnv(t *testing.T) *applianceEnv {
 	t.Helper()
-	o := &applianceOffice{office: newOffice(t)}
-	for _, addr := range []*string{&o.amqp, &o.amqps} {
-		free, err := fleet.FreePort()
+	env := &applianceEnv{testEnv: newTestEnv(t)}
+	for _, addr := range []*string{&env.amqpAddr, &env.amqpsAddr} {
+		freeAddr, err := fleet.FreePort()
 		if err != nil {
 			t.Fatal(err)
 		}
-		*addr = free
+		*addr = freeAddr
 	}
-	dir := filepath.Join(o.dir, "keys")
-	site, err := certs.Make(dir, "site", 10, time.Now)
+	dir := filepath.Join(env.dir, "keys")
+	authority, err := certs.Make(dir, "site", 10, time.Now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	files, err := site.Server([]string{"127.0.0.1"}, 10)
+	files, err := authority.Server([]string{"127.0.0.1"}, 10)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,71 +104,71 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o.trust = x509.NewCertPool()
-	for _, authority := range authorities {
-		o.trust.AddCert(authority)
+	env.rootCAs = x509.NewCertPool()
+	for _, certificate := range authorities {
+		env.rootCAs.AddCert(certificate)
 	}
-	text := strings.Replace(fmt.Sprintf(applianceFile, 0.5, 0, o.amqp, o.clients), "[resp]",
-		fmt.Sprintf("[amqp.tls]\nlisten = %q\ncert = %q\nkey = %q\n[resp]", o.amqps, files.Cert, files.Key), 1)
-	if err := os.WriteFile(o.site(), []byte(text), 0o600); err != nil {
+	text := strings.Replace(fmt.Sprintf(applianceConfig, 0.5, 0, env.amqpAddr, env.clientAddr), "[resp]",
+		fmt.Sprintf("[amqp.tls]\nlisten = %q\ncert = %q\nkey = %q\n[resp]", env.amqpsAddr, files.Cert, files.Key), 1)
+	if err := os.WriteFile(env.configFile(), []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return o
+	return env
 }
 
-// startClearing starts a process that clears the flag at a failpoint.
-func (o *applianceOffice) startClearing(point failpoint.Point) *process {
-	o.env = []string{blockingKey + "=" + o.clients + " " + string(point)}
-	defer func() { o.env = nil }()
-	return o.start()
+// startClearingNonblock starts a process that clears O_NONBLOCK on the shared listening socket at a failpoint.
+func (env *applianceEnv) startClearingNonblock(point failpoint.Point) *process {
+	env.extraEnv = []string{clearNonblockEnv + "=" + env.clientAddr + " " + string(point)}
+	defer func() { env.extraEnv = nil }()
+	return env.startProcess()
 }
 
-// openClients is one connection of each protocol, on which requests follow each other.
+// openClients has one open connection of each protocol, on which requests are sent one after another.
 type openClients struct {
 	wg   sync.WaitGroup
-	stop chan bool // closed: none expects its connection to be closed
+	stop chan bool // closed to end the requests
 
 	mu     sync.Mutex
 	errs   []error
-	served map[string]int // requests that were answered, by protocol
+	served map[string]int // number of requests that were answered, by protocol
 }
 
-// open opens the connections, which ask until the sender closes them in order or the returned value is asked for its
-// errors.
-func (o *applianceOffice) open() *openClients {
-	o.t.Helper()
+// connectClients opens the connections and sends requests on them until the sender closes them gracefully or check is
+// called.
+func (env *applianceEnv) connectClients() *openClients {
+	env.t.Helper()
 	clients := &openClients{stop: make(chan bool), served: map[string]int{}}
-	c, err := net.Dial("tcp", o.clients)
+	respConn, err := net.Dial("tcp", env.clientAddr)
 	if err != nil {
-		o.t.Fatal(err)
+		env.t.Fatal(err)
 	}
-	o.t.Cleanup(func() { _ = c.Close() })
-	in := bufio.NewReader(c)
-	clients.ask(o.t, "resp", func() error { return pingOnce(c, in, standin.Long) })
+	env.t.Cleanup(func() { _ = respConn.Close() })
+	reader := bufio.NewReader(respConn)
+	clients.repeatRequest(env.t, "resp", func() error { return pingOnce(respConn, reader, standin.Long) })
 	for protocol, dial := range map[string]func() (*amqp091.Connection, error){
-		"amqp": func() (*amqp091.Connection, error) { return amqp091.Dial("amqp://guest:guest@" + o.amqp + "/") },
+		"amqp": func() (*amqp091.Connection, error) { return amqp091.Dial("amqp://guest:guest@" + env.amqpAddr + "/") },
 		"amqps": func() (*amqp091.Connection, error) {
-			return amqp091.DialTLS("amqps://guest:guest@"+o.amqps+"/", &tls.Config{RootCAs: o.trust})
+			return amqp091.DialTLS("amqps://guest:guest@"+env.amqpsAddr+"/", &tls.Config{RootCAs: env.rootCAs})
 		},
 	} {
 		conn, err := dial()
 		if err != nil {
-			o.t.Fatal(protocol, err)
+			env.t.Fatal(protocol, err)
 		}
-		o.t.Cleanup(func() { _ = conn.Close() })
+		env.t.Cleanup(func() { _ = conn.Close() })
 		closed := conn.NotifyClose(make(chan *amqp091.Error, 1))
-		clients.ask(o.t, protocol, func() error { return amqpRoundTrip(conn, closed) })
+		clients.repeatRequest(env.t, protocol, func() error { return amqpRoundTrip(conn, closed) })
 	}
 	return clients
 }
 
-// amqpRoundTrip opens and closes a channel. The error is io.EOF where the sender has closed the connection in order.
+// amqpRoundTrip opens and closes a channel. The error is io.EOF if the sender has closed the connection gracefully.
 func amqpRoundTrip(conn *amqp091.Connection, closed chan *amqp091.Error) error {
 	done := make(chan error, 1)
 	go func() {
-		ch, err := conn.Channel()
+		channel, err := conn.Channel()
 		if err == nil {
-			err = ch.Close()
+			err = channel.Close()
 		}
 		done <- err
 	}()
@@ -179,14 +180,14 @@
 	case <-time.After(standin.Long):
 		return errors.New("no reply")
 	}
-	if why := <-closed; why == nil || why.Code != amqp091.ConnectionForced {
-		return fmt.Errorf("closed by: %w", why)
+	if reason := <-closed; reason == nil || reason.Code != amqp091.ConnectionForced {
+		return fmt.Errorf("connection closed: %w", reason)
 	}
 	return io.EOF
 }
 
-// ask repeats a request until its connection is closed in order or stop is closed.
-func (clients *openClients) ask(t *testing.T, protocol string, request func() error) {
+// repeatRequest repeats a request until its connection is closed gracefully or stop is closed.
+func (clients *openClients) repeatRequest(t *testing.T, protocol string, request func() error) {
 	t.Helper()
 	if err := request(); err != nil {
 		t.Fatal(protocol, err)
@@ -216,7 +217,7 @@
 	}()
 }
 
-// check ends the requests and fails the test for each that was not answered.
+// check ends the requests and reports a test error for each that was not answered.
 func (clients *openClients) check(t *testing.T) {
 	t.Helper()
 	close(clients.stop)
@@ -226,44 +227,45 @@
 	}
 }
 
-// Open clients stay without replies while the close of a blocking common socket holds the predecessor's loop.
-func TestOpenClientsDuringAnUpgradeWithABlockingSocket(t *testing.T) {
+// Open clients must get their replies during a hot restart in which the shared listening socket is in blocking mode.
+// The failure: closing the blocking socket blocks the event loop of the predecessor.
+func TestOpenClientsDuringHotRestartWithBlockingSocket(t *testing.T) {
 	for _, point := range failpoint.HotRestartPoints() {
 		t.Run(string(point), func(t *testing.T) {
 			t.Parallel()
-			o := newApplianceOffice(t)
-			p := o.startClearing(point)
-			o.ready(p)
-			clients := o.open()
-			next := o.startClearing(point)
-			o.ready(next)
-			_ = p.Process.Signal(syscall.SIGTERM)
-			o.end(p)
+			env := newApplianceEnv(t)
+			proc := env.startClearingNonblock(point)
+			env.waitReady(proc)
+			clients := env.connectClients()
+			next := env.startClearingNonblock(point)
+			env.waitReady(next)
+			_ = proc.Process.Signal(syscall.SIGTERM)
+			env.waitExit(proc)
 			clients.check(t)
-			o.open().check(t)
+			env.connectClients().check(t)
 		})
 	}
 }
 
-// Open clients stay without replies, and the process does not end, where the common socket is a blocking one at a
-// graceful shutdown.
-func TestOpenClientsDuringAShutdownWithABlockingSocket(t *testing.T) {
+// Open clients must get their replies, and the process must exit, in a graceful shutdown in which the shared listening
+// socket is in blocking mode.
+func TestOpenClientsDuringShutdownWithBlockingSocket(t *testing.T) {
 	for _, point := range []failpoint.Point{failpoint.ShutdownStarted, failpoint.ShutdownWaitEnded} {
-		for name, signals := range map[string][]syscall.Signal{
+		for name, sequence := range map[string][]syscall.Signal{
 			"SIGTERM": {syscall.SIGTERM},
 			"twice":   {syscall.SIGTERM, syscall.SIGTERM},
 			"SIGHUP":  {syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP},
 		} {
 			t.Run(fmt.Sprint(point, ", ", name), func(t *testing.T) {
 				t.Parallel()
-				o := newApplianceOffice(t)
-				p := o.startClearing(point)
-				o.ready(p)
-				clients := o.open()
-				for _, sig := range signals {
-					_ = p.Process.Signal(sig)
+				env := newApplianceEnv(t)
+				proc := env.startClearingNonblock(point)
+				env.waitReady(proc)
+				clients := env.connectClients()
+				for _, sig := range sequence {
+					_ = proc.Process.Signal(sig)
 				}
-				o.end(p)
+				env.waitExit(proc)
 				clients.check(t)
 			})
 		}
--- a/internal/app/faults_test.go
+++ b/internal/app/faults_test.go
@@ -18,21 +18,22 @@
 	"brackendale/internal/testing/standin"
 )
 
-// The wall clock steps by an hour or three seconds, forward or back: when the sender starts again after a kill or a
-// graceful shutdown, in a hot restart, while it runs, and just before a graceful shutdown. Pending messages are still
-// attempted once their partner serves, and those that it never takes have their final answer in time.
+// The wall clock steps by an hour or three seconds, forward or back: when the sender restarts after a kill or a
+// graceful shutdown, in a hot restart, while it runs, or just before a graceful shutdown. Pending messages must still
+// be delivered once their partner accepts calls, and those whose deadline passes before that must have their final
+// answer in time.
 func TestWallClockSteps(t *testing.T) {
-	for step, whens := range map[time.Duration][]string{
+	for step, events := range map[time.Duration][]string{
 		time.Hour:  {"killed", "handed over", "ending"},
 		-time.Hour: {"killed", "ended", "handed over", "running"}, 3 * time.Second: {"ending"}, -3 * time.Second: {"killed"},
 	} {
-		for _, when := range whens {
-			t.Run(fmt.Sprint(step, " ", when), func(t *testing.T) {
+		for _, event := range events {
+			t.Run(fmt.Sprint(step, " ", event), func(t *testing.T) {
 				t.Parallel()
-				o := newOffice(t)
-				open := o.refuseCalls()
+				env := newTestEnv(t)
+				acceptCalls := env.rejectCalls()
 				var first, second faults.Faults
-				switch when {
+				switch event {
 				case "running":
 					first = faults.Faults{WallStep: step, StepIn: time.Second}
 				case "ending":
@@ -40,43 +41,43 @@
 				default:
 					second = faults.Faults{WallStep: step}
 				}
-				p := o.startWith(first)
-				o.ready(p)
-				o.submitAccepted("long", 8, "c=charge,t=x,d=20000,dest=7")
-				o.submitAccepted("short", 8, "c=charge,t=x,d=6000,dest=7")
+				proc := env.startWith(first)
+				env.waitReady(proc)
+				env.submitAccepted("long", 8, "c=charge,t=x,d=20000,dest=7")
+				env.submitAccepted("short", 8, "c=charge,t=x,d=6000,dest=7")
 				due := time.Now().Add(6 * time.Second)
-				switch when {
+				switch event {
 				case "killed":
-					_ = p.Process.Kill()
-					<-p.ended
-					o.ready(o.startWith(second))
+					_ = proc.Process.Kill()
+					<-proc.exited
+					env.waitReady(env.startWith(second))
 				case "ended", "ending":
-					_ = p.Process.Signal(syscall.SIGTERM)
-					<-p.ended
-					o.ready(o.startWith(second))
+					_ = proc.Process.Signal(syscall.SIGTERM)
+					<-proc.exited
+					env.waitReady(env.startWith(second))
 				case "handed over":
-					o.ready(o.startWith(second))
-					o.end(p)
+					env.waitReady(env.startWith(second))
+					env.waitExit(proc)
 				}
-				// A restart's grace on notices, and the page's slack, are over by then.
+				// By then, the grace period for final answers after a restart and the tolerance of the protocol have passed.
 				time.Sleep(time.Until(due.Add(1900 * time.Millisecond)))
-				o.mu.Lock()
-				for id, end := range o.finals {
+				env.mu.Lock()
+				for id, state := range env.finalAnswers {
 					if strings.HasPrefix(id, "long") {
-						t.Errorf("%s is %s with two thirds of its time left", id, end)
+						t.Errorf("%s has the final answer %s with two thirds of the time to its deadline remaining", id, state)
 					}
 				}
 				for i := range 8 {
-					if id := fmt.Sprint("short-", i); o.finals[id] == "" {
-						t.Errorf("%s has no end two seconds after its time", id)
+					if id := fmt.Sprint("short-", i); env.finalAnswers[id] == "" {
+						t.Errorf("%s has no final answer two seconds after its deadline", id)
 					}
 				}
-				o.mu.Unlock()
-				open()
-				o.settled()
+				env.mu.Unlock()
+				acceptCalls()
+				env.waitSettled()
 				for i := range 8 {
-					if id := fmt.Sprint("long-", i); o.applied[id] != 1 {
-						t.Errorf("%s was delivered %d times", id, o.applied[id])
+					if id := fmt.Sprint("long-", i); env.applied[id] != 1 {
+						t.Errorf("%s was delivered %d times", id, env.applied[id])
 					}
 				}
 			})
@@ -84,130 +85,133 @@
 	}
 }
 
-// The machine has booted between two processes, and nobody knows for how long it was off: messages that were never
-// attempted are delivered, and a charge that was in flight ends as failed.
-func TestAnotherBootOfTheMachine(t *testing.T) {
-	o := newOffice(t)
+// The machine was rebooted between two processes, with a downtime of unknown length: messages that were never
+// attempted are delivered, and a charge that was in flight gets the final answer failed.
+func TestRebootBetweenIncarnations(t *testing.T) {
+	env := newTestEnv(t)
 	var calls atomic.Int64
-	o.answer = func(w http.ResponseWriter, r *http.Request) {
+	env.partnerHandler = func(w http.ResponseWriter, r *http.Request) {
 		if calls.Add(1) == 1 {
 			<-r.Context().Done()
 			return
 		}
-		o.mu.Lock()
-		o.applied[r.Header.Get("Req-Id")]++
-		o.mu.Unlock()
+		env.mu.Lock()
+		env.applied[r.Header.Get("Req-Id")]++
+		env.mu.Unlock()
 	}
-	p := o.start()
-	o.ready(p)
-	o.submitAccepted("out", 1, "c=charge,t=x,d=20000,dest=7")
+	proc := env.startProcess()
+	env.waitReady(proc)
+	env.submitAccepted("out", 1, "c=charge,t=x,d=20000,dest=7")
 	for calls.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	o.submitAccepted("held", 4, "c=charge,t=x,d=20000,dest=7") // behind a call that hangs
-	_ = p.Process.Kill()
-	<-p.ended
-	o.ready(o.startWith(faults.Faults{BootID: "another", WallStep: -time.Hour}))
-	o.settled()
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.finals["out-0"] != "failed" || o.applied["out-0"] != 0 {
-		t.Errorf("the charge that was out: %q, %d", o.finals["out-0"], o.applied["out-0"])
+	env.submitAccepted("held", 4, "c=charge,t=x,d=20000,dest=7") // pending behind a call that does not return
+	_ = proc.Process.Kill()
+	<-proc.exited
+	env.waitReady(env.startWith(faults.Faults{BootID: "another", WallStep: -time.Hour}))
+	env.waitSettled()
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	if env.finalAnswers["out-0"] != "failed" || env.applied["out-0"] != 0 {
+		t.Errorf("the charge that was in flight: final answer %q, applied %d times", env.finalAnswers["out-0"],
+			env.applied["out-0"])
 	}
-	for id := range o.taken {
-		if strings.HasPrefix(id, "held") && o.applied[id] != 1 && o.finals[id] != "failed" {
-			t.Errorf("%s: applied %d times, %q", id, o.applied[id], o.finals[id])
+	for id := range env.accepted {
+		if strings.HasPrefix(id, "held") && env.applied[id] != 1 && env.finalAnswers[id] != "failed" {
+			t.Errorf("%s: applied %d times, final answer %q", id, env.applied[id], env.finalAnswers[id])
 		}
 	}
 }
 
-// Writes to the journal fail with EIO or ENOSPC, once, a few times, in a row, whole or behind a
-// part of a record, with the truncation behind them failing too: the sender goes on, and after a kill
-// each accepted message is delivered once or has its final answer.
+// Writes to the journal fail with an error, once or several times in a row, before or after a part of a record is
+// written, and the truncation that follows may fail too: the sender continues to serve, and after a kill each accepted
+// message is delivered once or has its final answer.
 func TestJournalWritesFail(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EIO, syscall.ENOSPC, syscall.EINTR, syscall.ENOMEM} {
 		for _, after := range []int{0, 13, 1 << 20} {
-			for _, cut := range []bool{false, true} {
-				t.Run(fmt.Sprint(errno.Error(), " after ", after, " cut fails ", cut), func(t *testing.T) {
+			for _, truncateFails := range []bool{false, true} {
+				t.Run(fmt.Sprint(errno.Error(), " after ", after, " truncate fails ", truncateFails), func(t *testing.T) {
 					t.Parallel()
-					o := newOffice(t)
-					var list []faults.Folder
-					for _, at := range [][2]int{{3, 1}, {8, 3}, {20, 5}} {
-						list = append(list, faults.Folder{
+					env := newTestEnv(t)
+					var failures []faults.Folder
+					for _, writes := range [][2]int{{3, 1}, {8, 3}, {20, 5}} {
+						failures = append(failures, faults.Folder{
 							Call: statefs.CallWrite, Name: "spool", Errno: errno, After: after,
-							First: at[0], Count: at[1],
+							First: writes[0], Count: writes[1],
 						})
 					}
-					if cut {
-						list = append(list, faults.Folder{Call: statefs.CallTruncate, Name: "spool", Errno: errno, First: 2, Count: 3})
+					if truncateFails {
+						failures = append(failures, faults.Folder{
+							Call: statefs.CallTruncate, Name: "spool", Errno: errno, First: 2, Count: 3,
+						})
 					}
-					p := o.startWith(faults.Faults{Folder: list})
-					o.ready(p)
-					stop := o.crowd(4)
-					enough := func(n int) {
+					proc := env.startWith(faults.Faults{Folder: failures})
+					env.waitReady(proc)
+					stop := env.startClients(4)
+					waitAccepted := func(n int) {
 						t.Helper()
-						for until := time.Now().Add(standin.Long); ; time.Sleep(5 * time.Millisecond) {
-							o.mu.Lock()
-							taken := len(o.taken)
-							o.mu.Unlock()
-							if taken >= n {
+						for deadline := time.Now().Add(standin.Long); ; time.Sleep(5 * time.Millisecond) {
+							env.mu.Lock()
+							accepted := len(env.accepted)
+							env.mu.Unlock()
+							if accepted >= n {
 								return
 							}
 							select {
-							case err := <-p.ended:
-								t.Fatalf("it ended with %d taken on: %v\n%s", taken, err, p.said)
+							case err := <-proc.exited:
+								t.Fatalf("the process exited with %d charges accepted: %v\n%s", accepted, err, proc.stderr)
 							default:
 							}
-							if time.Now().After(until) {
-								t.Fatalf("only %d are taken on\n%s", taken, p.said)
+							if time.Now().After(deadline) {
+								t.Fatalf("only %d charges accepted\n%s", accepted, proc.stderr)
 							}
 						}
 					}
-					enough(60)
-					_ = p.Process.Kill()
-					<-p.ended
-					p = o.start()
-					o.ready(p)
+					waitAccepted(60)
+					_ = proc.Process.Kill()
+					<-proc.exited
+					proc = env.startProcess()
+					env.waitReady(proc)
 					stop()
-					o.settled()
+					env.waitSettled()
 				})
 			}
 		}
 	}
 }
 
-// A configuration that cannot be read at its SIGHUP, since all descriptors are in use, is applied once it can be read:
-// nobody signals again, and the old registry goes away.
+// A configuration that cannot be read at SIGHUP, since all descriptors are in use, is applied once it can be read: no
+// second signal follows, and the old registry may disappear.
 func TestReloadWithoutDescriptors(t *testing.T) {
-	o := newOffice(t)
-	p := o.start()
-	o.ready(p)
-	asked := make(chan string, 100)
-	next := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked <- r.URL.Path
+	env := newTestEnv(t)
+	proc := env.startProcess()
+	env.waitReady(proc)
+	requests := make(chan string, 100)
+	newRegistry := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		requests <- r.URL.Path
 		<-r.Context().Done()
 	}))
-	defer func() { next.CloseClientConnections(); next.Close() }()
-	raw, err := os.ReadFile(o.site())
+	defer func() { newRegistry.CloseClientConnections(); newRegistry.Close() }()
+	config, err := os.ReadFile(env.configFile())
 	if err != nil {
 		t.Fatal(err)
 	}
 	changed := regexp.MustCompile(`discovery = ".*"`).
-		ReplaceAll(raw, []byte(fmt.Sprintf("discovery = %q", next.Listener.Addr().String())))
-	if err := os.WriteFile(o.site(), changed, 0o600); err != nil {
+		ReplaceAll(config, []byte(fmt.Sprintf("discovery = %q", newRegistry.Listener.Addr().String())))
+	if err := os.WriteFile(env.configFile(), changed, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := fleet.NoDescriptors(p.Process.Pid, true); err != nil {
+	if err := fleet.NoDescriptors(proc.Process.Pid, true); err != nil {
 		t.Fatal(err)
 	}
-	_ = p.Process.Signal(syscall.SIGHUP)
+	_ = proc.Process.Signal(syscall.SIGHUP)
 	time.Sleep(200 * time.Millisecond)
-	if err := fleet.NoDescriptors(p.Process.Pid, false); err != nil {
+	if err := fleet.NoDescriptors(proc.Process.Pid, false); err != nil {
 		t.Fatal(err)
 	}
 	select {
-	case <-asked:
+	case <-requests:
 	case <-time.After(5 * time.Second):
-		t.Fatalf("the new discovery is not asked\n%s", p.said)
+		t.Fatalf("the new registry received no request\n%s", proc.stderr)
 	}
 }
--- a/internal/app/figures_test.go
+++ b/internal/app/figures_test.go
@@ -17,52 +17,53 @@
 	"brackendale/internal/testing/standin"
 )
 
-// figures reads what the second address shows.
-func (p *process) figures(t *testing.T) map[string]int {
+// metrics returns the metrics that the control address serves, by name and labels.
+func (proc *process) metrics(t *testing.T) map[string]int {
 	t.Helper()
-	status, text := p.ask("GET", "/api/telemetry", "")
+	status, text := proc.callControl("GET", "/api/telemetry", "")
 	if status != 200 {
 		t.Fatal(status, text)
 	}
-	list := map[string]int{}
-	for _, m := range regexp.MustCompile(`(?m)^(\w+)(\{[^}]*\})? ([\d.e+]+)$`).FindAllStringSubmatch(text, -1) {
-		x, err := strconv.ParseFloat(m[3], 64)
+	values := map[string]int{}
+	for _, match := range regexp.MustCompile(`(?m)^(\w+)(\{[^}]*\})? ([\d.e+]+)$`).FindAllStringSubmatch(text, -1) {
+		value, err := strconv.ParseFloat(match[3], 64)
 		if err != nil {
 			t.Fatal(err)
 		}
-		list[m[1]+m[2]] += int(x)
+		values[match[1]+match[2]] += int(value)
 	}
-	return list
+	return values
 }
 
-// The metrics agree with what the peers saw: under load with errors, resets, rejections, batches, clients that leave
-// before their answer, a hot restart and a graceful restart. Each process counts from 0.
-func TestFiguresAreWhatPeersSaw(t *testing.T) {
-	o := newOffice(t)
-	o.kind = "k"
+// The metrics must agree with the counts of the partner and the clients, under load with errors, resets, rejections,
+// batches, clients that disconnect before the reply, a hot restart and a graceful shutdown. Each process counts from
+// 0.
+func TestMetricsMatchPeers(t *testing.T) {
+	env := newTestEnv(t)
+	env.partnerKind = "k"
 	var mu sync.Mutex
-	calls, read, done := 0, 0, map[string]bool{}
-	o.answer = func(w http.ResponseWriter, r *http.Request) {
+	calls, received, delivered := 0, 0, map[string]bool{}
+	env.partnerHandler = func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
-			return // not written whole
+			return // the request is incomplete
 		}
 		ids := []string{r.Header.Get("Req-Id")}
 		if strings.HasSuffix(r.URL.Path, "/bundle") {
 			ids = nil
-			for in := bufio.NewReader(strings.NewReader(string(body))); ; {
+			for reader := bufio.NewReader(strings.NewReader(string(body))); ; {
 				var id, key string
 				var n int
-				if _, err := fmt.Fscanf(in, "%s %s %d\r\n", &id, &key, &n); err != nil {
+				if _, err := fmt.Fscanf(reader, "%s %s %d\r\n", &id, &key, &n); err != nil {
 					break
 				}
 				ids = append(ids, id)
-				_, _ = in.Discard(n + 2)
+				_, _ = reader.Discard(n + 2)
 			}
 		}
 		mu.Lock()
 		calls++
-		read += len(ids)
+		received += len(ids)
 		n := calls
 		mu.Unlock()
 		time.Sleep(3 * time.Millisecond)
@@ -73,13 +74,13 @@
 			w.Header().Set("X-Backoff-Ms", "10")
 			w.WriteHeader(http.StatusTooManyRequests)
 		case 30:
-			if c, _, err := http.NewResponseController(w).Hijack(); err == nil {
-				_ = c.Close()
+			if conn, _, err := http.NewResponseController(w).Hijack(); err == nil {
+				_ = conn.Close()
 			}
 		default:
 			mu.Lock()
 			for _, id := range ids {
-				done[id] = true
+				delivered[id] = true
 			}
 			mu.Unlock()
 			for _, id := range ids {
@@ -88,64 +89,67 @@
 		}
 	}
 	total := map[string]int{}
-	add := func(p *process) {
-		for k, x := range p.figures(t) {
-			total[k] += x
+	add := func(proc *process) {
+		for k, value := range proc.metrics(t) {
+			total[k] += value
 		}
 	}
-	p := o.start()
-	o.ready(p)
-	end := o.crowd(8)
-	leavers := 0
-	for i := range 20 { // hand in and leave at once
-		if c, err := net.Dial("tcp", o.clients); err == nil {
-			fmt.Fprintf(c, "*5\r\n$6\r\nSUBMIT\r\n$1\r\n0\r\n$3\r\nL%02d\r\n$28\r\nc=charge,t=x,d=15000,dest=7 \r\n$1\r\n"+
+	proc := env.startProcess()
+	env.waitReady(proc)
+	stopClients := env.startClients(8)
+	disconnected := 0
+	for i := range 20 { // submit and disconnect at once
+		if conn, err := net.Dial("tcp", env.clientAddr); err == nil {
+			fmt.Fprintf(conn, "*5\r\n$6\r\nSUBMIT\r\n$1\r\n0\r\n$3\r\nL%02d\r\n$28\r\nc=charge,t=x,d=15000,dest=7 \r\n$1\r\n"+
 				"x\r\n", i)
-			_ = c.Close()
-			leavers++
+			_ = conn.Close()
+			disconnected++
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	stays, err := net.Dial("tcp", o.clients) // half a command keeps the old process until its figures are read
+	// A partial command keeps the predecessor running until its metrics are read.
+	partialConn, err := net.Dial("tcp", env.clientAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer stays.Close()
-	_, _ = io.WriteString(stays, "*5\r\n$6\r\nSUB")
+	defer partialConn.Close()
+	_, _ = io.WriteString(partialConn, "*5\r\n$6\r\nSUB")
 	time.Sleep(50 * time.Millisecond)
-	next := o.start()
-	o.ready(next)
-	add(p) // what the old one counted; it decides nothing any more
-	_ = stays.Close()
-	o.end(p)
-	p = next
+	successorProc := env.startProcess()
+	env.waitReady(successorProc)
+	add(proc) // the counts of the predecessor; it makes no decisions any more
+	_ = partialConn.Close()
+	env.waitExit(proc)
+	proc = successorProc
 	time.Sleep(100 * time.Millisecond)
-	end()
-	for until := time.Now().Add(standin.Long); p.figures(t)["lb_in_progress"] > 0; time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(until) {
-			t.Fatal("messages without an end:", p.figures(t)["lb_in_progress"])
+	stopClients()
+	for deadline := time.Now().Add(standin.Long); proc.metrics(t)["lb_in_progress"] > 0; time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("messages without a final answer:", proc.metrics(t)["lb_in_progress"])
 		}
 	}
-	add(p)
-	_ = p.Process.Signal(syscall.SIGTERM)
-	o.end(p)
+	add(proc)
+	_ = proc.Process.Signal(syscall.SIGTERM)
+	env.waitExit(proc)
 	mu.Lock()
 	defer mu.Unlock()
-	o.mu.Lock()
-	defer o.mu.Unlock()
+	env.mu.Lock()
+	defer env.mu.Unlock()
 	handled := func(outcome string) int {
 		return total[`lb_handled_total{category="charge",outcome="`+outcome+`"}`]
 	}
-	near := func(what string, shows, saw, slack int) {
+	checkClose := func(metric string, shown, seen, tolerance int) {
 		t.Helper()
-		if d := shows - saw; d > slack || -d > slack {
-			t.Errorf("%s: shown %d, seen %d", what, shows, saw)
+		if d := shown - seen; d > tolerance || -d > tolerance {
+			t.Errorf("%s: the metric is %d, counted %d", metric, shown, seen)
 		}
 	}
-	near("messages written whole", total["lb_upstream_tries_total"], read, 3+read/50)
-	near("passed", handled("passed"), len(done), 3+leavers)
-	near("failed or given back", handled("bad_gateway")+handled("dropped"), len(o.finals)+o.refused, 3+leavers)
-	if len(done) < 20 || total["lb_known_endpoints"] == 0 {
-		t.Errorf("too little to compare: %d done, %d given up, %v", len(done), len(o.finals), total)
+	checkClose("messages written whole", total["lb_upstream_tries_total"], received, 3+received/50)
+	checkClose("passed", handled("passed"), len(delivered), 3+disconnected)
+	checkClose("failed or given back", handled("bad_gateway")+handled("dropped"), len(env.finalAnswers)+env.rejected,
+		3+disconnected)
+	if len(delivered) < 20 || total["lb_known_endpoints"] == 0 {
+		t.Errorf("too few messages to compare: %d delivered, %d with a final answer, %v", len(delivered),
+			len(env.finalAnswers), total)
 	}
 }
--- a/internal/app/full_test.go
+++ b/internal/app/full_test.go
@@ -9,75 +9,76 @@
 	"brackendale/internal/testing/standin"
 )
 
-// The disk of a sender under load has no room for a while, also while a new process wants to take its place, and the
-// sender is killed before there is room again: until then it goes on, rejects what comes, tells why it is not ready,
-// and does not hand over. Each accepted charge has one final answer and is applied once.
-func TestDiskWithoutRoom(t *testing.T) {
-	o := newOffice(t)
-	p := o.start()
-	o.ready(p)
-	end := o.crowd(4)
-	full := func(on bool) {
+// The disk of a sender under load is full repeatedly, also while a new process requests to take over, and the sender
+// is killed while the disk is full. With a full disk the sender continues to run, rejects new messages, reports why
+// it is not ready, and does not hand over. Each accepted charge has one final answer and is applied at most once.
+func TestFullDisk(t *testing.T) {
+	env := newTestEnv(t)
+	proc := env.startProcess()
+	env.waitReady(proc)
+	stopClients := env.startClients(4)
+	setDiskFull := func(full bool) {
 		t.Helper()
-		if err := fleet.FullDisk(p.Process.Pid, on); err != nil {
+		if err := fleet.FullDisk(proc.Process.Pid, full); err != nil {
 			t.Fatal(err)
 		}
 	}
-	stalls := func() {
+	waitNotReady := func() {
 		t.Helper()
-		for until := time.Now().Add(standin.Long); ; time.Sleep(5 * time.Millisecond) {
-			if status, why := p.ask("GET", "/api/ready", ""); status != 200 && strings.Contains(why, "disk takes nothing") {
+		for deadline := time.Now().Add(standin.Long); ; time.Sleep(5 * time.Millisecond) {
+			if status, reason := proc.callControl("GET", "/api/ready", ""); status != 200 &&
+				strings.Contains(reason, "disk takes nothing") {
 				return
 			}
-			if time.Now().After(until) {
-				t.Fatalf("never said\n%s", p.said)
+			if time.Now().After(deadline) {
+				t.Fatalf("the process does not report that its disk is full\n%s", proc.stderr)
 			}
 		}
 	}
-	progress := func(word string, n func() int) {
+	waitIncrease := func(change string, count func() int) {
 		t.Helper()
-		o.mu.Lock()
-		from := n()
-		o.mu.Unlock()
-		for until := time.Now().Add(standin.Long); ; time.Sleep(5 * time.Millisecond) {
-			o.mu.Lock()
-			now := n()
-			o.mu.Unlock()
-			if now > from {
+		env.mu.Lock()
+		before := count()
+		env.mu.Unlock()
+		for deadline := time.Now().Add(standin.Long); ; time.Sleep(5 * time.Millisecond) {
+			env.mu.Lock()
+			now := count()
+			env.mu.Unlock()
+			if now > before {
 				return
 			}
-			if time.Now().After(until) {
-				t.Fatalf("nothing is %s any more\n%s", word, p.said)
+			if time.Now().After(deadline) {
+				t.Fatalf("no message is %s any more\n%s", change, proc.stderr)
 			}
 		}
 	}
-	refused, taken := func() int { return o.refused }, func() int { return len(o.taken) }
+	rejected, accepted := func() int { return env.rejected }, func() int { return len(env.accepted) }
 	for range 3 {
-		full(true)
-		stalls()
-		progress("refused", refused)
-		full(false)
-		o.ready(p)
-		progress("taken on", taken)
+		setDiskFull(true)
+		waitNotReady()
+		waitIncrease("refused", rejected)
+		setDiskFull(false)
+		env.waitReady(proc)
+		waitIncrease("taken on", accepted)
 	}
-	full(true)
-	stalls()
-	next := o.start()
+	setDiskFull(true)
+	waitNotReady()
+	newProc := env.startProcess()
 	select {
-	case <-next.ended: // it was refused
+	case <-newProc.exited: // it was refused
 	case <-time.After(standin.Long):
-		t.Fatalf("it does not end\n%s\n%s", next.said, p.said)
+		t.Fatalf("the refused process does not exit\n%s\n%s", newProc.stderr, proc.stderr)
 	}
-	full(false)
-	o.ready(p)
-	progress("taken on", taken)
-	full(true)
-	stalls()
-	_ = p.Process.Kill()
-	<-p.ended
-	p = o.start()
-	o.ready(p)
-	progress("taken on", taken)
-	end()
-	o.settled()
+	setDiskFull(false)
+	env.waitReady(proc)
+	waitIncrease("taken on", accepted)
+	setDiskFull(true)
+	waitNotReady()
+	_ = proc.Process.Kill()
+	<-proc.exited
+	proc = env.startProcess()
+	env.waitReady(proc)
+	waitIncrease("taken on", accepted)
+	stopClients()
+	env.waitSettled()
 }
--- a/internal/app/golden_test.go
+++ b/internal/app/golden_test.go
@@ -16,9 +16,9 @@
 	"brackendale/internal/testing/standin"
 )
 
-// figuresFile is an appliance that is its group's only member; the addresses are the second one's, the ingress's and
-// the group's.
-const figuresFile = `control = %q
+// metricsConfig is the configuration of an appliance that is the only member of its group. The addresses are the
+// control address, the address of the ingress and the address in the group.
+const metricsConfig = `control = %q
 [limits]
 sockets = 200
 disk_mb = 16
@@ -63,21 +63,21 @@
 dial = "127.0.0.1:9"
 `
 
-// serveFigures serves that file until the test ends, and gives the second address.
-func serveFigures(t *testing.T) string {
+// serveMetrics runs a sender with metricsConfig until the test ends, and returns its control address.
+func serveMetrics(t *testing.T) string {
 	t.Helper()
-	var at [3]any
-	for i := range at {
+	var addrs [3]any
+	for i := range addrs {
 		addr, err := fleet.FreePort()
 		if err != nil {
 			t.Fatal(err)
 		}
-		at[i] = addr
+		addrs[i] = addr
 	}
 	dir := t.TempDir()
 	t.Setenv("LB_STATE", dir)
 	file := filepath.Join(dir, "a.toml")
-	if err := os.WriteFile(file, fmt.Appendf(nil, figuresFile, at[:]...), 0o600); err != nil {
+	if err := os.WriteFile(file, fmt.Appendf(nil, metricsConfig, addrs[:]...), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -89,36 +89,36 @@
 			t.Error(err)
 		}
 	})
-	return at[0].(string)
+	return addrs[0].(string)
 }
 
-// telemetryOf is what the second address serves; empty while it does not.
-func telemetryOf(t *testing.T, addr string) string {
+// getTelemetry returns the metrics page of the control address, or an empty string if there is no response.
+func getTelemetry(t *testing.T, addr string) string {
 	t.Helper()
-	a, err := http.Get("http://" + addr + "/api/telemetry")
+	response, err := http.Get("http://" + addr + "/api/telemetry")
 	if err != nil {
 		return ""
 	}
-	defer a.Body.Close()
-	text, err := io.ReadAll(a.Body)
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return fmt.Sprintf("%s\nContent-Type: %s\n\n%s", a.Status, a.Header.Get("Content-Type"), text)
+	return fmt.Sprintf("%s\nContent-Type: %s\n\n%s", response.Status, response.Header.Get("Content-Type"), text)
 }
 
-// Every figure as a group's member serves it: name, kind, help and labels. The golden file has X in place of values.
-// After a change that is meant, go test ./internal/app -run Golden -update-golden writes it anew.
-func TestGoldenFigures(t *testing.T) {
-	addr := serveFigures(t)
-	all := []string{
+// Checks every metric that a member of a group serves: name, type, help and labels. The golden file has X in place of
+// the values. After an intended change, go test ./internal/app -run Golden -update-golden rewrites it.
+func TestGoldenMetrics(t *testing.T) {
+	addr := serveMetrics(t)
+	wanted := []string{
 		`lb_group_epoch{duty="journals"}`, `lb_group_epoch{duty="nightly"}`, `lb_group_share{limit=`,
 		`lb_life_start{case="new"}`,
 	}
-	for end := time.Now().Add(standin.Long); ; time.Sleep(10 * time.Millisecond) {
-		text := telemetryOf(t, addr)
+	for deadline := time.Now().Add(standin.Long); ; time.Sleep(10 * time.Millisecond) {
+		text := getTelemetry(t, addr)
 		missing := ""
-		for _, line := range all {
+		for _, line := range wanted {
 			if !strings.Contains(text, line) {
 				missing = line
 			}
@@ -127,7 +127,7 @@
 			golden.Check(t, "figures.txt", golden.Mask(text, `(?m)^([^#\n].*[a-z}]) [\d.e+-]+$`, "$1 X"))
 			return
 		}
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			t.Fatalf("no %s in\n%s", missing, text)
 		}
 	}
--- a/internal/app/group_test.go
+++ b/internal/app/group_test.go
@@ -12,17 +12,19 @@
 	"brackendale/internal/testing/fleet"
 )
 
-// Real processes with a relay between each two, and the same faults each time: the holder is
-// stopped past its lease and goes on, the leader is killed, the holder is cut off from the others
-// but not from the receiver, hears and is not heard, is heard and does not hear; two halves, a
-// bridge, slow links, all killed in one instant, one emptied, one put back, the leader's and the
-// holder's disk full; a duty handed on by order, and by a holder that ends in order. No act
-// overlaps another of its duty, none of an older epoch is taken, and every duty is held again at
-// the end.
+// Runs a group of real processes, with a relay between each two, through a fixed fault schedule: the holder of a duty
+// is stopped for longer than its lease and continues; the leader is killed; the holder is isolated from the other
+// members but not from the receiver of executions; a member can only receive or only send; the group is split into
+// two halves, or into halves that one member connects; links are slow; all members are killed at the same time; the
+// state of a member is deleted, or replaced by an older copy; the disk of the leader and of the holder is full; a
+// duty is handed over on request, and by a holder that shuts down. No execution of a duty overlaps another one, no
+// execution under an older epoch is accepted, and every duty has a holder at the end.
 func TestGroupThroughFaults(t *testing.T) {
 	t.Parallel()
 	const lease = 500 * time.Millisecond
-	step := func(do string, whom ...string) fleet.Step { return fleet.Step{Do: do, Whom: whom, For: 2 * lease} }
+	step := func(action string, members ...string) fleet.Step {
+		return fleet.Step{Do: action, Whom: members, For: 2 * lease}
+	}
 	plan := []fleet.Step{
 		step("stop", "holder:duty1"), step("kill", "leader"), step("cut", "holder:duty1"), step("mute", "holder:duty2"),
 		step("deaf", "leader"), step("part", "a", "b"), step("bridge", "a", "c"), step("slow", "b"),
@@ -38,33 +40,34 @@
 		t.Fatal(err)
 	}
 	defer os.RemoveAll(dir)
-	rep, _, err := fleet.Scenario{
+	report, _, err := fleet.Scenario{
 		Program: os.Args[0], Dir: dir, Members: 5, Duties: 2, Lease: lease, Every: lease / 10, Longest: lease / 4,
 		Takes: 5 * time.Millisecond, Seed: 1, Plan: plan,
 	}.Play()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v := rep.Verdict; !v.Right() || v.Acts < 50 || len(rep.Handovers) < 3 {
-		t.Errorf("%+v, %d hand-overs", v, len(rep.Handovers))
+	if verdict := report.Verdict; !verdict.Right() || verdict.Acts < 50 || len(report.Handovers) < 3 {
+		t.Errorf("%+v, %d hand-overs", verdict, len(report.Handovers))
 	}
 	logs, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	failed := 0
-	for _, f := range logs {
-		raw, _ := os.ReadFile(f)
-		failed += strings.Count(string(raw), "the disk has failed the log")
+	for _, file := range logs {
+		text, _ := os.ReadFile(file)
+		failed += strings.Count(string(text), "the disk has failed the log")
 	}
 	if err != nil || failed == 0 {
-		t.Errorf("%v: no member's log was failed by its disk", err)
+		t.Errorf("%v: no member logged a failure of its disk", err)
 	}
-	t.Logf("%d times the disk failed a log", failed)
-	t.Logf("%d acts, %d refused, %d hand-overs, %v", rep.Verdict.Acts, rep.Verdict.Refused, len(rep.Handovers), rep.Pauses)
+	t.Logf("%d disk failures logged", failed)
+	t.Logf("%d executions, %d rejected, %d hand-overs, %v",
+		report.Verdict.Acts, report.Verdict.Refused, len(report.Handovers), report.Pauses)
 }
 
-// A partner that was unavailable comes back in slow start, just when the member that probes it for all is stopped for
-// longer than its lease, or killed: another member probes on, the partner does not fail again under the load of all,
-// and the accepted messages arrive.
-func TestColdReturnWhileItsTrialChangesHands(t *testing.T) {
+// A partner that was unavailable recovers in slow start, just when the member that probes it for the group is stopped
+// for longer than its lease, or killed: another member continues to probe it, the partner does not fail again under
+// the load of all members, and the accepted messages are delivered.
+func TestSlowStartWhileProbingMemberFails(t *testing.T) {
 	for _, fault := range []string{"stop", "kill"} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
@@ -73,7 +76,7 @@
 				t.Fatal(err)
 			}
 			defer os.RemoveAll(dir)
-			out, err := fleet.LimitScenario{
+			phases, err := fleet.LimitScenario{
 				Program: os.Args[0], Dir: dir, Senders: 4, LimitPerS: 60, Demand: 0.6, Group: true,
 				ColdReturn: true, ProbeFault: fault,
 				WarmUp: 2 * time.Second, Each: 8 * time.Second, PartnerDowntime: 2 * time.Second,
@@ -81,18 +84,20 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			// Probes by all members, as without a group, are several calls a second. Where the group
-			// has lost its leader too each member may probe for itself.
-			if back := out[1]; back.Falls != 0 || back.SoleProbes < 2 && !back.WasLeader || back.Lost > 1.5 || back.Used < 0.1 {
-				t.Errorf("%+v", back)
+			// Probes by all members, as without a group, are several calls per second. If the group has lost its leader, too,
+			// each member may probe by itself.
+			if recovery := phases[1]; recovery.Falls != 0 || recovery.SoleProbes < 2 && !recovery.WasLeader ||
+				recovery.Lost > 1.5 || recovery.Used < 0.1 {
+				t.Errorf("%+v", recovery)
 			}
 		})
 	}
 }
 
-// All members are asked to drain at the same time: one goes, the others get the reason why not yet, and each gets its
-// turn once the one before it is back; no two are out together.
-func TestDrainAskedOfAllAtOnce(t *testing.T) {
+// All members are requested to drain at the same time: one drains and restarts, the others receive the reason why
+// they may not drain yet, and each may drain once the previous one has restarted. No two members may drain at the
+// same time.
+func TestConcurrentDrainRequests(t *testing.T) {
 	t.Parallel()
 	dir, err := fleet.TempDir()
 	if err != nil {
@@ -100,8 +105,8 @@
 	}
 	defer os.RemoveAll(dir)
 	names := []string{"a", "b", "c"}
-	w, err := fleet.NewWorld(os.Args[0], dir, names, nil, 1, fleet.NewTimeline(), func(m *fleet.Member) string {
-		at, err := fleet.FreePort()
+	cluster, err := fleet.NewWorld(os.Args[0], dir, names, nil, 1, fleet.NewTimeline(), func(member *fleet.Member) string {
+		respAddr, err := fleet.FreePort()
 		if err != nil {
 			t.Error(err)
 		}
@@ -109,62 +114,62 @@
 			"finals = \"127.0.0.1:1\"\n[[class]]\nname = \"safe\"\neffect = \"repeatable\"\n"+
 			"aim_ms = 2000\ndeadline_ms = 20000\nworth = 1\n[[route]]\nname = \"r\"\ndest = 1\nproto = \"http\"\ndial = "+
 			"\"127.0.0.1:1\"\n"+
-			"[group]\nname = %q\nlisten = %q\nlease_ms = 500\nmembers = [", m.Name, at, m.Name, m.Listen)
-		for _, n := range names {
-			text += fmt.Sprintf("%q, ", n+"="+m.Reach[n])
+			"[group]\nname = %q\nlisten = %q\nlease_ms = 500\nmembers = [", member.Name, respAddr, member.Name, member.Listen)
+		for _, name := range names {
+			text += fmt.Sprintf("%q, ", name+"="+member.Reach[name])
 		}
 		return text + "]\n[[duty]]\nname = \"restarts\"\nkind = \"roll\"\n"
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Close()
-	if err := w.Up(); err != nil {
+	defer cluster.Close()
+	if err := cluster.Up(); err != nil {
 		t.Fatal(err)
 	}
-	out, last := map[string]int{}, []string(nil)
-	for until := time.Now().Add(60 * time.Second); len(out) < len(names); time.Sleep(20 * time.Millisecond) {
-		if time.Now().After(until) {
-			t.Fatalf("%v went; %v", out, last)
+	restarted, lastReasons := map[string]int{}, []string(nil)
+	for deadline := time.Now().Add(60 * time.Second); len(restarted) < len(names); time.Sleep(20 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("only these members drained: %v; last replies: %v", restarted, lastReasons)
 		}
-		var all sync.WaitGroup
-		went, why := make([]bool, len(names)), make([]string, len(names))
-		for i, n := range names {
-			if out[n] > 0 { // asked again it would go again, and nobody would start it
+		var requests sync.WaitGroup
+		drained, reasons := make([]bool, len(names)), make([]string, len(names))
+		for i, name := range names {
+			if restarted[name] > 0 { // on a second request it would drain again, and the test would not start it again
 				continue
 			}
-			all.Add(1)
+			requests.Add(1)
 			go func() {
-				defer all.Done()
-				var r struct{ Error, Text string }
-				err := fleet.AskSocket(w.Member(n).Socket(), "drain", &r)
-				why[i] = fmt.Sprint(err, r.Error)
-				went[i] = err == nil && r.Error == ""
+				defer requests.Done()
+				var reply struct{ Error, Text string }
+				err := fleet.AskSocket(cluster.Member(name).Socket(), "drain", &reply)
+				reasons[i] = fmt.Sprint(err, reply.Error)
+				drained[i] = err == nil && reply.Error == ""
 			}()
 		}
-		all.Wait()
-		gone := ""
-		last = why
-		for i, n := range names {
-			if went[i] {
-				if gone != "" {
-					t.Fatalf("%s and %s are out together", gone, n)
+		requests.Wait()
+		draining := ""
+		lastReasons = reasons
+		for i, name := range names {
+			if drained[i] {
+				if draining != "" {
+					t.Fatalf("%s and %s drain at the same time", draining, name)
 				}
-				gone = n
+				draining = name
 			}
 		}
-		if gone == "" {
+		if draining == "" {
 			continue
 		}
-		out[gone]++
-		for end := time.Now().Add(30 * time.Second); ; time.Sleep(10 * time.Millisecond) {
-			if over, err := w.Proc(gone).Ended(); over && err != nil || time.Now().After(end) {
-				t.Fatal(gone, over, err)
-			} else if over {
+		restarted[draining]++
+		for exitDeadline := time.Now().Add(30 * time.Second); ; time.Sleep(10 * time.Millisecond) {
+			if exited, err := cluster.Proc(draining).Ended(); exited && err != nil || time.Now().After(exitDeadline) {
+				t.Fatal(draining, exited, err)
+			} else if exited {
 				break
 			}
 		}
-		if err := w.Up(gone); err != nil {
+		if err := cluster.Up(draining); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/app/hot_restart_test.go
+++ b/internal/app/hot_restart_test.go
@@ -23,138 +23,140 @@
 	"golang.org/x/sys/unix"
 )
 
-// Three hot restarts under load: every charge ends once, at most two requests per restart meet the end of a connection,
-// an excluded endpoint stays excluded, and each predecessor ends in order.
-func TestUpgradeUnderLoad(t *testing.T) {
-	o := newOffice(t)
-	p := o.start()
-	o.ready(p)
-	end := o.crowd(6)
+// Three hot restarts under load: every charge has exactly one final outcome, at most two requests per restart are
+// interrupted by a disconnection, an excluded endpoint stays excluded, and each predecessor exits gracefully.
+func TestHotRestartUnderLoad(t *testing.T) {
+	env := newTestEnv(t)
+	proc := env.startProcess()
+	env.waitReady(proc)
+	stopClients := env.startClients(6)
 	for i := range 3 {
 		time.Sleep(100 * time.Millisecond)
 		if i == 1 {
-			if status, text := p.ask("POST", "/api/exclude", `{"target":"e1"}`); status != 200 {
+			if status, text := proc.callControl("POST", "/api/exclude", `{"target":"e1"}`); status != 200 {
 				t.Fatal(status, text)
 			}
 		}
-		next := o.start()
-		o.ready(next)
-		if status, _ := p.ask("GET", "/api/ready", ""); status == 200 {
-			t.Fatal("both say yes")
+		newProc := env.startProcess()
+		env.waitReady(newProc)
+		if status, _ := proc.callControl("GET", "/api/ready", ""); status == 200 {
+			t.Fatal("both processes report that they are ready")
 		}
-		_ = p.Process.Signal(syscall.SIGTERM)
-		o.end(p)
-		p = next
+		_ = proc.Process.Signal(syscall.SIGTERM)
+		env.waitExit(proc)
+		proc = newProc
 		if i == 1 {
-			if _, text := p.ask("GET", "/api/telemetry", ""); !strings.Contains(text, "lb_skipped_endpoints 1\n") {
-				t.Fatalf("out by hand before the upgrade, and after it:\n%s", text)
+			if _, text := proc.callControl("GET", "/api/telemetry", ""); !strings.Contains(text, "lb_skipped_endpoints 1\n") {
+				t.Fatalf("the endpoint excluded before the hot restart is not excluded after it:\n%s", text)
 			}
-			if status, text := p.ask("POST", "/api/include", `{"target":"e1"}`); status != 200 {
+			if status, text := proc.callControl("POST", "/api/include", `{"target":"e1"}`); status != 200 {
 				t.Fatal(status, text)
 			}
 		}
 	}
 	time.Sleep(100 * time.Millisecond)
-	end()
-	o.settled()
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.crossed > 6 {
-		t.Errorf("%d requests met the end of a connection", o.crossed)
+	stopClients()
+	env.waitSettled()
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	if env.interrupted > 6 {
+		t.Errorf("%d requests were interrupted by a disconnection", env.interrupted)
 	}
-	for id, how := range o.finals {
-		if how == "failed" {
-			t.Errorf("%s failed, and its partner answers all", id)
+	for id, finalAnswer := range env.finalAnswers {
+		if finalAnswer == "failed" {
+			t.Errorf("%s failed, though its partner replies to all calls", id)
 		}
 	}
 }
 
-// A predecessor ends after an upgrade though its launcher returned the common socket to blocking mode, as os/exec does
-// with a file from net.TCPListener.File.
-func TestUpgradeWithABlockingSocket(t *testing.T) {
-	o := newOffice(t)
-	p := o.start()
-	o.ready(p)
-	if err := unix.SetNonblock(int(o.file.Fd()), false); err != nil {
+// A predecessor must exit after a hot restart even if the program that started it has set the shared listening socket
+// to blocking mode, as os/exec does with a file from net.TCPListener.File.
+func TestHotRestartWithBlockingSocket(t *testing.T) {
+	env := newTestEnv(t)
+	proc := env.startProcess()
+	env.waitReady(proc)
+	if err := unix.SetNonblock(int(env.listenerFile.Fd()), false); err != nil {
 		t.Fatal(err)
 	}
-	c, err := net.Dial("tcp", o.clients) // the accept that follows on this client blocks
+	conn, err := net.Dial("tcp", env.clientAddr) // the accept after this connection blocks
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(standin.Long))
-	if _, err := io.WriteString(c, "*1\r\n$4\r\nPING\r\n"); err != nil {
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(standin.Long))
+	if _, err := io.WriteString(conn, "*1\r\n$4\r\nPING\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	if line, err := bufio.NewReader(c).ReadString('\n'); line != "+PONG\r\n" {
+	if line, err := bufio.NewReader(conn).ReadString('\n'); line != "+PONG\r\n" {
 		t.Fatal(line, err)
 	}
-	next := o.start()
-	o.ready(next)
-	_ = p.Process.Signal(syscall.SIGTERM)
-	o.end(p)
+	newProc := env.startProcess()
+	env.waitReady(newProc)
+	_ = proc.Process.Signal(syscall.SIGTERM)
+	env.waitExit(proc)
 }
 
-// Clients in the middle of a command, more than half of the connection limit, are not closed because a successor has
-// connected.
-func TestGreetingEndsNoClient(t *testing.T) {
-	o := newOffice(t)
-	p := o.start()
-	o.ready(p)
-	var list []net.Conn
+// Clients in the middle of a command, more than half of the connection limit in number, must not be disconnected when
+// a successor connects.
+func TestHelloDisconnectsNoClient(t *testing.T) {
+	env := newTestEnv(t)
+	proc := env.startProcess()
+	env.waitReady(proc)
+	var conns []net.Conn
 	for range 200 {
-		c, err := net.Dial("tcp", o.clients)
+		conn, err := net.Dial("tcp", env.clientAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		if _, err := io.WriteString(c, "*1\r\n$4\r\nPI"); err != nil {
+		defer conn.Close()
+		if _, err := io.WriteString(conn, "*1\r\n$4\r\nPI"); err != nil {
 			t.Fatal(err)
 		}
-		list = append(list, c)
+		conns = append(conns, conn)
 	}
-	l := o.playSuccessor("hello", "<welcome")
-	defer l.close()
-	time.Sleep(time.Second) // the table has been looked at: nobody is ended for it, or 37 are
-	for i, c := range list {
-		_ = c.SetDeadline(time.Now().Add(standin.Long))
-		_, _ = io.WriteString(c, "NG\r\n")
-		if line, err := bufio.NewReader(c).ReadString('\n'); line != "+PONG\r\n" {
-			t.Fatalf("client %d of %d: %q, %v", i, len(list), line, err)
+	link := env.simulateSuccessor("hello", "<welcome")
+	defer link.close()
+	time.Sleep(time.Second) // the table has applied its limits by then: with the fault, it had closed 37 connections
+	for i, conn := range conns {
+		_ = conn.SetDeadline(time.Now().Add(standin.Long))
+		_, _ = io.WriteString(conn, "NG\r\n")
+		if line, err := bufio.NewReader(conn).ReadString('\n'); line != "+PONG\r\n" {
+			t.Fatalf("client %d of %d: reply %q, %v", i, len(conns), line, err)
 		}
 	}
 }
 
-// playSuccessor plays a part of the successor's side in the test: kinds of message to send, and with "<" to receive.
-func (o *office) playSuccessor(kinds ...string) *restartLink {
-	o.t.Helper()
-	path, release, err := restartSocketPath(o.state())
+// simulateSuccessor runs a part of the successor's side of the protocol in the test. steps has the kinds of message to
+// send and, with the prefix "<", to receive.
+func (env *testEnv) simulateSuccessor(steps ...string) *restartLink {
+	env.t.Helper()
+	path, release, err := restartSocketPath(env.stateDir())
 	if err != nil {
-		o.t.Fatal(err)
+		env.t.Fatal(err)
 	}
 	defer release()
-	c, err := net.Dial("unix", path)
+	conn, err := net.Dial("unix", path)
 	if err != nil {
-		o.t.Fatal(err)
+		env.t.Fatal(err)
 	}
-	l := newRestartLink(c)
+	link := newRestartLink(conn)
 	version := hotrestart.Version
-	for _, next := range kinds {
-		if kind, ok := strings.CutPrefix(next, "<"); ok {
-			if got, err := l.receive(standin.Long); err != nil || string(got.Kind) != kind {
-				o.t.Fatalf("received %q %q, %v, not %s", got.Kind, got.Reason, err, kind)
+	for _, step := range steps {
+		if kind, ok := strings.CutPrefix(step, "<"); ok {
+			if got, err := link.receive(standin.Long); err != nil || string(got.Kind) != kind {
+				env.t.Fatalf("received %q %q, %v, not %s", got.Kind, got.Reason, err, kind)
 			}
 			continue
 		}
-		l.send(hotrestart.Message{Kind: hotrestart.Kind(next), Version: version})
+		link.send(hotrestart.Message{Kind: hotrestart.Kind(step), Version: version})
 	}
-	return l
+	return link
 }
 
-// A successor dies or hangs at any step before it is ready: the predecessor goes on, by itself or from the journal.
-func TestSuccessorThatDies(t *testing.T) {
-	for _, kinds := range [][]string{
+// A successor exits or hangs at any step before it is ready: the predecessor continues to serve, directly or after a
+// restart from the journal.
+func TestSuccessorFailure(t *testing.T) {
+	for _, steps := range [][]string{
 		{},
 		{"hello"},
 		{"hello", "<welcome", "taken"},
@@ -163,38 +165,37 @@
 		{"hello", "<welcome", "prepared", "<state", "taken", "<yours"},
 	} {
 		for _, hangs := range []bool{false, true} {
-			if last := len(kinds) - 1; hangs && (last < 0 || kinds[last] == "<yours") {
-				continue // it holds nothing; and with the journal given, only its end tells
+			if last := len(steps) - 1; hangs && (last < 0 || steps[last] == "<yours") {
+				continue // without a step it cannot hang; once it has the journal, only a disconnection shows its failure
 			}
-			t.Run(fmt.Sprint(kinds, hangs), func(t *testing.T) {
+			t.Run(fmt.Sprint(steps, hangs), func(t *testing.T) {
 				t.Parallel()
-				o := newOffice(t)
-				p := o.start()
-				o.ready(p)
-				end := o.crowd(4)
+				env := newTestEnv(t)
+				proc := env.startProcess()
+				env.waitReady(proc)
+				stopClients := env.startClients(4)
 				time.Sleep(50 * time.Millisecond)
-				l := o.playSuccessor(kinds...)
+				link := env.simulateSuccessor(steps...)
 				if !hangs {
-					l.close()
+					link.close()
 				}
-				o.ready(p)
+				env.waitReady(proc)
 				time.Sleep(50 * time.Millisecond)
-				end()
-				o.settled()
-				if l.close(); !hangs { // and the next one takes over
-					next := o.start()
-					o.ready(next)
-					o.end(p)
+				stopClients()
+				env.waitSettled()
+				if link.close(); !hangs { // the next process can take over
+					newProc := env.startProcess()
+					env.waitReady(newProc)
+					env.waitExit(proc)
 				}
 			})
 		}
 	}
 }
 
-// A predecessor dies at any step: the successor goes on from the journal. One of another version leaves the journal
-// alone.
-func TestPredecessorThatDies(t *testing.T) {
-	for _, kinds := range [][]string{
+// A predecessor exits at any step, or refuses: the successor starts from the journal once it is unlocked.
+func TestPredecessorFailure(t *testing.T) {
+	for _, steps := range [][]string{
 		{},
 		{"<hello"},
 		{"<hello", "refused"},
@@ -202,170 +203,172 @@
 		{"<hello", "welcome", "<prepared"},
 		{"<hello", "welcome", "<prepared", "state"},
 	} {
-		t.Run(fmt.Sprint(kinds), func(t *testing.T) {
+		t.Run(fmt.Sprint(steps), func(t *testing.T) {
 			t.Parallel()
-			o := newOffice(t)
-			old, err := journal.Open(o.state(), 3<<20)
+			env := newTestEnv(t)
+			predecessorJournal, err := journal.Open(env.stateDir(), 3<<20)
 			if err != nil {
 				t.Fatal(err)
 			}
-			old.Accept(&journal.Entry{
+			predecessorJournal.Accept(&journal.Entry{
 				ID: "held", Class: "charge", Front: "platform", Destination: 7,
 				Deadline: clock.Steady().Add(time.Minute),
 			})
-			old.Accept(&journal.Entry{
+			predecessorJournal.Accept(&journal.Entry{
 				ID: "out", Class: "charge", Front: "platform", Destination: 7,
 				Deadline: clock.Steady().Add(time.Minute),
 			})
-			old.StartAttempt("out", "", clock.Steady())
-			if err := old.Flush(); err != nil {
+			predecessorJournal.StartAttempt("out", "", clock.Steady())
+			if err := predecessorJournal.Flush(); err != nil {
 				t.Fatal(err)
 			}
-			path, release, err := restartSocketPath(o.state())
+			path, release, err := restartSocketPath(env.stateDir())
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer release()
-			ln, err := net.Listen("unix", path)
+			listener, err := net.Listen("unix", path)
 			if err != nil {
 				t.Fatal(err)
 			}
-			p := o.start()
-			c, err := ln.Accept()
+			proc := env.startProcess()
+			conn, err := listener.Accept()
 			if err != nil {
 				t.Fatal(err)
 			}
-			l := newRestartLink(c)
-			for _, w := range kinds {
-				if kind, ok := strings.CutPrefix(w, "<"); ok {
-					if got, err := l.receive(standin.Long); err != nil || string(got.Kind) != kind {
+			link := newRestartLink(conn)
+			for _, step := range steps {
+				if kind, ok := strings.CutPrefix(step, "<"); ok {
+					if got, err := link.receive(standin.Long); err != nil || string(got.Kind) != kind {
 						t.Fatal(got.Kind, err)
 					}
 					continue
 				}
-				say := hotrestart.Message{Kind: hotrestart.Kind(w), Version: hotrestart.Version}
-				if w == "state" {
-					say.State = &hotrestart.State{Core: sender.Checkpoint{}} // of no form that is known
+				msg := hotrestart.Message{Kind: hotrestart.Kind(step), Version: hotrestart.Version}
+				if step == "state" {
+					msg.State = &hotrestart.State{Core: sender.Checkpoint{}} // without a valid state format
 				}
-				l.send(say)
+				link.send(msg)
 			}
-			if _, text := p.ask("GET", "/api/ready", ""); strings.HasPrefix(text, "ready") {
-				t.Fatal("ready without the journal")
+			if _, text := proc.callControl("GET", "/api/ready", ""); strings.HasPrefix(text, "ready") {
+				t.Fatal("the process is ready without the journal")
 			}
-			for !l.flushed() {
+			for !link.flushed() {
 				time.Sleep(time.Millisecond)
 			}
-			l.close()
-			_ = ln.Close()
-			_ = old.Close()
-			o.ready(p)
-			o.mu.Lock()
-			o.taken["held"], o.taken["out"] = true, true
-			o.mu.Unlock()
-			o.settled()
-			if o.applied["out"] != 0 || o.finals["out"] != "failed" || o.applied["held"] != 1 {
-				t.Errorf("applied %v, ends %v", o.applied, o.finals)
+			link.close()
+			_ = listener.Close()
+			_ = predecessorJournal.Close()
+			env.waitReady(proc)
+			env.mu.Lock()
+			env.accepted["held"], env.accepted["out"] = true, true
+			env.mu.Unlock()
+			env.waitSettled()
+			if env.applied["out"] != 0 || env.finalAnswers["out"] != "failed" || env.applied["held"] != 1 {
+				t.Errorf("applied %v, final answers %v", env.applied, env.finalAnswers)
 			}
 		})
 	}
 }
 
-// A third start while two processes run is refused with the reason.
-func TestThirdStartIsRefused(t *testing.T) {
-	o := newOffice(t)
-	p := o.start()
-	o.ready(p)
-	l := o.playSuccessor("hello", "<welcome")
-	defer l.close()
-	third := o.start()
+// A third process that is started while two are running is refused with a reason.
+func TestThirdProcessIsRefused(t *testing.T) {
+	env := newTestEnv(t)
+	proc := env.startProcess()
+	env.waitReady(proc)
+	link := env.simulateSuccessor("hello", "<welcome")
+	defer link.close()
+	thirdProc := env.startProcess()
 	select {
-	case err := <-third.ended:
-		if err == nil || !strings.Contains(third.said.String(), "another upgrade is under way") {
-			t.Fatal(err, third.said)
+	case err := <-thirdProc.exited:
+		if err == nil || !strings.Contains(thirdProc.stderr.String(), "another upgrade is under way") {
+			t.Fatal(err, thirdProc.stderr)
 		}
 	case <-time.After(standin.Long):
-		t.Fatal("it does not end")
+		t.Fatal("the third process does not exit")
 	}
-	o.ready(p)
+	env.waitReady(proc)
 }
 
-// Either side is killed at any moment of a hot restart: accepted messages end once, and nothing is charged twice.
-// BRACKENDALE_KILLS=100 makes many more kills than a landing needs.
-func TestKilledDuringAnUpgrade(t *testing.T) {
+// Either side is killed at a random time during a hot restart: each accepted message has one final outcome, and none
+// is applied twice. BRACKENDALE_KILLS=100 makes many more kills than a regular test run needs.
+func TestKillDuringHotRestart(t *testing.T) {
 	kills, err := strconv.Atoi(os.Getenv("BRACKENDALE_KILLS"))
 	if err != nil {
 		kills = 6
 	}
 	rng := rand.New(rand.NewSource(1))
-	o := newOffice(t)
-	p := o.start()
-	o.ready(p)
-	end := o.crowd(4)
+	env := newTestEnv(t)
+	proc := env.startProcess()
+	env.waitReady(proc)
+	stopClients := env.startClients(4)
 	for range kills {
-		next := o.start()
+		newProc := env.startProcess()
 		time.Sleep(time.Duration(rng.Intn(80)) * time.Millisecond)
-		victim, left := p, next
+		killed, remaining := proc, newProc
 		if rng.Intn(2) == 0 {
-			victim, left = next, p
+			killed, remaining = newProc, proc
 		}
-		_ = victim.Process.Kill()
-		<-victim.ended
+		_ = killed.Process.Kill()
+		<-killed.exited
 		select {
-		case <-left.ended: // it had handed over, or had nothing to take over from: the platform starts it again
-			left = o.start()
+		case <-remaining.exited: // it had handed over, or lost its predecessor: the platform starts it again
+			remaining = env.startProcess()
 		case <-time.After(20 * time.Millisecond):
 		}
-		o.ready(left)
-		p = left
+		env.waitReady(remaining)
+		proc = remaining
 	}
-	end()
-	o.settled()
-	t.Logf("%d kills, %d taken on, %d requests met the end of a connection", kills, len(o.taken), o.crossed)
+	stopClients()
+	env.waitSettled()
+	t.Logf("%d kills, %d charges accepted, %d requests interrupted by a disconnection", kills,
+		len(env.accepted), env.interrupted)
 }
 
-// A successor takes over while a charge of the predecessor waits for its connection: the partner accepts nobody until
-// then. It is charged once, whoever sends it.
-func TestHandOverWhileACallWaitsForItsConnection(t *testing.T) {
-	o := newOffice(t)
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// A successor takes over while an attempt of the predecessor waits for its connection, since the partner accepts no
+// connection until then. Each charge must be applied once, whichever process sends it.
+func TestHotRestartWhileConnecting(t *testing.T) {
+	env := newTestEnv(t)
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
-	raw, err := ln.(*net.TCPListener).SyscallConn()
+	defer listener.Close()
+	rawListener, err := listener.(*net.TCPListener).SyscallConn()
 	if err == nil {
-		err = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), 0) }) // room for one that is not accepted
+		err = rawListener.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), 0) }) // a backlog for one connection
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, err := net.Dial("tcp", ln.Addr().String())
+	first, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	o.dial = ln.Addr().String()
-	p := o.start()
-	o.ready(p)
-	o.submitAccepted("charge", 3, "c=charge,t=x,d=15000,dest=7")
-	time.Sleep(100 * time.Millisecond) // its connect is under way: nothing shows that from outside
-	next := o.start()
-	o.ready(next)
+	env.partnerDial = listener.Addr().String()
+	proc := env.startProcess()
+	env.waitReady(proc)
+	env.submitAccepted("charge", 3, "c=charge,t=x,d=15000,dest=7")
+	// By then its connection attempt is in progress, which cannot be observed from outside.
+	time.Sleep(100 * time.Millisecond)
+	newProc := env.startProcess()
+	env.waitReady(newProc)
 	_ = first.Close()
 	partner := &http.Server{Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		o.mu.Lock()
-		o.applied[r.Header.Get("Req-Id")]++
-		o.mu.Unlock()
+		env.mu.Lock()
+		env.applied[r.Header.Get("Req-Id")]++
+		env.mu.Unlock()
 	})}
-	go func() { _ = partner.Serve(ln) }()
+	go func() { _ = partner.Serve(listener) }()
 	defer partner.Close()
-	o.end(p)
-	o.settled()
-	o.mu.Lock()
-	defer o.mu.Unlock()
+	env.waitExit(proc)
+	env.waitSettled()
+	env.mu.Lock()
+	defer env.mu.Unlock()
 	for i := range 3 {
-		if id := fmt.Sprint("charge-", i); o.applied[id] != 1 {
-			t.Errorf("%s was charged %d times, and has the end %q", id, o.applied[id], o.finals[id])
+		if id := fmt.Sprint("charge-", i); env.applied[id] != 1 {
+			t.Errorf("%s was applied %d times and has the final answer %q", id, env.applied[id], env.finalAnswers[id])
 		}
 	}
 }
--- a/internal/app/idle_test.go
+++ b/internal/app/idle_test.go
@@ -21,15 +21,16 @@
 	"github.com/rabbitmq/amqp091-go"
 )
 
-// appliance serves a file of its own in this process until the test ends or a signal comes.
+// appliance is a sender that is configured by a file alone and serves AMQP and RESP2 clients. It runs in this process
+// until the test ends or a signal arrives.
 type appliance struct {
-	t          *testing.T
-	file       string
-	amqp, resp string
-	done       chan error
+	t                  *testing.T
+	configFile         string
+	amqpAddr, respAddr string
+	exited             chan error
 }
 
-const applianceFile = `[limits]
+const applianceConfig = `[limits]
 sockets = 200
 [clients]
 share = %v
@@ -55,109 +56,117 @@
 dial = "127.0.0.1:9"
 `
 
-func (a *appliance) write(share float64, perAddress int) {
+// writeConfig writes the configuration file; share and perAddress are limits of client connections.
+func (a *appliance) writeConfig(share float64, perAddress int) {
 	a.t.Helper()
-	if err := os.WriteFile(a.file, fmt.Appendf(nil, applianceFile, share, perAddress, a.amqp, a.resp), 0o600); err != nil {
+	if err := os.WriteFile(a.configFile,
+		fmt.Appendf(nil, applianceConfig, share, perAddress, a.amqpAddr, a.respAddr), 0o600); err != nil {
 		a.t.Fatal(err)
 	}
 }
 
+// serveAppliance starts an appliance and waits until it listens.
 func serveAppliance(t *testing.T) *appliance {
 	t.Helper()
-	a := newAppliance(t)
+	instance := newAppliance(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		a.done <- Serve(ctx, a.file, Options{})
+		instance.exited <- Serve(ctx, instance.configFile, Options{})
 	}()
-	t.Cleanup(func() { // the folder is removed after this: the sender must not write into it any more
+	t.Cleanup(func() { // the state folder is removed after this cleanup: the sender must no longer write to it
 		cancel()
 		<-ended
 	})
-	a.ready()
-	return a
+	instance.waitListening()
+	return instance
 }
 
-// newAppliance writes an appliance's file.
+// newAppliance writes the configuration file of an appliance, without starting it.
 func newAppliance(t *testing.T) *appliance {
 	t.Helper()
-	free := func() string {
-		at, err := fleet.FreePort()
+	freePort := func() string {
+		addr, err := fleet.FreePort()
 		if err != nil {
 			t.Fatal(err)
 		}
-		return at
+		return addr
 	}
 	dir := t.TempDir()
 	t.Setenv("LB_STATE", dir)
-	a := &appliance{t: t, file: filepath.Join(dir, "a.toml"), amqp: free(), resp: free(), done: make(chan error, 1)}
-	a.write(0.5, 0)
-	return a
+	instance := &appliance{
+		t: t, configFile: filepath.Join(dir, "a.toml"), amqpAddr: freePort(), respAddr: freePort(),
+		exited: make(chan error, 1),
+	}
+	instance.writeConfig(0.5, 0)
+	return instance
 }
 
-// ready waits until the ingresses listen.
-func (a *appliance) ready() {
+// waitListening waits until the ingresses listen.
+func (a *appliance) waitListening() {
 	a.t.Helper()
-	for began := time.Now(); ; time.Sleep(5 * time.Millisecond) {
-		if c, err := net.Dial("tcp", a.amqp); err == nil {
-			_ = c.Close()
+	for started := time.Now(); ; time.Sleep(5 * time.Millisecond) {
+		if conn, err := net.Dial("tcp", a.amqpAddr); err == nil {
+			_ = conn.Close()
 			return
-		} else if time.Since(began) > standin.Long {
+		} else if time.Since(started) > standin.Long {
 			a.t.Fatal(err)
 		}
 	}
 }
 
-// clients opens AMQP connections with a channel each, and says how each was closed.
-func (a *appliance) clients(n int) chan *amqp091.Error {
+// connectClients opens n AMQP connections with a channel each. The returned channel receives how each was closed.
+func (a *appliance) connectClients(count int) chan *amqp091.Error {
 	a.t.Helper()
-	closed := make(chan *amqp091.Error, n)
-	for range n {
-		c, err := amqp091.Dial("amqp://guest:guest@" + a.amqp + "/")
+	closed := make(chan *amqp091.Error, count)
+	for range count {
+		conn, err := amqp091.Dial("amqp://guest:guest@" + a.amqpAddr + "/")
 		if err != nil {
 			a.t.Fatal(err)
 		}
-		if _, err := c.Channel(); err != nil {
+		if _, err := conn.Channel(); err != nil {
 			a.t.Fatal(err)
 		}
-		one := c.NotifyClose(make(chan *amqp091.Error, 1))
-		go func() { closed <- <-one }()
+		connClosed := conn.NotifyClose(make(chan *amqp091.Error, 1))
+		go func() { closed <- <-connClosed }()
 	}
 	return closed
 }
 
-func (a *appliance) want(closed chan *amqp091.Error, n int) {
+// waitForcedClose waits until n connections are closed, each with the reply code of a forced close.
+func (a *appliance) waitForcedClose(closed chan *amqp091.Error, count int) {
 	a.t.Helper()
-	for i := range n {
+	for i := range count {
 		select {
 		case err := <-closed:
 			if err == nil || err.Code != amqp091.ConnectionForced {
-				a.t.Fatal("closed without the word for it:", err)
+				a.t.Fatal("the connection was not closed with CONNECTION_FORCED:", err)
 			}
 		case <-time.After(standin.Long):
-			a.t.Fatal("only so many were told:", i)
+			a.t.Fatal("number of connections closed in time:", i)
 		}
 	}
 }
 
-// TestMain serves in a process of its own where a test asks for one.
+// TestMain runs a sender instead of the tests if the environment or the arguments of the process request it. Tests
+// start this program in further processes in this way.
 func TestMain(m *testing.M) {
 	file := os.Getenv("BRACKENDALE_TEST_SERVE")
-	if len(os.Args) == 4 && os.Args[1] == "serve" { // as the stand-in world starts the program
+	if len(os.Args) == 4 && os.Args[1] == "serve" { // as package fleet starts the program
 		file = os.Args[3]
 	}
-	if kill := os.Getenv(killKey); kill != "" {
-		killedAt(kill)
+	if killAtPoint := os.Getenv(killEnv); killAtPoint != "" {
+		killAt(killAtPoint)
 	}
-	if os.Getenv(holdNewcomerKey) != "" {
-		holdNewcomerWhileDraining()
+	if os.Getenv(holdConnectionEnv) != "" {
+		holdConnectionWhileDraining()
 	}
-	if blocking := os.Getenv(blockingKey); blocking != "" {
-		clearNonblockAt(blocking)
+	if clearAt := os.Getenv(clearNonblockEnv); clearAt != "" {
+		clearNonblockAt(clearAt)
 	}
 	faults.Meet()
-	if file == "platform" { // LB_CONFIG alone
+	if file == "platform" { // LB_CONFIG alone configures the sender
 		file = ""
 	}
 	if os.Getenv("BRACKENDALE_TEST_SERVE") != "" || file != "" {
@@ -170,137 +179,137 @@
 	os.Exit(m.Run())
 }
 
-// A process that is stopped for longer than two heartbeats and goes on keeps its clients: what they sent meanwhile is
-// unread, and a limit that passed during the stop is not taken for an idle client.
+// A process that is stopped for longer than two heartbeat intervals and continues keeps its clients: what they sent
+// meanwhile is not read yet, so a timeout that passed during the stop must not be treated as an idle client.
 func TestStopAndContinue(t *testing.T) {
-	a := newAppliance(t)
-	c := exec.Command(os.Args[0])
-	c.Env = append(os.Environ(), "BRACKENDALE_TEST_SERVE="+a.file)
-	if err := c.Start(); err != nil {
+	appliance := newAppliance(t)
+	cmd := exec.Command(os.Args[0])
+	cmd.Env = append(os.Environ(), "BRACKENDALE_TEST_SERVE="+appliance.configFile)
+	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = c.Process.Kill(); _ = c.Wait() }()
-	a.ready()
-	conn, err := net.Dial("tcp", a.amqp)
+	defer func() { _ = cmd.Process.Kill(); _ = cmd.Wait() }()
+	appliance.waitListening()
+	conn, err := net.Dial("tcp", appliance.amqpAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	_ = conn.SetDeadline(time.Now().Add(standin.Long))
 	var buf []byte
-	want := func(k amqp.Key) { // passes over heartbeats
+	expect := func(key amqp.Key) { // skips heartbeats
 		t.Helper()
 		for {
-			f, n, err := amqp.ParseFrame(buf, amqp.FrameMax)
+			frame, n, err := amqp.ParseFrame(buf, amqp.FrameMax)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if buf = buf[n:]; n > 0 && f.Kind == amqp.FrameMethod {
-				if m, err := amqp.ParseMethod(f.Payload); err != nil || m.Key != k {
-					t.Fatal(m, err)
+			if buf = buf[n:]; n > 0 && frame.Kind == amqp.FrameMethod {
+				if method, err := amqp.ParseMethod(frame.Payload); err != nil || method.Key != key {
+					t.Fatal(method, err)
 				}
 				return
 			}
 			if n == 0 {
-				part := make([]byte, 4096)
-				n, err := conn.Read(part)
+				chunk := make([]byte, 4096)
+				n, err := conn.Read(chunk)
 				if err != nil {
-					t.Fatalf("waiting for %s: %v", k, err)
+					t.Fatalf("waiting for %s: %v", key, err)
 				}
-				buf = append(buf, part[:n]...)
+				buf = append(buf, chunk[:n]...)
 			}
 		}
 	}
-	say := func(b []byte) { _, _ = conn.Write(b) } // a peer that went is seen by the next read
-	say([]byte(amqp.Preamble))
-	want(amqp.ConnStart)
-	say(amqp.AppendMethod(nil, 0, amqp.ConnStartOk, amqp.Table{}, "PLAIN", "\x00a\x00b", "en_US"))
-	want(amqp.ConnTune)
-	say(amqp.AppendMethod(nil, 0, amqp.ConnTuneOk, 8, amqp.FrameMin, 1))
-	say(amqp.AppendMethod(nil, 0, amqp.ConnOpen, "/", "", false))
-	want(amqp.ConnOpenOk)
-	if err := c.Process.Signal(syscall.SIGSTOP); err != nil {
+	send := func(b []byte) { _, _ = conn.Write(b) } // a closed connection is detected by the next read
+	send([]byte(amqp.Preamble))
+	expect(amqp.ConnStart)
+	send(amqp.AppendMethod(nil, 0, amqp.ConnStartOk, amqp.Table{}, "PLAIN", "\x00a\x00b", "en_US"))
+	expect(amqp.ConnTune)
+	send(amqp.AppendMethod(nil, 0, amqp.ConnTuneOk, 8, amqp.FrameMin, 1))
+	send(amqp.AppendMethod(nil, 0, amqp.ConnOpen, "/", "", false))
+	expect(amqp.ConnOpenOk)
+	if err := cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	beat := amqp.AppendFrame(nil, amqp.FrameBeat, 0, nil)
-	for range 10 { // for longer than two heartbeats
-		say(beat)
+	heartbeat := amqp.AppendFrame(nil, amqp.FrameBeat, 0, nil)
+	for range 10 { // for longer than two heartbeat intervals
+		send(heartbeat)
 		time.Sleep(300 * time.Millisecond)
 	}
-	if err := c.Process.Signal(syscall.SIGCONT); err != nil {
+	if err := cmd.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	for id := range uint16(8) { // the timers that were due in the pause have their turn, and the next too
-		say(amqp.AppendMethod(nil, id+1, amqp.ChanOpen, ""))
-		want(amqp.ChanOpenOk)
+	for id := range uint16(8) { // both the timers that expired during the stop and the next ones run
+		send(amqp.AppendMethod(nil, id+1, amqp.ChanOpen, ""))
+		expect(amqp.ChanOpenOk)
 		time.Sleep(200 * time.Millisecond)
 	}
 }
 
-// A reload that lowers the connection limit closes idle connections down to the limit, with a notice; the others go on,
-// and an address then meets its own limit.
-func TestReloadLowersTheBound(t *testing.T) {
-	a := serveAppliance(t)
-	closed := a.clients(60)
-	a.write(0.1, 20)
+// A reload that lowers the connection limit closes idle connections down to the limit, with a notice; the others stay
+// open, and then the limit per address applies to new connections.
+func TestReloadLowersConnectionLimit(t *testing.T) {
+	appliance := serveAppliance(t)
+	closed := appliance.connectClients(60)
+	appliance.writeConfig(0.1, 20)
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	a.want(closed, 40)
-	if _, err := amqp091.Dial("amqp://guest:guest@" + a.amqp + "/"); err == nil {
-		t.Fatal("one more was let in")
+	appliance.waitForcedClose(closed, 40)
+	if _, err := amqp091.Dial("amqp://guest:guest@" + appliance.amqpAddr + "/"); err == nil {
+		t.Fatal("a connection beyond the limit per address was accepted")
 	}
 	if len(closed) > 0 {
-		t.Fatal("more were ended than the bound asks for")
+		t.Fatal("more connections were closed than the limit requires")
 	}
 }
 
-// At SIGTERM every client is notified, on both ingresses, and the program ends by itself.
-func TestTermTellsAll(t *testing.T) {
-	a := serveAppliance(t)
-	closed := a.clients(60)
-	var resp []net.Conn
+// At SIGTERM every client of both ingresses is notified, and the program exits by itself.
+func TestShutdownNotifiesAllClients(t *testing.T) {
+	appliance := serveAppliance(t)
+	closed := appliance.connectClients(60)
+	var respConns []net.Conn
 	for range 20 {
-		c, err := net.Dial("tcp", a.resp)
+		conn, err := net.Dial("tcp", appliance.respAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = c.SetDeadline(time.Now().Add(standin.Long))
-		if _, err := fmt.Fprint(c, "*1\r\n$4\r\nPING\r\n"); err != nil {
+		_ = conn.SetDeadline(time.Now().Add(standin.Long))
+		if _, err := fmt.Fprint(conn, "*1\r\n$4\r\nPING\r\n"); err != nil {
 			t.Fatal(err)
 		}
-		b := make([]byte, 7)
-		if _, err := c.Read(b); err != nil || string(b) != "+PONG\r\n" {
-			t.Fatal(string(b), err)
+		reply := make([]byte, 7)
+		if _, err := conn.Read(reply); err != nil || string(reply) != "+PONG\r\n" {
+			t.Fatal(string(reply), err)
 		}
-		resp = append(resp, c)
+		respConns = append(respConns, conn)
 	}
 	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	a.want(closed, 60)
-	for _, c := range resp {
-		if n, err := c.Read(make([]byte, 1)); n != 0 || os.IsTimeout(err) {
+	appliance.waitForcedClose(closed, 60)
+	for _, conn := range respConns {
+		if n, err := conn.Read(make([]byte, 1)); n != 0 || os.IsTimeout(err) {
 			t.Fatal(n, err)
 		}
 	}
 	select {
-	case err := <-a.done:
+	case err := <-appliance.exited:
 		if err != nil {
 			t.Fatal(err)
 		}
 	case <-time.After(standin.Long):
-		t.Fatal("it does not end")
+		t.Fatal("the sender does not exit")
 	}
 }
 
 // A number of connections beyond the process's limit on open files is reported with the key and both numbers.
-func TestDescriptorsThatAreNotThere(t *testing.T) {
-	c := config.Config{Limits: config.Limits{Sockets: 5000}}
-	if err := c.Descriptors(5000); err != nil {
+func TestConnectionLimitAboveDescriptorLimit(t *testing.T) {
+	cfg := config.Config{Limits: config.Limits{Sockets: 5000}}
+	if err := cfg.Descriptors(5000); err != nil {
 		t.Fatal(err)
 	}
-	err := c.Descriptors(1024)
+	err := cfg.Descriptors(1024)
 	for _, want := range []string{"limits.sockets", "5000", "1024"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Fatal(err)
--- a/internal/app/kill_test.go
+++ b/internal/app/kill_test.go
@@ -22,22 +22,23 @@
 	"brackendale/internal/testing/standin"
 )
 
-// killKey names the environment variable with the failpoint at which a child kills itself, and at which passing of it.
-const killKey = "BRACKENDALE_TEST_KILL"
+// killEnv is the environment variable with the failpoint at which a child kills itself: a number n and, after a space,
+// the failpoint. The child kills itself when it reaches the failpoint for the nth time.
+const killEnv = "BRACKENDALE_TEST_KILL"
 
-// killedAt lets SIGKILL end this process at a failpoint.
-func killedAt(text string) {
-	n, point, _ := strings.Cut(text, " ")
-	left, err := strconv.Atoi(n)
+// killAt makes this process kill itself with SIGKILL at a failpoint. text is the value of killEnv.
+func killAt(text string) {
+	count, point, _ := strings.Cut(text, " ")
+	remaining, err := strconv.Atoi(count)
 	if err != nil {
 		panic(err)
 	}
 	var mu sync.Mutex
-	failpoint.SetHook(func(p failpoint.Point) {
+	failpoint.SetHook(func(reached failpoint.Point) {
 		mu.Lock()
 		defer mu.Unlock()
-		if string(p) == point {
-			if left--; left == 0 {
+		if string(reached) == point {
+			if remaining--; remaining == 0 {
 				_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
 				select {}
 			}
@@ -45,161 +46,165 @@
 	})
 }
 
-// A process is killed between two lines: when a step is in the journal and nothing of it has left, or when an attempt
-// is about to leave, or when its endpoint has it and has not answered; the first time or a later one. Whatever was
-// answered with +OK has its final answer in the next incarnation, and no charge is applied twice.
-func TestKilledBetweenTwoLines(t *testing.T) {
-	for _, x := range []struct {
+// A process is killed at a failpoint, when it reaches it for the first time or later: when a step is in the journal
+// and none of its actions has been executed, when an attempt is about to be sent, or when its endpoint has received
+// it and has not replied. Each message that was accepted with +OK is delivered or has its final answer in the next
+// incarnation, and no charge is applied twice.
+func TestKillAtFailpoint(t *testing.T) {
+	for _, testCase := range []struct {
 		point failpoint.Point
 		times []int
 	}{
 		{failpoint.StepDecided, []int{1, 3, 4, 5, 6, 7, 8, 9}},
 		{failpoint.BeforeAdmission, []int{1, 2, 3, 4}},
-		{called, []int{1, 2, 3, 4}},
+		{callReceived, []int{1, 2, 3, 4}},
 	} {
-		for _, n := range x.times {
-			t.Run(fmt.Sprintf("%s, %d", x.point, n), func(t *testing.T) {
+		for _, occurrence := range testCase.times {
+			t.Run(fmt.Sprintf("%s, %d", testCase.point, occurrence), func(t *testing.T) {
 				t.Parallel()
-				if taken := killedBetween(t, n, x.point); len(taken) < 2 && n == x.times[len(x.times)-1] {
-					t.Error("nothing was taken on before it was killed: nothing is tested")
+				if accepted := runKilledAt(t, occurrence, testCase.point); len(accepted) < 2 &&
+					occurrence == testCase.times[len(testCase.times)-1] {
+					t.Error("no message was accepted before the process was killed: the test case tests nothing")
 				}
 			})
 		}
 	}
 }
 
-// called is the point at which an endpoint has a call whole: outside of the process, so that the endpoint kills it.
-const called failpoint.Point = "an endpoint has a call, and has not answered"
+// callReceived stands for the time at which an endpoint has received a complete call. It is not a failpoint of the
+// process: the stand-in endpoint kills the process.
+const callReceived failpoint.Point = "an endpoint has a call, and has not answered"
 
-// killedBetween runs an incarnation that is killed and the next one, and returns the accepted messages.
-func killedBetween(t *testing.T, n int, point failpoint.Point) (taken []string) {
-	at := fmt.Sprintf("%d %s", n, point)
+// runKilledAt runs a process that is killed and another one after it, and returns the IDs of the accepted messages.
+func runKilledAt(t *testing.T, count int, point failpoint.Point) (accepted []string) {
+	killSpec := fmt.Sprintf("%d %s", count, point)
 	var mu sync.Mutex
-	applied, ends := map[string]int{}, map[string]string{}
-	var first *exec.Cmd
+	applied, finalAnswers := map[string]int{}, map[string]string{}
+	var firstProc *exec.Cmd
 	calls := 0
-	target := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	endpoint := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		mu.Lock()
 		defer mu.Unlock()
 		applied[r.Header.Get("Req-Id")]++
-		if calls++; point == called && calls == n {
-			_ = first.Process.Kill()
+		if calls++; point == callReceived && calls == count {
+			_ = firstProc.Process.Kill()
 		}
 	}))
-	defer target.Close()
-	finals := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	defer endpoint.Close()
+	agent := httptest.NewServer(http.HandlerFunc(func(arg http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
-		for sc := bufio.NewScanner(r.Body); sc.Scan(); {
-			if _, id, ok := strings.Cut(sc.Text(), `"id":"`); ok {
+		for scanner := bufio.NewScanner(r.Body); scanner.Scan(); {
+			if _, id, ok := strings.Cut(scanner.Text(), `"id":"`); ok {
 				id, _, _ = strings.Cut(id, `"`)
-				ends[id] = sc.Text()
+				finalAnswers[id] = scanner.Text()
 			}
 		}
-		w.WriteHeader(http.StatusNoContent)
+		arg.WriteHeader(http.StatusNoContent)
 	}))
-	defer finals.Close()
+	defer agent.Close()
 	dir := t.TempDir()
-	resp, err := fleet.FreePort()
+	respAddr, err := fleet.FreePort()
 	if err != nil {
 		t.Fatal(err)
 	}
 	file := filepath.Join(dir, "a.toml")
 	text := fmt.Sprintf("[resp]\nlisten = %q\nfinals = %q\n[[class]]\nname = \"note\"\neffect = \"once\"\naim_ms = "+
 		"1000\ndeadline_ms = 9000\nworth = 1\n"+
-		"[[route]]\nname = \"partner\"\ndest = 1\nproto = \"http\"\ndial = %q\n", resp, finals.Listener.Addr(),
-		target.Listener.Addr())
+		"[[route]]\nname = \"partner\"\ndest = 1\nproto = \"http\"\ndial = %q\n", respAddr, agent.Listener.Addr(),
+		endpoint.Listener.Addr())
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	start := func(kill string) *exec.Cmd {
 		c := exec.Command(os.Args[0])
-		c.Env = append(os.Environ(), "BRACKENDALE_TEST_SERVE="+file, "LB_STATE="+dir, killKey+"="+kill)
+		c.Env = append(os.Environ(), "BRACKENDALE_TEST_SERVE="+file, "LB_STATE="+dir, killEnv+"="+kill)
 		if err := c.Start(); err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { _ = c.Process.Kill() })
 		return c
 	}
-	died := make(chan error, 1)
+	exited := make(chan error, 1)
 	mu.Lock()
-	first = start(at)
+	firstProc = start(killSpec)
 	mu.Unlock()
-	go func() { died <- first.Wait() }()
-	var how error
+	go func() { exited <- firstProc.Wait() }()
+	var exitErr error
 	submit := func(id string) bool {
-		for end := time.Now().Add(standin.Long); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
+		for deadline := time.Now().Add(standin.Long); time.Now().Before(deadline); time.Sleep(2 * time.Millisecond) {
 			select {
-			case how = <-died:
+			case exitErr = <-exited:
 				return false
 			default:
 			}
-			c, err := net.Dial("tcp", resp)
+			c, err := net.Dial("tcp", respAddr)
 			if err != nil {
-				continue // it does not listen yet, or has died
+				continue // the process does not listen yet, or was killed
 			}
 			defer c.Close()
 			_ = c.SetDeadline(time.Now().Add(standin.Long))
-			words := []string{"SUBMIT", "0", id, "c=note,t=x,d=9000,dest=1", "charge"}
-			text := fmt.Sprintf("*%d\r\n", len(words))
-			for _, w := range words {
-				text += fmt.Sprintf("$%d\r\n%s\r\n", len(w), w)
+			args := []string{"SUBMIT", "0", id, "c=note,t=x,d=9000,dest=1", "charge"}
+			text := fmt.Sprintf("*%d\r\n", len(args))
+			for _, arg := range args {
+				text += fmt.Sprintf("$%d\r\n%s\r\n", len(arg), arg)
 			}
 			_, _ = io.WriteString(c, text)
 			line, _ := bufio.NewReader(c).ReadString('\n')
 			return line == "+OK\r\n"
 		}
-		t.Fatal("it never listens")
+		t.Fatal("the process does not listen in time")
 		return false
 	}
 	for i := range 12 {
 		id := fmt.Sprint("m", i)
-		if ok := submit(id); !ok { // it has died
+		if ok := submit(id); !ok { // the process was killed
 			break
 		}
-		taken = append(taken, id)
+		accepted = append(accepted, id)
 	}
-	if how == nil {
+	if exitErr == nil {
 		select {
-		case how = <-died:
+		case exitErr = <-exited:
 		case <-time.After(standin.Long):
-			t.Fatal("it was not killed")
+			t.Fatal("the process was not killed")
 		}
 	}
-	if how == nil || !strings.Contains(how.Error(), "killed") {
-		t.Fatal("it ended by itself:", how)
+	if exitErr == nil || !strings.Contains(exitErr.Error(), "killed") {
+		t.Fatal("the process exited by itself:", exitErr)
 	}
-	second := start("")
-	died = make(chan error) // nobody kills this one
+	secondProc := start("")
+	exited = make(chan error) // the second process is not killed
 	if !submit("last") {
-		t.Fatal("the next incarnation accepts nothing")
+		t.Fatal("the next incarnation accepts no message")
 	}
-	taken = append(taken, "last")
-	for end := time.Now().Add(standin.Long); ; time.Sleep(5 * time.Millisecond) {
+	accepted = append(accepted, "last")
+	for deadline := time.Now().Add(standin.Long); ; time.Sleep(5 * time.Millisecond) {
 		mu.Lock()
-		left := 0
-		for _, id := range taken {
-			if applied[id] == 0 && ends[id] == "" {
-				left++
+		open := 0
+		for _, id := range accepted {
+			if applied[id] == 0 && finalAnswers[id] == "" {
+				open++
 			}
 		}
 		mu.Unlock()
-		if left == 0 {
+		if open == 0 {
 			break
 		}
-		if time.Now().After(end) {
-			t.Fatalf("%d of %v have no end: %v %v", left, taken, applied, ends)
+		if time.Now().After(deadline) {
+			t.Fatalf("%d of %v are neither delivered nor have a final answer: applied %v, final answers %v", open,
+				accepted, applied, finalAnswers)
 		}
 	}
-	_ = second.Process.Signal(syscall.SIGTERM) // it goes on for three seconds: time enough for what it should not do
-	_ = second.Wait()
+	_ = secondProc.Process.Signal(syscall.SIGTERM) // it runs for three more seconds, in which a fault can show
+	_ = secondProc.Wait()
 	mu.Lock()
 	defer mu.Unlock()
-	for id, n := range applied {
-		if n > 1 {
-			t.Errorf("%s was applied %d times", id, n)
+	for id, count := range applied {
+		if count > 1 {
+			t.Errorf("%s was applied %d times", id, count)
 		}
 	}
-	return taken
+	return accepted
 }
--- a/internal/app/newcomer_test.go
+++ b/internal/app/newcomer_test.go
@@ -17,55 +17,57 @@
 )
 
 const (
-	// holdNewcomerKey names the environment variable that lets a child hold a newcomer while it drains.
-	holdNewcomerKey = "BRACKENDALE_TEST_HOLD_NEWCOMER"
-	// drainHold is many times the interval at which a predecessor looks whether it has drained.
+	// holdConnectionEnv is the environment variable that makes a child delay the handling of a new connection while it
+	// drains.
+	holdConnectionEnv = "BRACKENDALE_TEST_HOLD_NEWCOMER"
+	// drainHold is many times the interval at which a predecessor checks whether it is drained.
 	drainHold = 20 * drainCheckInterval
 )
 
-// holdNewcomerWhileDraining lets this process, once a successor is welcomed, accept one newcomer and hold it until the
-// predecessor would have found itself drained.
-func holdNewcomerWhileDraining() {
+// holdConnectionWhileDraining makes this process, once it has welcomed a successor, accept one connection and delay
+// its handling until the process would have detected that it is drained.
+func holdConnectionWhileDraining() {
 	var welcomed atomic.Bool
 	var once sync.Once
-	held, released := make(chan bool), make(chan bool)
-	failpoint.SetHook(func(p failpoint.Point) {
+	accepted, released := make(chan bool), make(chan bool)
+	failpoint.SetHook(func(reached failpoint.Point) {
 		switch {
-		case p == failpoint.SuccessorWelcomed:
+		case reached == failpoint.SuccessorWelcomed:
 			welcomed.Store(true)
-			<-held
-		case p == failpoint.ConnectionAccepted && welcomed.Load():
-			once.Do(func() { close(held) })
+			<-accepted
+		case reached == failpoint.ConnectionAccepted && welcomed.Load():
+			once.Do(func() { close(accepted) })
 			<-released
 			time.Sleep(drainHold)
-		case p == failpoint.TransportReleased:
+		case reached == failpoint.TransportReleased:
 			close(released)
 		}
 	})
 }
 
-// newcomers dials one connection after another, on which one request is sent, until the returned function is called.
-// It returns an error for each whose request had no reply.
-func (o *office) newcomers(n int) (end func() (served int, lost []error)) {
-	var wg sync.WaitGroup
+// startConnecting starts clients that open one connection after another and send one request on each, until the
+// returned function is called. That function returns the number of requests, and an error for each request without a
+// reply.
+func (env *testEnv) startConnecting(count int) (end func() (requests int, errs []error)) {
+	var clients sync.WaitGroup
 	var mu sync.Mutex
-	var served int
-	var lost []error
+	var requests int
+	var errs []error
 	stop := make(chan bool)
-	for range n {
-		wg.Add(1)
+	for range count {
+		clients.Add(1)
 		go func() {
-			defer wg.Done()
+			defer clients.Done()
 			for {
 				select {
 				case <-stop:
 					return
 				default:
 				}
-				err := o.oneRequest()
+				err := env.pingNewConnection()
 				mu.Lock()
-				if served++; err != nil {
-					lost = append(lost, err)
+				if requests++; err != nil {
+					errs = append(errs, err)
 				}
 				mu.Unlock()
 			}
@@ -73,72 +75,72 @@
 	}
 	return func() (int, []error) {
 		close(stop)
-		wg.Wait()
-		return served, lost
+		clients.Wait()
+		return requests, errs
 	}
 }
 
-// oneRequest is a newcomer's.
-func (o *office) oneRequest() error {
-	c, err := net.Dial("tcp", o.clients)
+// pingNewConnection sends one request on a new connection.
+func (env *testEnv) pingNewConnection() error {
+	conn, err := net.Dial("tcp", env.clientAddr)
 	if err != nil {
-		return fmt.Errorf("dialing: %w", err)
+		return fmt.Errorf("dial: %w", err)
 	}
-	defer c.Close()
-	return pingOnce(c, bufio.NewReader(c), standin.Long)
+	defer conn.Close()
+	return pingOnce(conn, bufio.NewReader(conn), standin.Long)
 }
 
-// A newcomer that the predecessor has accepted, and that has no handler when all else has drained, is lost with the
-// process.
-func TestNewcomerWhileThePredecessorDrains(t *testing.T) {
-	o := newOffice(t)
-	o.env = []string{holdNewcomerKey + "=1"}
-	p := o.start()
-	o.env = nil
-	o.ready(p)
-	end := o.newcomers(4)
-	next := o.start()
-	o.ready(next)
-	_ = p.Process.Signal(syscall.SIGTERM)
-	o.end(p)
-	if served, lost := end(); len(lost) > 0 || served == 0 {
-		t.Fatal(served, lost)
+// A connection that the predecessor has accepted, and that has no handler yet when everything else is drained, must
+// still be served. The failure: the process exited and closed it.
+func TestNewConnectionWhilePredecessorDrains(t *testing.T) {
+	env := newTestEnv(t)
+	env.extraEnv = []string{holdConnectionEnv + "=1"}
+	proc := env.startProcess()
+	env.extraEnv = nil
+	env.waitReady(proc)
+	stopConnecting := env.startConnecting(4)
+	successorProc := env.startProcess()
+	env.waitReady(successorProc)
+	_ = proc.Process.Signal(syscall.SIGTERM)
+	env.waitExit(proc)
+	if requests, errs := stopConnecting(); len(errs) > 0 || requests == 0 {
+		t.Fatal(requests, errs)
 	}
 }
 
-// upgradesKey names the environment variable with the number of upgrades in series; by hand 50 or more.
-const upgradesKey = "BRACKENDALE_UPGRADES"
+// restartsEnv is the environment variable with the number of hot restarts in series. Use 50 or more in a manual run.
+const restartsEnv = "BRACKENDALE_UPGRADES"
 
-// Newcomers are lost, or open clients reset, in one of many upgrades under load, with the common socket made a blocking
-// one at each step in turn, and signals in series.
-func TestUpgradesInSeries(t *testing.T) {
-	upgrades, err := strconv.Atoi(os.Getenv(upgradesKey))
+// Many hot restarts under load, with the shared listening socket set to blocking mode at each step in turn, and with
+// several signals in a row: no new connection may be lost, and no open client reset.
+func TestHotRestartsInSeries(t *testing.T) {
+	restarts, err := strconv.Atoi(os.Getenv(restartsEnv))
 	if err != nil {
-		upgrades = 2 * len(failpoint.HotRestartPoints())
+		restarts = 2 * len(failpoint.HotRestartPoints())
 	}
 	points := failpoint.HotRestartPoints()
-	o := newApplianceOffice(t)
-	p := o.startClearing(points[0])
-	o.ready(p)
-	end := o.newcomers(4)
-	for i := range upgrades {
-		clients := o.open()
-		next := o.startClearing(points[i%len(points)])
-		o.ready(next)
+	env := newApplianceEnv(t)
+	proc := env.startClearingNonblock(points[0])
+	env.waitReady(proc)
+	stopConnecting := env.startConnecting(4)
+	for i := range restarts {
+		clients := env.connectClients()
+		successorProc := env.startClearingNonblock(points[i%len(points)])
+		env.waitReady(successorProc)
 		if i%3 == 1 {
-			_ = p.Process.Signal(syscall.SIGHUP)
+			_ = proc.Process.Signal(syscall.SIGHUP)
 		}
-		_ = p.Process.Signal(syscall.SIGTERM)
+		_ = proc.Process.Signal(syscall.SIGTERM)
 		if i%2 == 1 {
-			_ = p.Process.Signal(syscall.SIGTERM)
+			_ = proc.Process.Signal(syscall.SIGTERM)
 		}
-		o.end(p)
+		env.waitExit(proc)
 		clients.check(t)
-		p = next
+		proc = successorProc
 	}
-	served, lost := end()
-	if len(lost) > 0 || served < upgrades {
-		t.Fatalf("%d upgrades, %d newcomers, lost: %v", upgrades, served, lost)
+	requests, errs := stopConnecting()
+	if len(errs) > 0 || requests < restarts {
+		t.Fatalf("%d hot restarts, %d new connections, lost: %v", restarts, requests, errs)
 	}
-	t.Logf("%d upgrades, %d newcomers, none lost", upgrades, served)
+	t.Logf("%d hot restarts, %d new connections, none lost", restarts, requests)
 }
--- a/internal/app/office_test.go
+++ b/internal/app/office_test.go
@@ -30,55 +30,56 @@
 	"golang.org/x/sys/unix"
 )
 
-// office is a deployment: one partner, an agent (registry and final answers), clients, and senders in processes of
-// their own.
-type office struct {
-	t       *testing.T
-	dir     string
-	ln      *net.TCPListener
-	file    *os.File
-	clients string
+// testEnv is a test deployment with senders in their own processes. It has one stand-in partner (the endpoint that
+// messages are delivered to), a stand-in agent (the registry and the receiver of final answers), and clients.
+type testEnv struct {
+	t            *testing.T
+	dir          string
+	listener     *net.TCPListener // for clients; all processes inherit it
+	listenerFile *os.File         // duplicate of the listener's descriptor
+	clientAddr   string           // address of the listener
 
-	mu      sync.Mutex
-	applied map[string]int
-	finals  map[string]string
-	taken   map[string]bool
-	crossed int // requests that met the end of a connection
-	slow    time.Duration
-	kind    string                                       // of the partner; with "k" three messages go in a call
-	refused int                                          // requests
-	dial    string                                       // where the partner is listed; empty: where it is
-	env     []string                                     // of the next process, beside the usual
-	answer  func(w http.ResponseWriter, r *http.Request) // of the partner, in place of its own; set before the first call
+	mu           sync.Mutex
+	applied      map[string]int    // how often the partner applied a message, by its ID
+	finalAnswers map[string]string // received by the agent, by the ID of the message
+	accepted     map[string]bool   // IDs of the messages that a sender accepted
+	interrupted  int               // requests whose connection was closed before the reply
+	callDuration time.Duration     // of a call of the partner
+	partnerKind  string            // machine type of the partner; with "k" a call carries up to three messages
+	rejected     int               // requests
+	partnerDial  string            // address of the partner in the registry; empty for its own address
+	extraEnv     []string          // additional environment of the next process
+	// partnerHandler replaces the handler of the partner. It is set before the first call.
+	partnerHandler func(w http.ResponseWriter, r *http.Request)
 }
 
-func newOffice(t *testing.T) *office {
-	o := &office{
-		t: t, dir: t.TempDir(), applied: map[string]int{}, finals: map[string]string{}, taken: map[string]bool{},
-		slow: 5 * time.Millisecond,
+func newTestEnv(t *testing.T) *testEnv {
+	env := &testEnv{
+		t: t, dir: t.TempDir(), applied: map[string]int{}, finalAnswers: map[string]string{}, accepted: map[string]bool{},
+		callDuration: 5 * time.Millisecond,
 	}
 	partner := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if o.answer != nil {
-			o.mu.Lock()
-			o.applied[r.Header.Get("Req-Id")] = 0
-			o.mu.Unlock()
-			o.answer(w, r)
+		if env.partnerHandler != nil {
+			env.mu.Lock()
+			env.applied[r.Header.Get("Req-Id")] = 0
+			env.mu.Unlock()
+			env.partnerHandler(w, r)
 			return
 		}
 		_, _ = io.Copy(io.Discard, r.Body)
-		o.mu.Lock()
-		o.applied[r.Header.Get("Req-Id")]++
-		slow := o.slow
-		o.mu.Unlock()
-		time.Sleep(slow)
+		env.mu.Lock()
+		env.applied[r.Header.Get("Req-Id")]++
+		callDuration := env.callDuration
+		env.mu.Unlock()
+		time.Sleep(callDuration)
 	}))
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/v2/finals" {
 			var f struct{ ID, State string }
 			for d := json.NewDecoder(r.Body); d.Decode(&f) == nil; {
-				o.mu.Lock()
-				o.finals[f.ID] = f.State
-				o.mu.Unlock()
+				env.mu.Lock()
+				env.finalAnswers[f.ID] = f.State
+				env.mu.Unlock()
 			}
 			w.WriteHeader(http.StatusNoContent)
 			return
@@ -88,18 +89,18 @@
 			return
 		}
 		_ = json.NewEncoder(w).Encode(config.List{Seq: 1, Whole: true, Hosts: []config.Host{{
-			Host: "e1", Block: 7, Class: o.kind, Health: "active",
-			Dial: cmp.Or(o.dial, partner.Listener.Addr().String()),
+			Host: "e1", Block: 7, Class: env.partnerKind, Health: "active",
+			Dial: cmp.Or(env.partnerDial, partner.Listener.Addr().String()),
 		}}})
 	}))
 	t.Cleanup(func() { agent.CloseClientConnections(); partner.CloseClientConnections() })
-	ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	o.ln, o.clients = ln, ln.Addr().String()
-	o.file = inheritable(t, ln)
-	t.Cleanup(func() { _ = o.file.Close(); _ = ln.Close() })
+	env.listener, env.clientAddr = listener, listener.Addr().String()
+	env.listenerFile = inheritable(t, listener)
+	t.Cleanup(func() { _ = env.listenerFile.Close(); _ = listener.Close() })
 	text := fmt.Sprintf(`listen = %q
 discovery = %q
 [limits]
@@ -117,28 +118,28 @@
 aim_ms = 2000
 deadline_ms = 20000
 worth = 1
-`, o.clients, agent.Listener.Addr().String())
-	if err := os.WriteFile(o.site(), []byte(text), 0o600); err != nil {
+`, env.clientAddr, agent.Listener.Addr().String())
+	if err := os.WriteFile(env.configFile(), []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return o
+	return env
 }
 
 // inheritable duplicates a listener's descriptor for child processes. It is in blocking mode until the first child
-// takes it up. All processes share the socket's mode: a file from ln.File would return the socket to blocking mode at
-// each start (os.File.Fd), while another process accepts on it.
-func inheritable(t *testing.T, ln *net.TCPListener) *os.File {
+// uses it. All processes share the mode of the socket: a file from listener.File would set the socket to blocking mode
+// again at each start (os.File.Fd), while another process accepts on it.
+func inheritable(t *testing.T, listener *net.TCPListener) *os.File {
 	t.Helper()
-	raw, err := ln.SyscallConn()
+	raw, err := listener.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
 	duplicate := -1
-	var failed error
+	var controlErr error
 	err = raw.Control(func(fd uintptr) {
-		duplicate, failed = unix.FcntlInt(fd, unix.F_DUPFD_CLOEXEC, 3)
+		duplicate, controlErr = unix.FcntlInt(fd, unix.F_DUPFD_CLOEXEC, 3)
 	})
-	if err := errors.Join(err, failed); err != nil {
+	if err := errors.Join(err, controlErr); err != nil {
 		t.Fatal(err)
 	}
 	if err := unix.SetNonblock(duplicate, false); err != nil {
@@ -147,222 +148,228 @@
 	return os.NewFile(uintptr(duplicate), "clients")
 }
 
-func (o *office) site() string { return filepath.Join(o.dir, "site.toml") }
+func (env *testEnv) configFile() string { return filepath.Join(env.dir, "site.toml") }
 
-func (o *office) state() string {
-	dir := filepath.Join(o.dir, "state")
+func (env *testEnv) stateDir() string {
+	dir := filepath.Join(env.dir, "state")
 	_ = os.MkdirAll(dir, 0o700)
 	return dir
 }
 
-// process is a sender in a process of its own.
+// process is a sender in its own process.
 type process struct {
 	*exec.Cmd
-	control string
-	said    *bytes.Buffer
-	ended   chan error
+	controlAddr string
+	stderr      *bytes.Buffer
+	exited      chan error // receives the result of Wait
 }
 
-// start starts a process beside those that run.
-func (o *office) start() *process {
-	o.t.Helper()
-	control, err := fleet.FreePort()
+// startProcess starts a further process.
+func (env *testEnv) startProcess() *process {
+	env.t.Helper()
+	controlAddr, err := fleet.FreePort()
 	if err != nil {
-		o.t.Fatal(err)
+		env.t.Fatal(err)
 	}
-	p := &process{Cmd: exec.Command(os.Args[0]), control: control, said: &bytes.Buffer{}, ended: make(chan error, 1)}
-	p.Env = append(os.Environ(), "BRACKENDALE_TEST_SERVE="+o.site(), "LB_STATE="+o.state(), "LB_ACCEPT_FD=3",
-		"LB_CONTROL="+p.control)
-	p.Env = append(p.Env, o.env...)
-	p.ExtraFiles = []*os.File{o.file}
-	p.Stderr = p.said
-	if err := p.Start(); err != nil {
-		o.t.Fatal(err)
+	proc := &process{
+		Cmd: exec.Command(os.Args[0]), controlAddr: controlAddr, stderr: &bytes.Buffer{},
+		exited: make(chan error, 1),
 	}
-	go func() { p.ended <- p.Wait() }()
-	o.t.Cleanup(func() { _ = p.Process.Kill() })
-	return p
+	proc.Env = append(os.Environ(), "BRACKENDALE_TEST_SERVE="+env.configFile(), "LB_STATE="+env.stateDir(),
+		"LB_ACCEPT_FD=3", "LB_CONTROL="+proc.controlAddr)
+	proc.Env = append(proc.Env, env.extraEnv...)
+	proc.ExtraFiles = []*os.File{env.listenerFile}
+	proc.Stderr = proc.stderr
+	if err := proc.Start(); err != nil {
+		env.t.Fatal(err)
+	}
+	go func() { proc.exited <- proc.Wait() }()
+	env.t.Cleanup(func() { _ = proc.Process.Kill() })
+	return proc
 }
 
-// ask makes one call to the second address.
-func (p *process) ask(method, path, body string) (int, string) {
-	r, err := http.NewRequestWithContext(context.Background(), method, "http://"+p.control+path, strings.NewReader(body))
+// callControl makes an HTTP call to the control address.
+func (proc *process) callControl(method, path, body string) (int, string) {
+	r, err := http.NewRequestWithContext(context.Background(), method, "http://"+proc.controlAddr+path,
+		strings.NewReader(body))
 	if err != nil {
 		return 0, ""
 	}
-	a, err := http.DefaultClient.Do(r)
+	response, err := http.DefaultClient.Do(r)
 	if err != nil {
 		return 0, ""
 	}
-	defer a.Body.Close()
-	text, _ := io.ReadAll(a.Body)
-	return a.StatusCode, string(text)
+	defer response.Body.Close()
+	text, _ := io.ReadAll(response.Body)
+	return response.StatusCode, string(text)
 }
 
-// ready waits until a sender is ready.
-func (o *office) ready(p *process) {
-	o.t.Helper()
-	for until := time.Now().Add(standin.Long); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
-		if status, _ := p.ask("GET", "/api/ready", ""); status == 200 {
+// waitReady waits until a process is ready.
+func (env *testEnv) waitReady(proc *process) {
+	env.t.Helper()
+	for deadline := time.Now().Add(standin.Long); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
+		if status, _ := proc.callControl("GET", "/api/ready", ""); status == 200 {
 			return
 		}
 		select {
-		case err := <-p.ended:
-			o.t.Fatalf("it ended: %v\n%s", err, p.said)
+		case err := <-proc.exited:
+			env.t.Fatalf("the process exited: %v\n%s", err, proc.stderr)
 		default:
 		}
 	}
-	o.t.Fatalf("never ready\n%s", p.said)
+	env.t.Fatalf("the process does not become ready\n%s", proc.stderr)
 }
 
-func (o *office) end(p *process) {
-	o.t.Helper()
+// waitExit waits until a process exits, and fails the test if its exit status is not 0.
+func (env *testEnv) waitExit(proc *process) {
+	env.t.Helper()
 	select {
-	case err := <-p.ended:
+	case err := <-proc.exited:
 		if err != nil {
-			o.t.Fatalf("%v\n%s", err, p.said)
+			env.t.Fatalf("%v\n%s", err, proc.stderr)
 		}
 	case <-time.After(standin.Long):
-		o.t.Fatalf("it does not end\n%s", p.said)
+		env.t.Fatalf("the process does not exit\n%s", proc.stderr)
 	}
 }
 
-// send submits charges on one connection after another, as a client that keeps its connection does, until stop.
-func (o *office) send(name string, stop chan bool, gap time.Duration) {
-	var c net.Conn
-	var in *bufio.Reader
+// sendUntil submits charges until stop is closed. It keeps its connection and opens a new one after each
+// disconnection, as a client does.
+func (env *testEnv) sendUntil(name string, stop chan bool, interval time.Duration) {
+	var conn net.Conn
+	var reader *bufio.Reader
 	for i := 0; ; i++ {
 		select {
 		case <-stop:
-			if c != nil {
-				_ = c.Close()
+			if conn != nil {
+				_ = conn.Close()
 			}
 			return
-		case <-time.After(gap):
+		case <-time.After(interval):
 		}
 		id := name + "-" + strconv.Itoa(i)
-		for try := 0; ; try++ {
+		for attempt := 0; ; attempt++ {
 			select {
 			case <-stop:
 				return
 			default:
 			}
-			if c != nil { // a client that keeps its connection hears of its end while it waits
-				_ = c.SetReadDeadline(time.Now().Add(time.Millisecond))
-				if _, err := in.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
-					_ = c.Close()
-					c = nil
+			if conn != nil { // a client detects a disconnection while the connection is idle
+				_ = conn.SetReadDeadline(time.Now().Add(time.Millisecond))
+				if _, err := reader.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
+					_ = conn.Close()
+					conn = nil
 				}
 			}
-			if c == nil {
-				d, err := net.Dial("tcp", o.clients)
+			if conn == nil {
+				dialed, err := net.Dial("tcp", env.clientAddr)
 				if err != nil {
 					continue
 				}
-				c, in = d, bufio.NewReader(d)
+				conn, reader = dialed, bufio.NewReader(dialed)
 			}
-			_ = c.SetDeadline(time.Now().Add(standin.Long))
-			words := []string{"SUBMIT", "0", id, "c=charge,t=x,d=15000,dest=7", "body " + id}
+			_ = conn.SetDeadline(time.Now().Add(standin.Long))
+			args := []string{"SUBMIT", "0", id, "c=charge,t=x,d=15000,dest=7", "body " + id}
 			var text strings.Builder
-			fmt.Fprintf(&text, "*%d\r\n", len(words))
-			for _, w := range words {
-				fmt.Fprintf(&text, "$%d\r\n%s\r\n", len(w), w)
+			fmt.Fprintf(&text, "*%d\r\n", len(args))
+			for _, arg := range args {
+				fmt.Fprintf(&text, "$%d\r\n%s\r\n", len(arg), arg)
 			}
-			_, err := io.WriteString(c, text.String())
+			_, err := io.WriteString(conn, text.String())
 			line := ""
 			if err == nil {
-				line, err = in.ReadString('\n')
+				line, err = reader.ReadString('\n')
 			}
-			if err != nil { // the connection has ended: once more, on a new one
-				_ = c.Close()
-				c = nil
-				o.mu.Lock()
-				o.crossed++
-				o.mu.Unlock()
+			if err != nil { // disconnected: submit again on a new connection
+				_ = conn.Close()
+				conn = nil
+				env.mu.Lock()
+				env.interrupted++
+				env.mu.Unlock()
 				continue
 			}
-			o.mu.Lock()
+			env.mu.Lock()
 			if line == "+OK\r\n" {
-				o.taken[id] = true
+				env.accepted[id] = true
 			} else {
-				o.refused++
+				env.rejected++
 			}
-			o.mu.Unlock()
+			env.mu.Unlock()
 			break
 		}
 	}
 }
 
-// settled waits until each accepted charge is delivered or has its final answer, and checks that none was applied
-// twice.
-func (o *office) settled() {
-	o.t.Helper()
-	until := time.Now().Add(2 * standin.Long)
+// waitSettled waits until each accepted charge is delivered or has its final answer, and checks that none was applied
+// more than once.
+func (env *testEnv) waitSettled() {
+	env.t.Helper()
+	deadline := time.Now().Add(2 * standin.Long)
 	for {
 		open := ""
-		o.mu.Lock()
-		for id := range o.taken {
-			if o.applied[id] == 0 && o.finals[id] == "" {
+		env.mu.Lock()
+		for id := range env.accepted {
+			if env.applied[id] == 0 && env.finalAnswers[id] == "" {
 				open = id
 			}
 		}
-		for id, n := range o.applied {
+		for id, n := range env.applied {
 			if n > 1 {
-				o.t.Errorf("%s was charged %d times", id, n)
+				env.t.Errorf("%s was applied %d times", id, n)
 			}
 		}
-		n := len(o.taken)
-		o.mu.Unlock()
+		n := len(env.accepted)
+		env.mu.Unlock()
 		if n == 0 {
-			o.t.Fatal("nothing was taken on")
+			env.t.Fatal("no charge was accepted")
 		}
-		if open == "" || o.t.Failed() {
+		if open == "" || env.t.Failed() {
 			return
 		}
-		if time.Now().After(until) {
-			o.t.Fatalf("%s, of %d, has no end", open, n)
+		if time.Now().After(deadline) {
+			env.t.Fatalf("%s, one of %d accepted charges, is neither delivered nor has a final answer", open, n)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// crowd sends charges on n connections until the returned function is called.
-func (o *office) crowd(n int) (end func()) {
-	stop, all := make(chan bool), sync.WaitGroup{}
+// startClients starts n clients that submit charges until the returned function is called.
+func (env *testEnv) startClients(n int) (end func()) {
+	stop, clients := make(chan bool), sync.WaitGroup{}
 	for i := range n {
-		all.Add(1)
-		go func() { defer all.Done(); o.send(fmt.Sprint("c", i), stop, 10*time.Millisecond) }()
+		clients.Add(1)
+		go func() { defer clients.Done(); env.sendUntil(fmt.Sprint("c", i), stop, 10*time.Millisecond) }()
 	}
 	var once sync.Once
-	end = func() { once.Do(func() { close(stop); all.Wait() }) }
-	o.t.Cleanup(end)
+	end = func() { once.Do(func() { close(stop); clients.Wait() }) }
+	env.t.Cleanup(end)
 	return end
 }
 
 // startWith starts a process with injected faults.
-func (o *office) startWith(f faults.Faults) *process {
-	o.env = []string{f.Env()}
-	defer func() { o.env = nil }()
-	return o.start()
+func (env *testEnv) startWith(injected faults.Faults) *process {
+	env.extraEnv = []string{injected.Env()}
+	defer func() { env.extraEnv = nil }()
+	return env.startProcess()
 }
 
 // submit sends one message on a connection of its own and returns the reply.
-func (o *office) submit(id, params string) string {
-	for until := time.Now().Add(standin.Long); time.Now().Before(until); time.Sleep(2 * time.Millisecond) {
-		c, err := net.Dial("tcp", o.clients)
+func (env *testEnv) submit(id, params string) string {
+	for deadline := time.Now().Add(standin.Long); time.Now().Before(deadline); time.Sleep(2 * time.Millisecond) {
+		conn, err := net.Dial("tcp", env.clientAddr)
 		if err != nil {
 			continue
 		}
-		_ = c.SetDeadline(time.Now().Add(standin.Long))
-		words := []string{"SUBMIT", "0", id, params, "body " + id}
+		_ = conn.SetDeadline(time.Now().Add(standin.Long))
+		args := []string{"SUBMIT", "0", id, params, "body " + id}
 		var text strings.Builder
-		fmt.Fprintf(&text, "*%d\r\n", len(words))
-		for _, w := range words {
-			fmt.Fprintf(&text, "$%d\r\n%s\r\n", len(w), w)
+		fmt.Fprintf(&text, "*%d\r\n", len(args))
+		for _, arg := range args {
+			fmt.Fprintf(&text, "$%d\r\n%s\r\n", len(arg), arg)
 		}
-		_, _ = io.WriteString(c, text.String())
-		line, _ := bufio.NewReader(c).ReadString('\n')
-		_ = c.Close()
+		_, _ = io.WriteString(conn, text.String())
+		line, _ := bufio.NewReader(conn).ReadString('\n')
+		_ = conn.Close()
 		if line != "" {
 			return strings.TrimSpace(line)
 		}
@@ -370,33 +377,34 @@
 	return ""
 }
 
-// submitAccepted submits messages and fails the test where one is not accepted.
-func (o *office) submitAccepted(name string, n int, params string) {
-	o.t.Helper()
+// submitAccepted submits n messages and fails the test if one is not accepted.
+func (env *testEnv) submitAccepted(name string, n int, params string) {
+	env.t.Helper()
 	for i := range n {
 		id := fmt.Sprint(name, "-", i)
-		if line := o.submit(id, params); line != "+OK" {
-			o.t.Fatalf("%s: %q", id, line)
+		if line := env.submit(id, params); line != "+OK" {
+			env.t.Fatalf("%s: %q", id, line)
 		}
-		o.mu.Lock()
-		o.taken[id] = true
-		o.mu.Unlock()
+		env.mu.Lock()
+		env.accepted[id] = true
+		env.mu.Unlock()
 	}
 }
 
-// refuseCalls lets the partner refuse all calls until accept is called; applied counts what it takes after that.
-func (o *office) refuseCalls() (accept func()) {
-	var isOpen atomic.Bool
-	o.answer = func(w http.ResponseWriter, r *http.Request) {
+// rejectCalls makes the partner reject all calls until accept is called; env.applied counts the messages of later
+// calls.
+func (env *testEnv) rejectCalls() (accept func()) {
+	var accepting atomic.Bool
+	env.partnerHandler = func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		if !isOpen.Load() {
+		if !accepting.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		o.mu.Lock()
-		o.applied[r.Header.Get("Req-Id")]++
-		o.mu.Unlock()
+		env.mu.Lock()
+		env.applied[r.Header.Get("Req-Id")]++
+		env.mu.Unlock()
 	}
 	var once sync.Once
-	return func() { once.Do(func() { isOpen.Store(true) }) }
+	return func() { once.Do(func() { accepting.Store(true) }) }
 }
--- a/internal/app/restart_link_golden_test.go
+++ b/internal/app/restart_link_golden_test.go
@@ -11,8 +11,8 @@
 	"brackendale/internal/testing/standin"
 )
 
-// TestLinkGolden sends each golden message of package handover through a link in both directions: it is heard from the
-// file's bytes, and what the link writes for it are the same bytes.
+// TestLinkGolden passes each golden message of package hotrestart through a link in both directions: the link reads it
+// from the bytes of the file, and writes the same bytes again.
 func TestLinkGolden(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("..", "hotrestart", "testdata", "golden", "*.jsonl"))
 	if err != nil || len(files) < 12 {
@@ -24,27 +24,27 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := throughLink(t, want); !bytes.Equal(got, want) {
+			if got := relayThroughLink(t, want); !bytes.Equal(got, want) {
 				t.Errorf("the link writes\n%s, want\n%s", got, want)
 			}
 		})
 	}
 }
 
-// throughLink lets a link hear messages and say them again, and gives what it wrote.
-func throughLink(t *testing.T, data []byte) []byte {
+// relayThroughLink makes a link receive messages and send them again, and returns the bytes that it wrote.
+func relayThroughLink(t *testing.T, data []byte) []byte {
 	t.Helper()
 	near, far := net.Pipe()
-	l := newRestartLink(near)
-	defer l.close()
+	link := newRestartLink(near)
+	defer link.close()
 	defer far.Close()
 	go func() { _, _ = far.Write(data) }()
 	for range bytes.Count(data, []byte("\n")) {
-		w, err := l.receive(standin.Long)
+		msg, err := link.receive(standin.Long)
 		if err != nil {
 			t.Fatal(err)
 		}
-		l.send(w)
+		link.send(msg)
 	}
 	got := make([]byte, len(data))
 	n, err := io.ReadFull(far, got)
@@ -54,14 +54,14 @@
 	return got[:n]
 }
 
-// TestUpgradeSocketName holds the name by which processes of all versions find each other.
-func TestUpgradeSocketName(t *testing.T) {
+// TestRestartSocketName checks the name of the socket, by which processes of all versions find each other.
+func TestRestartSocketName(t *testing.T) {
 	path, release, err := restartSocketPath("/state")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer release()
 	if path != "/state/upgrade.sock" {
-		t.Errorf("the upgrade socket is %s", path)
+		t.Errorf("the path of the restart socket is %s", path)
 	}
 }
--- a/internal/app/restored_test.go
+++ b/internal/app/restored_test.go
@@ -14,77 +14,79 @@
 	"brackendale/sender"
 )
 
-// A state folder that was copied while messages were pending in it is put back after all of them have ended: the plan
-// tells so before the start, and no charge in it is sent again. A folder that is as its last incarnation left it is
-// trusted.
+// A backup of the state folder, made while messages were pending, is restored after all of them have their final
+// outcome: the recovery plan reports that before the start, and no charge in it is sent again. A folder that is as its
+// previous incarnation left it is trusted.
 func TestRestoredFolder(t *testing.T) {
-	o := newOffice(t)
-	o.mu.Lock()
-	o.slow = 100 * time.Millisecond
-	o.mu.Unlock()
-	p := o.start()
-	o.ready(p)
-	backup := filepath.Join(o.dir, "backup")
+	env := newTestEnv(t)
+	env.mu.Lock()
+	env.callDuration = 100 * time.Millisecond
+	env.mu.Unlock()
+	proc := env.startProcess()
+	env.waitReady(proc)
+	backup := filepath.Join(env.dir, "backup")
 	kill := func() {
-		_ = p.Process.Kill()
-		<-p.ended
+		_ = proc.Process.Kill()
+		<-proc.exited
 	}
 	plan := func() sender.RecoveryPlan {
 		t.Helper()
-		cfg, err := config.Load(func(key string) string { return map[string]string{"LB_STATE": o.state()}[key] }, o.site())
+		cfg, err := config.Load(func(key string) string { return map[string]string{"LB_STATE": env.stateDir()}[key] },
+			env.configFile())
 		if err != nil {
 			t.Fatal(err)
 		}
-		x, err := sender.PlanRecovery(o.state(), cfg.Name, sender.FolderVerified, cfg.Settings, 3<<20, clock.Steady())
+		recoveryPlan, err := sender.PlanRecovery(env.stateDir(), cfg.Name, sender.FolderVerified, cfg.Settings, 3<<20,
+			clock.Steady())
 		if err != nil {
 			t.Fatal(err)
 		}
-		return x
+		return recoveryPlan
 	}
-	end := o.crowd(60)
+	stopClients := env.startClients(60)
 	time.Sleep(500 * time.Millisecond)
-	if err := fleet.Backup(o.state(), backup); err != nil {
+	if err := fleet.Backup(env.stateDir(), backup); err != nil {
 		t.Fatal(err)
 	}
-	kill() // nothing wrong with this folder
-	if x := plan(); x.Problem != "" || x.Counts[provenance.DispositionContinue] == 0 {
-		t.Fatalf("%+v", x)
+	kill() // this folder is valid
+	if recoveryPlan := plan(); recoveryPlan.Problem != "" || recoveryPlan.Counts[provenance.DispositionContinue] == 0 {
+		t.Fatalf("%+v", recoveryPlan)
 	}
-	p = o.start()
-	o.ready(p)
-	if _, text := p.ask("GET", "/api/telemetry", ""); strings.Contains(text, `case="old"`) {
-		t.Fatalf("a folder as it was left is old\n%s", p.said)
+	proc = env.startProcess()
+	env.waitReady(proc)
+	if _, text := proc.callControl("GET", "/api/telemetry", ""); strings.Contains(text, `case="old"`) {
+		t.Fatalf("an unchanged folder is treated as a restored one\n%s", proc.stderr)
 	}
-	end()
-	o.settled()
+	stopClients()
+	env.waitSettled()
 	kill()
-	if err := fleet.Restore(backup, o.state()); err != nil {
+	if err := fleet.Restore(backup, env.stateDir()); err != nil {
 		t.Fatal(err)
 	}
-	x := plan()
-	if !strings.Contains(x.Problem, "copies") || x.Counts[provenance.DispositionAmbiguous] == 0 {
-		t.Fatalf("%+v", x)
+	recoveryPlan := plan()
+	if !strings.Contains(recoveryPlan.Problem, "copies") || recoveryPlan.Counts[provenance.DispositionAmbiguous] == 0 {
+		t.Fatalf("%+v", recoveryPlan)
 	}
-	p = o.start()
-	o.ready(p)
-	for until := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) {
-		_, text := p.ask("GET", "/api/telemetry", "")
+	proc = env.startProcess()
+	env.waitReady(proc)
+	for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) {
+		_, text := proc.callControl("GET", "/api/telemetry", "")
 		if strings.Contains(text, `case="old"`) && strings.Contains(text, "\nlb_life_full 1\n") {
 			break
 		}
-		if time.Now().After(until) {
-			t.Fatalf("%s\n%s", text, p.said)
+		if time.Now().After(deadline) {
+			t.Fatalf("%s\n%s", text, proc.stderr)
 		}
 	}
-	o.settled()
+	env.waitSettled()
 	kill()
-	if x := plan(); x.Problem != "" { // the next incarnation's note is of this place
-		t.Fatal(x.Problem)
+	if recoveryPlan := plan(); recoveryPlan.Problem != "" { // the note of the previous incarnation matches this folder
+		t.Fatal(recoveryPlan.Problem)
 	}
-	if err := os.Remove(filepath.Join(o.state(), "life")); err != nil {
+	if err := os.Remove(filepath.Join(env.stateDir(), "life")); err != nil {
 		t.Fatal(err)
 	}
-	if x := plan(); x.Problem == "" {
-		t.Fatal("a lost note was not missed")
+	if recoveryPlan := plan(); recoveryPlan.Problem == "" {
+		t.Fatal("the loss of the note was not detected")
 	}
 }
--- a/internal/app/shutdown_test.go
+++ b/internal/app/shutdown_test.go
@@ -17,79 +17,82 @@
 	"brackendale/internal/testing/standin"
 )
 
-// full listens with a backlog that holds one: a further connect comes up only after that one was accepted.
-func full(t *testing.T) net.Listener {
+// listenFullBacklog listens with a backlog for one connection, which is in use: a further connection is established
+// only after that one is accepted.
+func listenFullBacklog(t *testing.T) net.Listener {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw, err := ln.(*net.TCPListener).SyscallConn()
+	rawListener, err := listener.(*net.TCPListener).SyscallConn()
 	if err == nil {
-		err = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), 0) })
+		err = rawListener.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), 0) })
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := net.Dial("tcp", ln.Addr().String())
+	conn, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close(); ln.Close() })
-	return ln
+	t.Cleanup(func() { conn.Close(); listener.Close() })
+	return listener
 }
 
-// The phases of a graceful shutdown: requests read before the signal, between it and the end, and after that; a
-// signal that comes twice; an attempt whose connection is not up. What was read is answered, what was not is not
-// accepted, each client reads the end of its connection and no reset, and the next incarnation finds the attempt
-// as not sent.
-func TestRoundsOfAPlannedEnd(t *testing.T) {
-	a := newAppliance(t)
-	text := strings.Replace(fmt.Sprintf(applianceFile, 0.5, 0, a.amqp, a.resp), `effect = "repeatable"`,
-		`effect = "once"`, 1)
-	text = strings.Replace(text, `dial = "127.0.0.1:9"`, fmt.Sprintf("dial = %q", full(t).Addr()), 1)
-	if err := os.WriteFile(a.file, []byte(text+"[sender]\nconnect_ms = 30000\n"), 0o600); err != nil {
+// The phases of a graceful shutdown: requests are read before the signal, between the signal and the close of the
+// connections, and after that; the signal arrives twice; the connection of an attempt is not established. Requests
+// that were read get a reply, requests that were not are not accepted, each client reads the end of its connection
+// and no reset, and the next incarnation finds the attempt as not sent.
+func TestShutdownPhases(t *testing.T) {
+	appliance := newAppliance(t)
+	text := strings.Replace(fmt.Sprintf(applianceConfig, 0.5, 0, appliance.amqpAddr, appliance.respAddr),
+		`effect = "repeatable"`, `effect = "once"`, 1)
+	text = strings.Replace(text, `dial = "127.0.0.1:9"`, fmt.Sprintf("dial = %q", listenFullBacklog(t).Addr()), 1)
+	if err := os.WriteFile(appliance.configFile, []byte(text+"[sender]\nconnect_ms = 30000\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	reached, release := make(chan bool), make(chan bool)
+	waitEnded, release := make(chan bool), make(chan bool)
 	defer failpoint.SetHook(func(p failpoint.Point) {
 		if p == failpoint.ShutdownWaitEnded {
-			close(reached)
+			close(waitEnded)
 			<-release
 		}
 	})()
-	go func() { a.done <- Serve(t.Context(), a.file, Options{}) }()
-	a.ready()
+	go func() { appliance.exited <- Serve(t.Context(), appliance.configFile, Options{}) }()
+	appliance.waitListening()
 	type client struct {
 		net.Conn
 		in *bufio.Reader
 	}
 	dial := func() client {
-		c, err := net.Dial("tcp", a.resp)
+		conn, err := net.Dial("tcp", appliance.respAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
-		_ = c.SetDeadline(time.Now().Add(standin.Long))
-		return client{c, bufio.NewReader(c)}
+		t.Cleanup(func() { conn.Close() })
+		_ = conn.SetDeadline(time.Now().Add(standin.Long))
+		return client{conn, bufio.NewReader(conn)}
 	}
-	say := func(c client, want string, words ...string) {
+	command := func(conn client, want string, args ...string) {
 		t.Helper()
-		text := fmt.Sprintf("*%d\r\n", len(words))
-		for _, w := range words {
-			text += fmt.Sprintf("$%d\r\n%s\r\n", len(w), w)
+		text := fmt.Sprintf("*%d\r\n", len(args))
+		for _, arg := range args {
+			text += fmt.Sprintf("$%d\r\n%s\r\n", len(arg), arg)
 		}
-		if _, err := io.WriteString(c, text); err != nil {
+		if _, err := io.WriteString(conn, text); err != nil {
 			t.Fatal(err)
 		}
-		if got, err := c.in.ReadString('\n'); got != want+"\r\n" {
-			t.Fatalf("%v: %q %v", words, got, err)
+		if got, err := conn.in.ReadString('\n'); got != want+"\r\n" {
+			t.Fatalf("%v: %q %v", args, got, err)
 		}
 	}
-	submit := func(c client, id string) { say(c, "+OK", "SUBMIT", "0", id, "c=note,t=x,d=9000,dest=1", "body") }
-	before, within, rests := dial(), dial(), dial()
-	for _, c := range []client{before, within, rests} {
-		say(c, "+PONG", "PING")
+	submit := func(conn client, id string) {
+		command(conn, "+OK", "SUBMIT", "0", id, "c=note,t=x,d=9000,dest=1", "body")
+	}
+	before, during, idle := dial(), dial(), dial()
+	for _, conn := range []client{before, during, idle} {
+		command(conn, "+PONG", "PING")
 	}
 	submit(before, "before")
 	for range 2 {
@@ -98,41 +101,41 @@
 		}
 	}
 	select {
-	case <-reached:
+	case <-waitEnded:
 	case <-time.After(standin.Long):
-		t.Fatal("the end is never reached")
+		t.Fatal("the shutdown does not reach the close of the connections")
 	}
-	submit(within, "within")
-	say(rests, "+PONG", "PING")
+	submit(during, "within")
+	command(idle, "+PONG", "PING")
 	close(release)
-	for i, c := range []client{before, within, rests} {
-		if rest, err := io.ReadAll(c.in); len(rest) > 0 || err != nil {
+	for i, conn := range []client{before, during, idle} {
+		if rest, err := io.ReadAll(conn.in); len(rest) > 0 || err != nil {
 			t.Errorf("client %d: %q, %v", i, rest, err)
 		}
-		_, _ = io.WriteString(c, "*1\r\n$4\r\nPING\r\n")
-		c.Close()
+		_, _ = io.WriteString(conn, "*1\r\n$4\r\nPING\r\n")
+		conn.Close()
 	}
 	select {
-	case err := <-a.done:
+	case err := <-appliance.exited:
 		if err != nil {
 			t.Fatal(err)
 		}
 	case <-time.After(standin.Long):
-		t.Fatal("it does not end")
+		t.Fatal("the sender does not exit")
 	}
-	sp, err := journal.Open(filepath.Dir(a.file), 4<<20)
+	stateJournal, err := journal.Open(filepath.Dir(appliance.configFile), 4<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer sp.Close()
+	defer stateJournal.Close()
 	var ids []string
-	for _, e := range sp.Entries() {
-		if ids = append(ids, e.ID); e.InFlightSince != 0 || e.FirstRun != 0 || e.FinalAnswer != "" {
-			t.Errorf("%s is not as one that never left: attempts %d, out since %d, may have run at %d, end %q", e.ID,
-				e.Attempts, e.InFlightSince, e.FirstRun, e.FinalAnswer)
+	for _, entry := range stateJournal.Entries() {
+		if ids = append(ids, entry.ID); entry.InFlightSince != 0 || entry.FirstRun != 0 || entry.FinalAnswer != "" {
+			t.Errorf("%s is recorded as sent: attempts %d, in flight since %d, first run at %d, final answer %q", entry.ID,
+				entry.Attempts, entry.InFlightSince, entry.FirstRun, entry.FinalAnswer)
 		}
 	}
 	if strings.Join(ids, " ") != "before within" {
-		t.Errorf("held: %v", ids)
+		t.Errorf("messages in the journal: %v", ids)
 	}
 }
--- a/internal/app/stalling_consumer_test.go
+++ b/internal/app/stalling_consumer_test.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	chargesHeld      = 400 // published in a test
+	chargeCount      = 400 // charges published in a test
 	consumerStall    = 3 * time.Second
-	unreliableShare  = 10 // one of so many calls is answered with 500, and one is cut
+	failureInterval  = 10 // of this many calls, one is answered with status 500, and one is aborted
 	chargesPerSecond = 60
 )
 
-// gatedConn is a connection that stands still while its gate is shut, as a client that is stopped.
+// gatedConn is a connection whose reads and writes block while its gate is locked, as those of a stopped client.
 type gatedConn struct {
 	net.Conn
 	gate *sync.RWMutex
@@ -44,37 +44,37 @@
 	return c.Conn.Write(buf)
 }
 
-// ends is what a consumer has heard: the answers by correlation id.
-type ends struct {
-	mu       sync.Mutex
-	answers  map[string]string
-	connects int
+// consumerAnswers has the final answers that a consumer received.
+type consumerAnswers struct {
+	mu              sync.Mutex
+	byCorrelationID map[string]string
+	connects        int // number of connections made
 }
 
-func (e *ends) add(d *amqp091.Delivery) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.answers[d.CorrelationId] = d.Type
+func (a *consumerAnswers) add(delivery *amqp091.Delivery) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.byCorrelationID[delivery.CorrelationId] = delivery.Type
 }
 
-func (e *ends) count() int {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return len(e.answers)
+func (a *consumerAnswers) count() int {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return len(a.byCorrelationID)
 }
 
-// consumeUntil consumes the answers, anew after each close, until stop is closed.
-func (e *ends) consumeUntil(addr string, gate *sync.RWMutex, stop chan bool) {
+// consumeUntil consumes answers until stop is closed. It connects again each time that the connection is closed.
+func (a *consumerAnswers) consumeUntil(addr string, gate *sync.RWMutex, stop chan bool) {
 	for {
 		conn, err := amqp091.DialConfig("amqp://guest:guest@"+addr+"/", amqp091.Config{
 			Heartbeat: time.Second,
 			Dial: func(network, addr string) (net.Conn, error) {
-				plain, err := (&net.Dialer{}).DialContext(context.Background(), network, addr)
-				return &gatedConn{plain, gate}, err
+				rawConn, err := (&net.Dialer{}).DialContext(context.Background(), network, addr)
+				return &gatedConn{rawConn, gate}, err
 			},
 		})
 		if err == nil {
-			e.consume(conn, stop)
+			a.consume(conn, stop)
 			_ = conn.Close()
 		}
 		select {
@@ -85,26 +85,26 @@
 	}
 }
 
-func (e *ends) consume(conn *amqp091.Connection, stop chan bool) {
-	ch, err := conn.Channel()
+func (a *consumerAnswers) consume(conn *amqp091.Connection, stop chan bool) {
+	channel, err := conn.Channel()
 	if err != nil {
 		return
 	}
-	e.mu.Lock()
-	e.connects++
-	e.mu.Unlock()
-	deliveries, err := ch.Consume("answers", "", false, false, false, false, nil)
+	a.mu.Lock()
+	a.connects++
+	a.mu.Unlock()
+	deliveries, err := channel.Consume("answers", "", false, false, false, false, nil)
 	if err != nil {
 		return
 	}
 	for {
 		select {
-		case d, ok := <-deliveries:
+		case delivery, ok := <-deliveries:
 			if !ok {
 				return
 			}
-			e.add(&d)
-			if d.Ack(false) != nil {
+			a.add(&delivery)
+			if delivery.Ack(false) != nil {
 				return
 			}
 		case <-stop:
@@ -113,20 +113,21 @@
 	}
 }
 
-// unreliablePartner answers a tenth of the calls with 500 and cuts a tenth.
+// unreliablePartner starts a stand-in partner that replies to a tenth of the calls with status 500 and aborts another
+// tenth.
 func unreliablePartner(t *testing.T) string {
 	t.Helper()
 	var mu sync.Mutex
 	calls := 0
-	partner := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+	partner := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		mu.Lock()
 		calls++
 		call := calls
 		mu.Unlock()
-		switch call % unreliableShare {
+		switch call % failureInterval {
 		case 3:
-			rw.WriteHeader(http.StatusInternalServerError)
+			w.WriteHeader(http.StatusInternalServerError)
 		case 7:
 			panic(http.ErrAbortHandler)
 		}
@@ -136,62 +137,63 @@
 	return partner.Listener.Addr().String()
 }
 
-// Ends are lost, or come late, where a consumer stands still until the sender closes it for its heartbeats, with ends
-// in its socket and unacknowledged.
-func TestEndsReachAConsumerThatStalls(t *testing.T) {
-	a := newAppliance(t)
-	text := strings.Replace(fmt.Sprintf(applianceFile, 0.5, 0, a.amqp, a.resp), `effect = "repeatable"`,
-		`effect = "once"`, 1)
+// All final answers must reach a consumer that stalls until the sender closes its connection for missing heartbeats,
+// while answers are in its socket or unacknowledged. The failure: such answers were lost or late.
+func TestFinalAnswersReachStalledConsumer(t *testing.T) {
+	appliance := newAppliance(t)
+	text := strings.Replace(fmt.Sprintf(applianceConfig, 0.5, 0, appliance.amqpAddr, appliance.respAddr),
+		`effect = "repeatable"`, `effect = "once"`, 1)
 	text = strings.Replace(text, "heartbeat_s = 0", "heartbeat_s = 1", 1)
 	text = strings.Replace(text, `dial = "127.0.0.1:9"`, fmt.Sprintf("dial = %q", unreliablePartner(t)), 1)
-	if err := os.WriteFile(a.file, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(appliance.configFile, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	go func() { a.done <- Serve(t.Context(), a.file, Options{}) }()
-	a.ready()
-	heard, gate, stop := &ends{answers: map[string]string{}}, &sync.RWMutex{}, make(chan bool)
-	var wg sync.WaitGroup
-	wg.Add(1)
-	go func() { defer wg.Done(); heard.consumeUntil(a.amqp, gate, stop) }()
-	accepted := publishCharges(t, a.amqp, func(i int) {
-		if i%(chargesHeld/2) == chargesHeld/4 {
+	go func() { appliance.exited <- Serve(t.Context(), appliance.configFile, Options{}) }()
+	appliance.waitListening()
+	answers, gate, stop := &consumerAnswers{byCorrelationID: map[string]string{}}, &sync.RWMutex{}, make(chan bool)
+	var consumer sync.WaitGroup
+	consumer.Add(1)
+	go func() { defer consumer.Done(); answers.consumeUntil(appliance.amqpAddr, gate, stop) }()
+	accepted := publishCharges(t, appliance.amqpAddr, func(i int) {
+		if i%(chargeCount/2) == chargeCount/4 {
 			gate.Lock()
 			time.AfterFunc(consumerStall, gate.Unlock)
 		}
 	})
-	for until := time.Now().Add(2 * standin.Long); heard.count() < accepted && time.Now().Before(until); {
+	for deadline := time.Now().Add(2 * standin.Long); answers.count() < accepted && time.Now().Before(deadline); {
 		time.Sleep(10 * time.Millisecond)
 	}
 	close(stop)
-	wg.Wait()
-	if got := heard.count(); got != accepted || accepted == 0 {
-		t.Fatalf("%d of %d accepted charges have an end", got, accepted)
+	consumer.Wait()
+	if got := answers.count(); got != accepted || accepted == 0 {
+		t.Fatalf("%d of %d accepted charges have a final answer", got, accepted)
 	}
-	if heard.connects < 3 {
-		t.Fatalf("the consumer was not closed for its stalls: %d connections", heard.connects)
+	if answers.connects < 3 {
+		t.Fatalf("the connection of the stalled consumer was not closed: %d connections", answers.connects)
 	}
 }
 
-// publishCharges publishes charges at a steady pace and returns how many were accepted; each is called before one.
-func publishCharges(t *testing.T, addr string, each func(i int)) (accepted int) {
+// publishCharges publishes charges at a constant rate and returns how many were accepted. before is called before
+// each.
+func publishCharges(t *testing.T, addr string, before func(i int)) (accepted int) {
 	t.Helper()
 	conn, err := amqp091.Dial("amqp://guest:guest@" + addr + "/")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	ch, err := conn.Channel()
+	channel, err := conn.Channel()
 	if err == nil {
-		err = ch.Confirm(false)
+		err = channel.Confirm(false)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
 	var confirms []*amqp091.DeferredConfirmation
-	for i := range chargesHeld {
-		each(i)
+	for i := range chargeCount {
+		before(i)
 		id := fmt.Sprint("m", i)
-		confirm, err := ch.PublishWithDeferredConfirmWithContext(t.Context(), "messages", "1", false, false,
+		confirm, err := channel.PublishWithDeferredConfirmWithContext(t.Context(), "messages", "1", false, false,
 			amqp091.Publishing{MessageId: id, Type: "note", ReplyTo: "answers", CorrelationId: id, Body: []byte("b")})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/app/start_faults_test.go
+++ b/internal/app/start_faults_test.go
@@ -26,10 +26,10 @@
 	"brackendale/internal/testing/standin"
 )
 
-// The state folder fails while a sender starts: the sender waits, answers on its second address that it is not ready,
-// and is ready once the folder works.
-func TestStartWithAFailingFolder(t *testing.T) {
-	for _, c := range []faults.Folder{
+// Operations on the state folder fail while a sender starts: the sender waits, reports at its control address that it
+// is not ready, and becomes ready once the folder works.
+func TestStartWithFailingStateFolder(t *testing.T) {
+	for _, failure := range []faults.Folder{
 		{Call: statefs.CallOpen, Name: "lock"},
 		{Call: statefs.CallOpen, Name: "spool"},
 		{Call: statefs.CallRead, Name: "spool"},
@@ -38,57 +38,57 @@
 		{Call: statefs.CallRemove, Name: "upgrade.sock"},
 	} {
 		for _, errno := range []syscall.Errno{syscall.EIO, syscall.ENOSPC, syscall.EMFILE} {
-			c := c // each case sets its own error
-			t.Run(fmt.Sprint(c.Call, " ", c.Name, " ", errno.Error()), func(t *testing.T) {
+			failure := failure // each case sets its own error
+			t.Run(fmt.Sprint(failure.Call, " ", failure.Name, " ", errno.Error()), func(t *testing.T) {
 				t.Parallel()
-				o := newOffice(t)
-				open := o.refuseCalls()
-				p := o.start()
-				o.ready(p)
-				o.submitAccepted("held", 3, "c=charge,t=x,d=20000,dest=7")
-				_ = p.Process.Kill()
-				<-p.ended
-				if c.Call == statefs.CallTruncate { // there is something to cut
-					f, err := os.OpenFile(filepath.Join(o.state(), "spool"), os.O_WRONLY|os.O_APPEND, 0)
+				env := newTestEnv(t)
+				acceptCalls := env.rejectCalls()
+				proc := env.startProcess()
+				env.waitReady(proc)
+				env.submitAccepted("held", 3, "c=charge,t=x,d=20000,dest=7")
+				_ = proc.Process.Kill()
+				<-proc.exited
+				if failure.Call == statefs.CallTruncate { // a partial record, so that the journal is truncated
+					file, err := os.OpenFile(filepath.Join(env.stateDir(), "spool"), os.O_WRONLY|os.O_APPEND, 0)
 					if err != nil {
 						t.Fatal(err)
 					}
-					_, _ = f.WriteString("half a rec")
-					_ = f.Close()
+					_, _ = file.WriteString("half a rec")
+					_ = file.Close()
 				}
-				c.Errno, c.While = errno, filepath.Join(t.TempDir(), "fails")
-				if err := os.WriteFile(c.While, nil, 0o600); err != nil {
+				failure.Errno, failure.While = errno, filepath.Join(t.TempDir(), "fails")
+				if err := os.WriteFile(failure.While, nil, 0o600); err != nil {
 					t.Fatal(err)
 				}
-				p = o.startWith(faults.Faults{Folder: []faults.Folder{c}})
-				for until := time.Now().Add(standin.Long); ; time.Sleep(5 * time.Millisecond) {
-					status, why := p.ask("GET", "/api/ready", "")
-					if status >= 400 && strings.Contains(why, "folder") {
+				proc = env.startWith(faults.Faults{Folder: []faults.Folder{failure}})
+				for deadline := time.Now().Add(standin.Long); ; time.Sleep(5 * time.Millisecond) {
+					status, reason := proc.callControl("GET", "/api/ready", "")
+					if status >= 400 && strings.Contains(reason, "folder") {
 						break
 					}
-					if c.Name == "upgrade.sock" && status == http.StatusOK { // it serves all the same
+					if failure.Name == "upgrade.sock" && status == http.StatusOK { // the sender serves all the same
 						break
 					}
 					select {
-					case err := <-p.ended:
-						t.Fatalf("it ended: %v\n%s", err, p.said)
+					case err := <-proc.exited:
+						t.Fatalf("the process exited: %v\n%s", err, proc.stderr)
 					default:
 					}
-					if time.Now().After(until) {
-						t.Fatalf("it does not say so: %d %q\n%s", status, why, p.said)
+					if time.Now().After(deadline) {
+						t.Fatalf("the process does not report the failure: %d %q\n%s", status, reason, proc.stderr)
 					}
 				}
-				if err := os.Remove(c.While); err != nil {
+				if err := os.Remove(failure.While); err != nil {
 					t.Fatal(err)
 				}
-				o.ready(p)
-				open()
-				o.settled()
-				if c.Name == "upgrade.sock" { // and the next process can take its place
-					for until := time.Now().Add(standin.Long); !strings.Contains(o.greet(),
+				env.waitReady(proc)
+				acceptCalls()
+				env.waitSettled()
+				if failure.Name == "upgrade.sock" { // the next process can take over
+					for deadline := time.Now().Add(standin.Long); !strings.Contains(env.sendHello(),
 						"welcome"); time.Sleep(10 * time.Millisecond) {
-						if time.Now().After(until) {
-							t.Fatal("no new process can ask")
+						if time.Now().After(deadline) {
+							t.Fatal("the process does not accept a new process")
 						}
 					}
 				}
@@ -97,52 +97,53 @@
 	}
 }
 
-// greet sends hello as a successor would, and returns the kind of the reply; empty: nobody answers.
-func (o *office) greet() string {
-	path, release, err := restartSocketPath(o.state())
+// sendHello sends hello as a successor does, and returns the kind of the reply; empty if there is none.
+func (env *testEnv) sendHello() string {
+	path, release, err := restartSocketPath(env.stateDir())
 	if err != nil {
 		return ""
 	}
 	defer release()
-	c, err := net.Dial("unix", path)
+	conn, err := net.Dial("unix", path)
 	if err != nil {
 		return ""
 	}
-	l := newRestartLink(c)
-	defer l.close()
-	l.send(hotrestart.Message{Kind: "hello", Version: hotrestart.Version})
-	w, _ := l.receive(standin.Long)
-	return string(w.Kind)
+	link := newRestartLink(conn)
+	defer link.close()
+	link.send(hotrestart.Message{Kind: "hello", Version: hotrestart.Version})
+	reply, _ := link.receive(standin.Long)
+	return string(reply.Kind)
 }
 
-// Listening and accepting fail for a moment: the sender is ready once they work, and accepts what comes.
+// Listening and accepting fail with transient errors: the sender becomes ready once they succeed, and accepts clients.
 func TestListenAndAcceptFail(t *testing.T) {
 	for _, errno := range []syscall.Errno{
 		syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL,
 		syscall.EADDRINUSE, syscall.ENOMEM, syscall.EMFILE,
 	} {
 		t.Run(errno.Error(), func(t *testing.T) {
-			a := newAppliance(t)
-			c := exec.Command(os.Args[0])
-			var said bytes.Buffer
-			c.Stderr = &said
-			c.Env = append(os.Environ(), "BRACKENDALE_TEST_SERVE="+a.file, faults.Faults{Sockets: []faults.Socket{
-				{Call: reactor.CallListen, Errno: errno, First: 1, Count: 3},
-				{Call: reactor.CallAccept, Errno: errno, First: 1, Count: 3},
-			}}.Env())
-			if err := c.Start(); err != nil {
+			appliance := newAppliance(t)
+			cmd := exec.Command(os.Args[0])
+			var stderr bytes.Buffer
+			cmd.Stderr = &stderr
+			cmd.Env = append(os.Environ(), "BRACKENDALE_TEST_SERVE="+appliance.configFile,
+				faults.Faults{Sockets: []faults.Socket{
+					{Call: reactor.CallListen, Errno: errno, First: 1, Count: 3},
+					{Call: reactor.CallAccept, Errno: errno, First: 1, Count: 3},
+				}}.Env())
+			if err := cmd.Start(); err != nil {
 				t.Fatal(err)
 			}
-			ended := make(chan error, 1)
-			go func() { ended <- c.Wait() }()
-			defer func() { _ = c.Process.Kill() }()
-			for until := time.Now().Add(standin.Long); ; time.Sleep(10 * time.Millisecond) {
+			exited := make(chan error, 1)
+			go func() { exited <- cmd.Wait() }()
+			defer func() { _ = cmd.Process.Kill() }()
+			for deadline := time.Now().Add(standin.Long); ; time.Sleep(10 * time.Millisecond) {
 				select {
-				case err := <-ended:
-					t.Fatalf("it ended: %v\n%s", err, &said)
+				case err := <-exited:
+					t.Fatalf("the process exited: %v\n%s", err, &stderr)
 				default:
 				}
-				if conn, err := net.Dial("tcp", a.amqp); err == nil {
+				if conn, err := net.Dial("tcp", appliance.amqpAddr); err == nil {
 					_ = conn.SetDeadline(time.Now().Add(time.Second))
 					_, _ = io.WriteString(conn, "AMQP\x00\x00\x09\x01")
 					n, _ := conn.Read(make([]byte, 1))
@@ -151,44 +152,44 @@
 						return
 					}
 				}
-				if time.Now().After(until) {
-					t.Fatalf("nobody is answered\n%s", &said)
+				if time.Now().After(deadline) {
+					t.Fatalf("no client gets a reply\n%s", &stderr)
 				}
 			}
 		})
 	}
 }
 
-// A sender starts with a full journal, a full disk and a registry that does not answer: it is ready within 10 s, with
-// the endpoint list that it knows.
+// A sender starts with a full journal, a full disk and a registry that does not respond: it is ready within 10 s, with
+// the endpoint list in its configuration.
 func TestReadyWithAFullJournalAFullDiskAndNoDiscovery(t *testing.T) {
 	dir := t.TempDir()
-	silent, err := net.Listen("tcp", "127.0.0.1:0") // accepts nobody
+	registry, err := net.Listen("tcp", "127.0.0.1:0") // accepts no connection
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer silent.Close()
+	defer registry.Close()
 	listen, err := fleet.FreePort()
 	if err != nil {
 		t.Fatal(err)
 	}
-	const disk = 3 << 20
-	s, err := journal.Open(dir, disk)
+	const diskBytes = 3 << 20
+	fullJournal, err := journal.Open(dir, diskBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := 0
-	for e := (&journal.Entry{
+	count := 0
+	for entry := (&journal.Entry{
 		Class: "a", Front: "platform", Destination: 1, Deadline: clock.Steady().Add(time.Hour),
 		Body: make([]byte, 2000),
-	}); ; n++ {
-		x := *e
-		if x.ID = fmt.Sprint("m", n); !s.HasSpace(journal.RecordSize(&x), 0) {
+	}); ; count++ {
+		numbered := *entry
+		if numbered.ID = fmt.Sprint("m", count); !fullJournal.HasSpace(journal.RecordSize(&numbered), 0) {
 			break
 		}
-		s.Accept(&x)
+		fullJournal.Accept(&numbered)
 	}
-	if err := errors.Join(s.Flush(), s.Close()); err != nil {
+	if err := errors.Join(fullJournal.Flush(), fullJournal.Close()); err != nil {
 		t.Fatal(err)
 	}
 	file := filepath.Join(dir, "config.json")
@@ -198,23 +199,23 @@
 		"settings":{"tickUs":5000,"discovery":"pushed","machineTypes":["k"],
 		"lanes":[{"name":"a","effect":"once","hardLimitUs":4000000}],
 		"familyInfo":{"workers":2,"perCall":[1],"ownLimits":[false]},
-		"rules":{"stopSendingWithinUs":2000000}}}`, listen, silent.Addr())
+		"rules":{"stopSendingWithinUs":2000000}}}`, listen, registry.Addr())
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	var said bytes.Buffer
-	c := exec.Command(os.Args[0])
-	c.Stderr = &said
-	c.Env = append(os.Environ(), "BRACKENDALE_TEST_SERVE=platform", "LB_CONFIG="+file, "LB_STATE="+dir,
+	var stderr bytes.Buffer
+	cmd := exec.Command(os.Args[0])
+	cmd.Stderr = &stderr
+	cmd.Env = append(os.Environ(), "BRACKENDALE_TEST_SERVE=platform", "LB_CONFIG="+file, "LB_STATE="+dir,
 		faults.Faults{Folder: []faults.Folder{
 			{Call: statefs.CallWrite, Name: "spool", Errno: syscall.ENOSPC, First: 1, Count: 20},
 			{Call: statefs.CallWrite, Name: "spool.new", Errno: syscall.ENOSPC, First: 1, Count: 20},
 		}}.Env())
-	began := time.Now()
-	if err := c.Start(); err != nil {
+	started := time.Now()
+	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = c.Process.Kill(); _ = c.Wait() }()
+	defer func() { _ = cmd.Process.Kill(); _ = cmd.Wait() }()
 	for {
 		if conn, err := net.Dial("tcp", listen); err == nil {
 			_, _ = io.WriteString(conn, "*1\r\n$4\r\nPING\r\n")
@@ -225,10 +226,10 @@
 				break
 			}
 		}
-		if time.Since(began) > 10*time.Second {
-			t.Fatalf("not ready after 10 s with %d messages\n%s", n, &said)
+		if time.Since(started) > 10*time.Second {
+			t.Fatalf("the process is not ready after 10 s with %d messages\n%s", count, &stderr)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Logf("%d messages, ready after %v", n, time.Since(began))
+	t.Logf("%d messages, ready after %v", count, time.Since(started))
 }
