--- a/internal/app/versions_test.go
+++ b/internal/app/versions_test.go
@@ -30,12 +30,12 @@
 	"brackendale/internal/testing/standin"
 )
 
-// otherKey names the environment variable with the path of a built program of another version. The version tests run
-// this tree's program against it; without the variable both sides are this tree's program. The path has to be absolute.
-// By hand:
+// otherProgramEnv is the environment variable with the path of a built program of another version. The version tests
+// run this tree's program against it; without the variable both sides are this tree's program. The path has to be
+// absolute. A manual run:
 //
 //	BRACKENDALE_OTHER=/path/to/brackendale go test ./internal/app -run TestVersions -count=1 -v
-const otherKey = "BRACKENDALE_OTHER"
+const otherProgramEnv = "BRACKENDALE_OTHER"
 
 // buildCurrent builds this tree's program.
 func buildCurrent(t *testing.T) string {
@@ -49,414 +49,422 @@
 	return program
 }
 
-// order is the programs of one pass through a scenario: where it starts, and what it goes on to.
-type order struct{ name, from, to string }
+// versionOrder has the two programs of a run of a scenario: the one that it starts with, and the one that replaces it.
+type versionOrder struct{ name, first, second string }
 
-// TestVersions plays each scenario in both orders of this tree's program and the other one.
+// TestVersions runs each scenario with this tree's program and the other one, in both orders.
 func TestVersions(t *testing.T) {
 	current := buildCurrent(t)
-	other, err := filepath.Abs(cmp.Or(os.Getenv(otherKey), current))
+	other, err := filepath.Abs(cmp.Or(os.Getenv(otherProgramEnv), current))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, scenario := range []struct {
 		name string
-		play func(*testing.T, order)
-	}{{"upgrade", playUpgrade}, {"kill", playKill}, {"kill during upgrade", playKillDuringUpgrade}, {"roll", playRoll}} {
+		run  func(*testing.T, versionOrder)
+	}{
+		{"upgrade", runUpgrade},
+		{"kill", runKill},
+		{"kill during upgrade", runKillDuringUpgrade},
+		{"roll", runRollingUpgrade},
+	} {
 		t.Run(scenario.name, func(t *testing.T) {
-			for _, x := range []order{{"other to current", other, current}, {"current to other", current, other}} {
-				t.Run(x.name, func(t *testing.T) {
+			for _, programs := range []versionOrder{{"other to current", other, current}, {"current to other", current, other}} {
+				t.Run(programs.name, func(t *testing.T) {
 					t.Parallel()
-					scenario.play(t, x)
+					scenario.run(t, programs)
 				})
 			}
 		})
 	}
 }
 
-// versionOffice is an office whose processes are built programs. Its partner can be held up, and can answer single
+// versionEnv is a testEnv whose processes run built programs. Its partner can be paused, and can reply to single
 // charges with an error, so that there are both deliveries and final notices to count.
-type versionOffice struct {
-	*office
-	gate     sync.RWMutex    // while it is locked, the partner answers nothing
-	waiting  map[string]bool // charges that are at the partner
-	rejected map[string]bool // charges that the partner answers with an error
-	calls    map[string]int
-	ends     map[string][]string // all final notices, as the agent was told them
+type versionEnv struct {
+	*testEnv
+	partnerGate  sync.RWMutex    // while it is locked, the partner does not reply
+	atPartner    map[string]bool // charges that the partner has received and not replied to
+	errorReplies map[string]bool // charges to which the partner replies with an error
+	calls        map[string]int
+	finalNotices map[string][]string // all final notices that the agent received, by the ID of the charge
 }
 
-func newVersionOffice(t *testing.T) *versionOffice {
-	v := &versionOffice{
-		office: newOffice(t), waiting: map[string]bool{}, rejected: map[string]bool{},
-		calls: map[string]int{}, ends: map[string][]string{},
+func newVersionEnv(t *testing.T) *versionEnv {
+	env := &versionEnv{
+		testEnv: newTestEnv(t), atPartner: map[string]bool{}, errorReplies: map[string]bool{},
+		calls: map[string]int{}, finalNotices: map[string][]string{},
 	}
-	v.answer = v.serveCall
-	v.recordFinals()
-	return v
+	env.partnerHandler = env.serveCall
+	env.recordFinals()
+	return env
 }
 
-// serveCall is the partner. A charge is applied once it passes the gate, if the partner does not answer an error.
-func (v *versionOffice) serveCall(w http.ResponseWriter, r *http.Request) {
+// serveCall is the handler of the partner. A charge is applied once the gate is unlocked, unless the partner replies
+// with an error.
+func (env *versionEnv) serveCall(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	id := r.Header.Get("Req-Id")
-	v.mu.Lock()
-	v.calls[id]++
-	v.waiting[id] = true
-	v.mu.Unlock()
-	v.gate.RLock()
-	defer v.gate.RUnlock()
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	delete(v.waiting, id)
-	if v.rejected[id] {
+	env.mu.Lock()
+	env.calls[id]++
+	env.atPartner[id] = true
+	env.mu.Unlock()
+	env.partnerGate.RLock()
+	defer env.partnerGate.RUnlock()
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	delete(env.atPartner, id)
+	if env.errorReplies[id] {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	v.applied[id] = v.calls[id]
+	env.applied[id] = env.calls[id]
 }
 
-// rejectOne waits until a charge is at the partner, which is held up, and lets it be answered with an error.
-func (v *versionOffice) rejectOne() error {
-	for until := time.Now().Add(standin.Long); time.Now().Before(until); time.Sleep(time.Millisecond) {
-		v.mu.Lock()
-		for id := range v.waiting {
-			v.rejected[id] = true
-			v.mu.Unlock()
+// failOneCharge waits until the partner, which is paused, has received a charge, and makes it reply with an error.
+func (env *versionEnv) failOneCharge() error {
+	for deadline := time.Now().Add(standin.Long); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+		env.mu.Lock()
+		for id := range env.atPartner {
+			env.errorReplies[id] = true
+			env.mu.Unlock()
 			return nil
 		}
-		v.mu.Unlock()
+		env.mu.Unlock()
 	}
-	return errors.New("no call reaches the partner")
+	return errors.New("the partner received no call")
 }
 
-// recordFinals puts a recorder of final notices between the senders and the agent.
-func (v *versionOffice) recordFinals() {
-	text, err := os.ReadFile(v.site())
+// recordFinals inserts a proxy between the senders and the agent, which records all final notices.
+func (env *versionEnv) recordFinals() {
+	config, err := os.ReadFile(env.configFile())
 	if err != nil {
-		v.t.Fatal(err)
+		env.t.Fatal(err)
 	}
-	_, after, _ := strings.Cut(string(text), "discovery = \"")
+	_, after, _ := strings.Cut(string(config), "discovery = \"")
 	agent, _, found := strings.Cut(after, "\"")
 	if !found {
-		v.t.Fatalf("no registry in %s", text)
+		env.t.Fatalf("no registry in %s", config)
 	}
 	proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: agent})
 	proxy.ErrorHandler = func(w http.ResponseWriter, _ *http.Request, _ error) { w.WriteHeader(http.StatusBadGateway) }
 	recorder := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/v2/finals" {
 			body, _ := io.ReadAll(r.Body)
-			v.record(body)
+			env.record(body)
 			r.Body = io.NopCloser(bytes.NewReader(body))
 		}
 		proxy.ServeHTTP(w, r)
 	}))
-	v.t.Cleanup(recorder.CloseClientConnections)
-	text = bytes.Replace(text, []byte(agent), []byte(recorder.Listener.Addr().String()), 1)
-	if err := os.WriteFile(v.site(), text, 0o600); err != nil {
-		v.t.Fatal(err)
+	env.t.Cleanup(recorder.CloseClientConnections)
+	config = bytes.Replace(config, []byte(agent), []byte(recorder.Listener.Addr().String()), 1)
+	if err := os.WriteFile(env.configFile(), config, 0o600); err != nil {
+		env.t.Fatal(err)
 	}
 }
 
-func (v *versionOffice) record(body []byte) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	var f struct{ ID, State string }
-	for d := json.NewDecoder(bytes.NewReader(body)); d.Decode(&f) == nil; {
-		v.ends[f.ID] = append(v.ends[f.ID], f.State)
+func (env *versionEnv) record(body []byte) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	var final struct{ ID, State string }
+	for decoder := json.NewDecoder(bytes.NewReader(body)); decoder.Decode(&final) == nil; {
+		env.finalNotices[final.ID] = append(env.finalNotices[final.ID], final.State)
 	}
 }
 
-// startProgram begins a process of a built program beside those that run.
-func (v *versionOffice) startProgram(program string) *process {
-	v.t.Helper()
-	control, err := fleet.FreePort()
+// startProgram starts a further process, which runs a built program.
+func (env *versionEnv) startProgram(program string) *process {
+	env.t.Helper()
+	controlAddr, err := fleet.FreePort()
 	if err != nil {
-		v.t.Fatal(err)
+		env.t.Fatal(err)
 	}
-	p := &process{
-		Cmd: exec.Command(program, "serve", "--config", v.site()), control: control, said: &bytes.Buffer{},
-		ended: make(chan error, 1),
+	proc := &process{
+		Cmd: exec.Command(program, "serve", "--config", env.configFile()), controlAddr: controlAddr, stderr: &bytes.Buffer{},
+		exited: make(chan error, 1),
 	}
-	p.Env = append(os.Environ(), "LB_STATE="+v.state(), "LB_ACCEPT_FD=3", "LB_CONTROL="+control)
-	p.ExtraFiles = []*os.File{v.file}
-	p.Stderr = p.said
-	if err := p.Start(); err != nil {
-		v.t.Fatal(err)
+	proc.Env = append(os.Environ(), "LB_STATE="+env.stateDir(), "LB_ACCEPT_FD=3", "LB_CONTROL="+controlAddr)
+	proc.ExtraFiles = []*os.File{env.listenerFile}
+	proc.Stderr = proc.stderr
+	if err := proc.Start(); err != nil {
+		env.t.Fatal(err)
 	}
-	go func() { p.ended <- p.Wait() }()
-	v.t.Cleanup(func() { _ = p.Process.Kill() })
-	return p
+	go func() { proc.exited <- proc.Wait() }()
+	env.t.Cleanup(func() { _ = proc.Process.Kill() })
+	return proc
 }
 
-// kill ends a process as a crash does, and waits for that.
-func (p *process) kill() {
-	_ = p.Process.Kill()
-	<-p.ended
+// kill kills a process and waits until it has exited.
+func (proc *process) kill() {
+	_ = proc.Process.Kill()
+	<-proc.exited
 }
 
-// readyOrNext waits until a process is ready, and gives it. Where it ends instead, since it had handed over or had
-// nothing to take over from, the platform starts a program once more.
-func (v *versionOffice) readyOrNext(p *process, program string) *process {
-	v.t.Helper()
-	for until := time.Now().Add(standin.Long); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
-		if status, _ := p.ask("GET", "/api/ready", ""); status == 200 {
-			return p
+// waitReadyOrRestart waits until a process is ready, and returns it. If the process exits instead, since it had handed
+// over or lost its predecessor, it starts the program again, as the platform does, and returns the new process.
+func (env *versionEnv) waitReadyOrRestart(proc *process, program string) *process {
+	env.t.Helper()
+	for deadline := time.Now().Add(standin.Long); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
+		if status, _ := proc.callControl("GET", "/api/ready", ""); status == 200 {
+			return proc
 		}
 		select {
-		case <-p.ended:
-			next := v.startProgram(program)
-			v.ready(next)
-			return next
+		case <-proc.exited:
+			newProc := env.startProgram(program)
+			env.waitReady(newProc)
+			return newProc
 		default:
 		}
 	}
-	v.t.Fatalf("never ready\n%s", p.said)
+	env.t.Fatalf("the process does not become ready\n%s", proc.stderr)
 	return nil
 }
 
-// checkEnds waits until each charge that was taken on has its end and checks that it has just one: a delivery, or one
-// kind of final notice. Where nothing was killed a charge fails only if the partner answered an error.
-func (v *versionOffice) checkEnds(killed bool) {
-	v.t.Helper()
-	v.settled()
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	for id, n := range v.calls {
-		if n > 1 {
-			v.t.Errorf("%s reached the partner %d times", id, n)
+// checkFinalAnswers waits until each accepted charge has its final outcome and checks that it has exactly one: a
+// delivery, or one kind of final notice. If no process was killed, a charge may fail only if the partner replied with
+// an error.
+func (env *versionEnv) checkFinalAnswers(killed bool) {
+	env.t.Helper()
+	env.waitSettled()
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	for id, count := range env.calls {
+		if count > 1 {
+			env.t.Errorf("%s reached the partner %d times", id, count)
 		}
 	}
-	for id := range v.taken {
-		ends := slices.Compact(slices.Sorted(slices.Values(v.ends[id])))
+	for id := range env.accepted {
+		finalNotices := slices.Compact(slices.Sorted(slices.Values(env.finalNotices[id])))
 		switch {
-		case len(ends) > 1:
-			v.t.Errorf("%s has several ends: %v", id, v.ends[id])
+		case len(finalNotices) > 1:
+			env.t.Errorf("%s has several final answers: %v", id, env.finalNotices[id])
 		case killed:
-		case v.rejected[id] && !slices.Equal(ends, []string{"failed"}):
-			v.t.Errorf("%s was rejected by the partner, and its end is %v", id, ends)
-		case !v.rejected[id] && (v.calls[id] != 1 || len(ends) > 0):
-			v.t.Errorf("%s: %d calls, and its end is %v", id, v.calls[id], ends)
+		case env.errorReplies[id] && !slices.Equal(finalNotices, []string{"failed"}):
+			env.t.Errorf("the partner replied to %s with an error, and its final answers are %v", id, finalNotices)
+		case !env.errorReplies[id] && (env.calls[id] != 1 || len(finalNotices) > 0):
+			env.t.Errorf("%s: %d calls, and its final answers are %v", id, env.calls[id], finalNotices)
 		}
 	}
-	v.t.Logf("%d charges taken on, %d refused, %d with a final notice, %d requests met the end of a connection",
-		len(v.taken), v.refused, len(v.ends), v.crossed)
+	env.t.Logf("%d charges accepted, %d rejected, %d with a final notice, %d requests interrupted by a disconnection",
+		len(env.accepted), env.rejected, len(env.finalNotices), env.interrupted)
 }
 
-// conversation is what an old and a new process say to each other.
-type conversation struct {
-	ln    *net.UnixListener
-	elder string // where the old process listens
-	out   sync.WaitGroup
+// messageRecorder relays the messages of the hot restart between predecessor and successor, and records them.
+type messageRecorder struct {
+	listener        *net.UnixListener
+	predecessorPath string // path of the socket at which the predecessor listens
+	done            sync.WaitGroup
 
-	mu    sync.Mutex
-	kinds []string // of the last connection
-	last  []string // the beginnings of all messages
-	bad   []string // messages that this tree would not write so
+	mu         sync.Mutex
+	kinds      []string // kinds of the messages on the last connection
+	messages   []string // the first bytes of all messages
+	mismatches []string // messages that this tree's program would write differently
 }
 
-// tell logs what was said where a test has failed.
-func (c *conversation) tell(t *testing.T) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+// logMessages logs the messages if the test has failed.
+func (recorder *messageRecorder) logMessages(t *testing.T) {
+	recorder.mu.Lock()
+	defer recorder.mu.Unlock()
 	if t.Failed() {
-		t.Logf("said:\n%s", strings.Join(c.last, ""))
+		t.Logf("messages:\n%s", strings.Join(recorder.messages, ""))
 	}
 }
 
-// overhear takes the old process's place at the upgrade socket and passes all on to it. The new process replaces the
-// socket once it has taken over.
-func (v *versionOffice) overhear() *conversation {
-	v.t.Helper()
-	path := filepath.Join(v.state(), "upgrade.sock")
-	c := &conversation{elder: filepath.Join(v.state(), "elder.sock")}
-	if err := os.Rename(path, c.elder); err != nil {
-		v.t.Fatal(err)
+// recordMessages replaces the restart socket of the predecessor and relays all connections to it. The successor
+// replaces the socket in turn once it has taken over.
+func (env *versionEnv) recordMessages() *messageRecorder {
+	env.t.Helper()
+	path := filepath.Join(env.stateDir(), "upgrade.sock")
+	recorder := &messageRecorder{predecessorPath: filepath.Join(env.stateDir(), "elder.sock")}
+	if err := os.Rename(path, recorder.predecessorPath); err != nil {
+		env.t.Fatal(err)
 	}
-	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
+	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
-		v.t.Fatal(err)
+		env.t.Fatal(err)
 	}
-	ln.SetUnlinkOnClose(false)
-	c.ln = ln
-	c.out.Go(c.accept)
-	v.t.Cleanup(func() { _ = ln.Close() })
-	return c
+	listener.SetUnlinkOnClose(false)
+	recorder.listener = listener
+	recorder.done.Go(recorder.accept)
+	env.t.Cleanup(func() { _ = listener.Close() })
+	return recorder
 }
 
-// accept passes on one connection after another: a new process whose first try was not in time asks once more.
-func (c *conversation) accept() {
+// accept relays one connection after another: a successor whose first attempt timed out connects again.
+func (recorder *messageRecorder) accept() {
 	for {
-		heir, err := c.ln.Accept()
+		successorConn, err := recorder.listener.Accept()
 		if err != nil {
 			return
 		}
-		old, err := net.Dial("unix", c.elder)
+		predecessorConn, err := net.Dial("unix", recorder.predecessorPath)
 		if err != nil {
-			_ = heir.Close()
+			_ = successorConn.Close()
 			continue
 		}
-		c.mu.Lock()
-		c.kinds = nil
-		c.mu.Unlock()
-		c.out.Go(func() { c.pass(heir, old) })
-		c.out.Go(func() { c.pass(old, heir) })
+		recorder.mu.Lock()
+		recorder.kinds = nil
+		recorder.mu.Unlock()
+		recorder.done.Go(func() { recorder.relay(successorConn, predecessorConn) })
+		recorder.done.Go(func() { recorder.relay(predecessorConn, successorConn) })
 	}
 }
 
-// pass copies messages from one side to the other until that connection ends.
-func (c *conversation) pass(from, to net.Conn) {
-	defer to.Close()
-	in := bufio.NewReader(from)
+// relay copies messages from one side to the other until the connection is closed.
+func (recorder *messageRecorder) relay(source, target net.Conn) {
+	defer target.Close()
+	reader := bufio.NewReader(source)
 	for {
-		line, err := in.ReadBytes('\n')
+		line, err := reader.ReadBytes('\n')
 		if err != nil {
 			return
 		}
-		c.note(line)
-		if _, err := to.Write(line); err != nil {
+		recorder.record(line)
+		if _, err := target.Write(line); err != nil {
 			return
 		}
 	}
 }
 
-// note keeps the kind of a message and checks that this tree reads it strictly and writes it again byte for byte.
-func (c *conversation) note(line []byte) {
-	var w hotrestart.Message
-	dec := json.NewDecoder(bytes.NewReader(line))
-	dec.DisallowUnknownFields()
-	err := dec.Decode(&w)
-	again, _ := json.Marshal(w)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.kinds = append(c.kinds, string(w.Kind))
-	c.last = append(c.last, string(line[:min(len(line), 100)]))
+// record records the kind of a message and checks that this tree's program knows all of its fields and writes it again
+// byte for byte.
+func (recorder *messageRecorder) record(line []byte) {
+	var msg hotrestart.Message
+	decoder := json.NewDecoder(bytes.NewReader(line))
+	decoder.DisallowUnknownFields()
+	err := decoder.Decode(&msg)
+	again, _ := json.Marshal(msg)
+	recorder.mu.Lock()
+	defer recorder.mu.Unlock()
+	recorder.kinds = append(recorder.kinds, string(msg.Kind))
+	recorder.messages = append(recorder.messages, string(line[:min(len(line), 100)]))
 	if err != nil || !bytes.Equal(append(again, '\n'), line) {
-		c.bad = append(c.bad, fmt.Sprintf("%v\n read %swrote %s", err, line, again))
+		recorder.mismatches = append(recorder.mismatches, fmt.Sprintf("%v\n read %swrote %s", err, line, again))
 	}
 }
 
-// check waits for the end of the conversation and checks that it was a whole hand-over.
-func (c *conversation) check(t *testing.T) {
+// check waits until all connections are closed and checks that the messages are those of a complete hot restart.
+func (recorder *messageRecorder) check(t *testing.T) {
 	t.Helper()
-	_ = c.ln.Close()
-	c.out.Wait()
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	_ = recorder.listener.Close()
+	recorder.done.Wait()
+	recorder.mu.Lock()
+	defer recorder.mu.Unlock()
 	want := []string{"hello", "welcome", "prepared", "state", "taken", "yours"}
-	if len(c.kinds) < len(want) || !slices.Equal(c.kinds[:len(want)], want) {
-		t.Fatalf("said %v, want it to begin with %v", c.kinds, want)
+	if len(recorder.kinds) < len(want) || !slices.Equal(recorder.kinds[:len(want)], want) {
+		t.Fatalf("messages %v, want them to begin with %v", recorder.kinds, want)
 	}
-	if !slices.Contains(c.kinds, "report") {
-		t.Errorf("calls were out, and none was reported: %v", c.kinds)
+	if !slices.Contains(recorder.kinds, "report") {
+		t.Errorf("calls were in flight, and no result was reported: %v", recorder.kinds)
 	}
-	for _, b := range c.bad {
-		t.Errorf("this program would not write it so: %s", b)
+	for _, mismatch := range recorder.mismatches {
+		t.Errorf("this program writes the message differently: %s", mismatch)
 	}
 	count := map[string]int{}
-	for _, kind := range c.kinds {
+	for _, kind := range recorder.kinds {
 		count[kind]++
 	}
 	t.Log(count)
 }
 
-// upgrade starts a program beside a process, hands over to it while calls are out at the partner, and gives the new
-// process.
-func (v *versionOffice) upgrade(p *process, to string) *process {
-	v.t.Helper()
-	c := v.overhear()
-	v.gate.Lock()
-	var next *process
+// upgrade starts a program that takes over from a process while calls are in flight, and returns the new process.
+func (env *versionEnv) upgrade(proc *process, program string) *process {
+	env.t.Helper()
+	recorder := env.recordMessages()
+	env.partnerGate.Lock()
+	var successorProc *process
 	func() {
-		defer v.gate.Unlock()
-		if err := v.rejectOne(); err != nil {
-			v.t.Fatal(err)
+		defer env.partnerGate.Unlock()
+		if err := env.failOneCharge(); err != nil {
+			env.t.Fatal(err)
 		}
-		next = v.startProgram(to)
-		v.ready(next)
+		successorProc = env.startProgram(program)
+		env.waitReady(successorProc)
 	}()
-	if status, _ := p.ask("GET", "/api/ready", ""); status == 200 {
-		v.t.Error("both processes say that they are ready")
-	}
-	_ = p.Process.Signal(syscall.SIGTERM)
-	defer c.tell(v.t)
-	v.end(p)
-	c.check(v.t)
-	return next
-}
-
-// playUpgrade upgrades from one version to the other and back under load, by the upgrade socket: the hand-over
-// is whole, every charge ends once, and none is applied twice.
-func playUpgrade(t *testing.T, x order) {
-	v := newVersionOffice(t)
-	p := v.startProgram(x.from)
-	v.ready(p)
-	end := v.crowd(6)
-	p = v.upgrade(p, x.to)
-	v.upgrade(p, x.from)
-	end()
-	v.checkEnds(false)
-}
-
-// playKill kills a process under load and starts the other version on its state folder, several times: what was
-// taken on ends once, and no charge is applied twice.
-func playKill(t *testing.T, x order) {
+	if status, _ := proc.callControl("GET", "/api/ready", ""); status == 200 {
+		env.t.Error("both processes report that they are ready")
+	}
+	_ = proc.Process.Signal(syscall.SIGTERM)
+	defer recorder.logMessages(env.t)
+	env.waitExit(proc)
+	recorder.check(env.t)
+	return successorProc
+}
+
+// runUpgrade upgrades from one version to the other and back under load, by hot restarts: each hot restart is
+// complete, every charge has one final outcome, and none is applied twice.
+func runUpgrade(t *testing.T, programs versionOrder) {
+	env := newVersionEnv(t)
+	proc := env.startProgram(programs.first)
+	env.waitReady(proc)
+	stopClients := env.startClients(6)
+	proc = env.upgrade(proc, programs.second)
+	env.upgrade(proc, programs.first)
+	stopClients()
+	env.checkFinalAnswers(false)
+}
+
+// runKill kills a process under load and starts the other version with the same state folder, several times: each
+// accepted charge has one final outcome, and none is applied twice.
+func runKill(t *testing.T, programs versionOrder) {
 	rng := rand.New(rand.NewSource(1))
-	v := newVersionOffice(t)
-	p := v.startProgram(x.from)
-	v.ready(p)
-	end := v.crowd(6)
-	for _, program := range []string{x.to, x.from, x.to} {
+	env := newVersionEnv(t)
+	proc := env.startProgram(programs.first)
+	env.waitReady(proc)
+	stopClients := env.startClients(6)
+	for _, program := range []string{programs.second, programs.first, programs.second} {
 		time.Sleep(time.Duration(50+rng.Intn(100)) * time.Millisecond)
-		p.kill()
-		p = v.startProgram(program)
-		v.ready(p)
+		proc.kill()
+		proc = env.startProgram(program)
+		env.waitReady(proc)
 	}
-	end()
-	v.checkEnds(true)
+	stopClients()
+	env.checkFinalAnswers(true)
 }
 
-// playKillDuringUpgrade kills either side at some moment of an upgrade between versions; the platform starts
-// the next process where none is left.
-func playKillDuringUpgrade(t *testing.T, x order) {
+// runKillDuringUpgrade kills either side at a random time during an upgrade between versions. A program is started
+// again if no process remains, as the platform does.
+func runKillDuringUpgrade(t *testing.T, programs versionOrder) {
 	rng := rand.New(rand.NewSource(1))
-	v := newVersionOffice(t)
-	p := v.startProgram(x.from)
-	v.ready(p)
-	end := v.crowd(4)
+	env := newVersionEnv(t)
+	proc := env.startProgram(programs.first)
+	env.waitReady(proc)
+	stopClients := env.startClients(4)
 	for i := range 4 {
-		program := []string{x.to, x.from}[i%2]
-		next := v.startProgram(program)
+		program := []string{programs.second, programs.first}[i%2]
+		newProc := env.startProgram(program)
 		time.Sleep(time.Duration(rng.Intn(80)) * time.Millisecond)
-		victim, left := p, next
+		killed, remaining := proc, newProc
 		if rng.Intn(2) == 0 {
-			victim, left = next, p
+			killed, remaining = newProc, proc
 		}
-		victim.kill()
-		p = v.readyOrNext(left, program)
+		killed.kill()
+		proc = env.waitReadyOrRestart(remaining, program)
 	}
-	end()
-	v.checkEnds(true)
+	stopClients()
+	env.checkFinalAnswers(true)
 }
 
-// rolled is a group of three senders whose members change their program one by one.
-type rolled struct {
-	t       *testing.T
-	world   *fleet.World
-	line    *fleet.Timeline
-	program string            // a symbolic link to the program of the next start
-	clients map[string]string // address for clients, by member
+// rollingUpgrade is a group of three senders whose members are upgraded one by one.
+type rollingUpgrade struct {
+	t           *testing.T
+	cluster     *fleet.World
+	timeline    *fleet.Timeline
+	program     string            // path of a symbolic link to the program that members run when they are started
+	clientAddrs map[string]string // addresses for clients, by member
 
-	mu      sync.Mutex
-	applied map[string]int
-	finals  map[string][]string
-	taken   map[string]bool
+	mu           sync.Mutex
+	applied      map[string]int
+	finalAnswers map[string][]string
+	accepted     map[string]bool
 }
 
-var rolledNames = []string{"a", "b", "c"}
+var memberNames = []string{"a", "b", "c"}
 
-// rolledSite is a member's configuration: its name, its address for clients, the address of final notices, the
-// partner's address, its address in the group, the members, and the address that a duty's acts go to.
-const rolledSite = `name = %[1]q
+// memberConfig is the configuration of a member. Its parameters are the name of the member, its address for clients,
+// the address for final notices, the address of the partner, the member's address in the group, the members, and the
+// address to which the executions of the duty are sent.
+const memberConfig = `name = %[1]q
 [limits]
 disk_mb = 16
 [console]
@@ -491,234 +499,242 @@
 longest_ms = 200
 `
 
-func newRolled(t *testing.T, program string) *rolled {
+func newRollingUpgrade(t *testing.T, program string) *rollingUpgrade {
 	t.Helper()
 	dir, err := fleet.TempDir()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = os.RemoveAll(dir) })
-	r := &rolled{
-		t: t, line: fleet.NewTimeline(), program: filepath.Join(dir, "program"), clients: map[string]string{},
-		applied: map[string]int{}, finals: map[string][]string{}, taken: map[string]bool{},
+	upgrade := &rollingUpgrade{
+		t: t, timeline: fleet.NewTimeline(), program: filepath.Join(dir, "program"), clientAddrs: map[string]string{},
+		applied: map[string]int{}, finalAnswers: map[string][]string{}, accepted: map[string]bool{},
 	}
-	receiver, err := fleet.NewReceiver(r.line)
+	receiver, err := fleet.NewReceiver(upgrade.timeline)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(receiver.Close)
 	receiver.Behave(5*time.Millisecond, 0, false)
-	partner := httptest.NewServer(http.HandlerFunc(r.serveCall))
-	finals := httptest.NewServer(http.HandlerFunc(r.serveFinals))
-	t.Cleanup(func() { partner.CloseClientConnections(); finals.CloseClientConnections() })
-	r.use(program)
-	r.world, err = fleet.NewWorld(r.program, dir, rolledNames, nil, 1, r.line, func(m *fleet.Member) string {
-		at, err := fleet.FreePort()
+	partner := httptest.NewServer(http.HandlerFunc(upgrade.serveCall))
+	finalAnswers := httptest.NewServer(http.HandlerFunc(upgrade.serveFinals))
+	t.Cleanup(func() { partner.CloseClientConnections(); finalAnswers.CloseClientConnections() })
+	upgrade.setProgram(program)
+	upgrade.cluster, err = fleet.NewWorld(upgrade.program, dir, memberNames, nil, 1, upgrade.timeline, func(
+		member *fleet.Member,
+	) string {
+		clientAddr, err := fleet.FreePort()
 		if err != nil {
 			t.Error(err)
 		}
-		r.clients[m.Name] = at
+		upgrade.clientAddrs[member.Name] = clientAddr
 		var members []string
-		for _, n := range rolledNames {
-			members = append(members, fmt.Sprintf("%q", n+"="+m.Reach[n]))
+		for _, name := range memberNames {
+			members = append(members, fmt.Sprintf("%q", name+"="+member.Reach[name]))
 		}
-		return fmt.Sprintf(rolledSite, m.Name, at, finals.Listener.Addr(), partner.Listener.Addr(), m.Listen,
+		return fmt.Sprintf(memberConfig, member.Name, clientAddr, finalAnswers.Listener.Addr(), partner.Listener.Addr(),
+			member.Listen,
 			strings.Join(members, ", "), receiver.Addr())
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(r.world.Close)
-	return r
+	t.Cleanup(upgrade.cluster.Close)
+	return upgrade
 }
 
-// use lets members that are started from now on run a program.
-func (r *rolled) use(program string) {
-	r.t.Helper()
-	_ = os.Remove(r.program)
-	if err := os.Symlink(program, r.program); err != nil {
-		r.t.Fatal(err)
+// setProgram sets the program that members run when they are started from now on.
+func (upgrade *rollingUpgrade) setProgram(program string) {
+	upgrade.t.Helper()
+	_ = os.Remove(upgrade.program)
+	if err := os.Symlink(program, upgrade.program); err != nil {
+		upgrade.t.Fatal(err)
 	}
 }
 
-// rejected tells whether the partner answers a charge with an error: the sixth of each member.
-func rejected(id string) bool { return strings.HasSuffix(id, "-5") }
+// getsErrorReply reports whether the partner replies to a charge with an error: it does so for the sixth of each
+// member.
+func getsErrorReply(id string) bool { return strings.HasSuffix(id, "-5") }
 
-// serveCall is the partner.
-func (r *rolled) serveCall(w http.ResponseWriter, q *http.Request) {
-	_, _ = io.Copy(io.Discard, q.Body)
-	id := q.Header.Get("Req-Id")
-	r.mu.Lock()
-	r.applied[id]++
-	r.mu.Unlock()
-	if rejected(id) {
+// serveCall is the handler of the partner.
+func (upgrade *rollingUpgrade) serveCall(w http.ResponseWriter, r *http.Request) {
+	_, _ = io.Copy(io.Discard, r.Body)
+	id := r.Header.Get("Req-Id")
+	upgrade.mu.Lock()
+	upgrade.applied[id]++
+	upgrade.mu.Unlock()
+	if getsErrorReply(id) {
 		w.WriteHeader(http.StatusInternalServerError)
 	}
 }
 
-func (r *rolled) serveFinals(w http.ResponseWriter, q *http.Request) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	var f struct{ ID, State string }
-	for d := json.NewDecoder(q.Body); d.Decode(&f) == nil; {
-		r.finals[f.ID] = append(r.finals[f.ID], f.State)
+func (upgrade *rollingUpgrade) serveFinals(w http.ResponseWriter, r *http.Request) {
+	upgrade.mu.Lock()
+	defer upgrade.mu.Unlock()
+	var final struct{ ID, State string }
+	for decoder := json.NewDecoder(r.Body); decoder.Decode(&final) == nil; {
+		upgrade.finalAnswers[final.ID] = append(upgrade.finalAnswers[final.ID], final.State)
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// submit hands in one charge and tells whether it was taken on.
+// submit submits one charge and reports whether it was accepted.
 func submit(addr, id string) bool {
-	c, err := net.Dial("tcp", addr)
+	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return false
 	}
-	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(standin.Long))
-	words := []string{"SUBMIT", "0", id, "c=charge,t=x,d=15000,dest=1", "body"}
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(standin.Long))
+	args := []string{"SUBMIT", "0", id, "c=charge,t=x,d=15000,dest=1", "body"}
 	var text strings.Builder
-	fmt.Fprintf(&text, "*%d\r\n", len(words))
-	for _, w := range words {
-		fmt.Fprintf(&text, "$%d\r\n%s\r\n", len(w), w)
+	fmt.Fprintf(&text, "*%d\r\n", len(args))
+	for _, arg := range args {
+		fmt.Fprintf(&text, "$%d\r\n%s\r\n", len(arg), arg)
 	}
-	_, _ = io.WriteString(c, text.String())
-	line, _ := bufio.NewReader(c).ReadString('\n')
+	_, _ = io.WriteString(conn, text.String())
+	line, _ := bufio.NewReader(conn).ReadString('\n')
 	return line == "+OK\r\n"
 }
 
-// load hands charges to each member, each under an id of its own, until the returned function is called.
-func (r *rolled) load() (end func()) {
+// startLoad submits charges to each member, each with a unique ID, until the returned function is called.
+func (upgrade *rollingUpgrade) startLoad() (stopLoad func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	var all sync.WaitGroup
-	for name, addr := range r.clients {
-		all.Add(1)
+	var clients sync.WaitGroup
+	for name, addr := range upgrade.clientAddrs {
+		clients.Add(1)
 		go func() {
-			defer all.Done()
+			defer clients.Done()
 			for i := 0; ctx.Err() == nil; i++ {
 				id := fmt.Sprint(name, "-", i)
 				if submit(addr, id) {
-					r.mu.Lock()
-					r.taken[id] = true
-					r.mu.Unlock()
+					upgrade.mu.Lock()
+					upgrade.accepted[id] = true
+					upgrade.mu.Unlock()
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
 		}()
 	}
-	end = sync.OnceFunc(func() { cancel(); all.Wait() })
-	r.t.Cleanup(end)
-	return end
+	stopLoad = sync.OnceFunc(func() { cancel(); clients.Wait() })
+	upgrade.t.Cleanup(stopLoad)
+	return stopLoad
 }
 
-// await waits until something holds, and fails with the members' logs if it never does.
-func (r *rolled) await(what string, holds func() bool) {
-	r.t.Helper()
-	for until := time.Now().Add(standin.Long); !holds(); time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(until) {
-			for _, m := range r.world.Members {
-				text, _ := os.ReadFile(m.Log)
-				r.t.Logf("%s:\n%s", m.Name, text[max(0, len(text)-4000):])
+// waitFor waits until a condition is met, and fails the test with the logs of the members if it is not met in time.
+func (upgrade *rollingUpgrade) waitFor(condition string, isMet func() bool) {
+	upgrade.t.Helper()
+	for deadline := time.Now().Add(standin.Long); !isMet(); time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			for _, member := range upgrade.cluster.Members {
+				log, _ := os.ReadFile(member.Log)
+				upgrade.t.Logf("%s:\n%s", member.Name, log[max(0, len(log)-4000):])
 			}
-			r.t.Fatalf("not in time: %s", what)
+			upgrade.t.Fatalf("condition not met in time: %s", condition)
 		}
 	}
 }
 
-// acts waits for an act of the group's duty that begins from now on.
-func (r *rolled) acts() {
-	r.t.Helper()
-	from := r.line.Now()
-	r.await("an act of the duty", func() bool {
-		return slices.ContainsFunc(r.line.Events(), func(e fleet.Event) bool { return e.What == "act" && e.At > from })
+// waitExecution waits for an execution of the group's duty that starts from now on.
+func (upgrade *rollingUpgrade) waitExecution() {
+	upgrade.t.Helper()
+	start := upgrade.timeline.Now()
+	upgrade.waitFor("an act of the duty", func() bool {
+		return slices.ContainsFunc(upgrade.timeline.Events(),
+			func(event fleet.Event) bool { return event.What == "act" && event.At > start })
 	})
 }
 
-// serves waits until a member takes a charge on.
-func (r *rolled) serves(name string) {
-	r.t.Helper()
-	n := 0
-	r.await(name+" takes charges on", func() bool {
-		n++
-		return submit(r.clients[name], fmt.Sprintf("%s-start%d.", name, n))
+// waitAccepting waits until a member accepts a charge.
+func (upgrade *rollingUpgrade) waitAccepting(name string) {
+	upgrade.t.Helper()
+	attempts := 0
+	upgrade.waitFor(name+" takes charges on", func() bool {
+		attempts++
+		return submit(upgrade.clientAddrs[name], fmt.Sprintf("%s-start%d.", name, attempts))
 	})
 }
 
-// roll drains a member through the group and starts it again with the present program.
-func (r *rolled) roll(name string) {
-	r.t.Helper()
-	r.await("the group lets "+name+" go", func() bool {
-		var a struct{ Error string }
-		return fleet.AskSocket(r.world.Member(name).Socket(), "drain", &a) == nil && a.Error == ""
+// restart drains a member with the permission of the group and starts it again with the current program.
+func (upgrade *rollingUpgrade) restart(name string) {
+	upgrade.t.Helper()
+	upgrade.waitFor("the group lets "+name+" go", func() bool {
+		var reply struct{ Error string }
+		return fleet.AskSocket(upgrade.cluster.Member(name).Socket(), "drain", &reply) == nil && reply.Error == ""
 	})
-	p := r.world.Proc(name)
+	proc := upgrade.cluster.Proc(name)
 	select {
-	case <-p.Done():
+	case <-proc.Done():
 	case <-time.After(standin.Long):
-		r.t.Fatal(name, "does not end")
+		upgrade.t.Fatal(name, "does not exit")
 	}
-	if _, err := p.Ended(); err != nil {
-		r.t.Fatal(name, err)
+	if _, err := proc.Ended(); err != nil {
+		upgrade.t.Fatal(name, err)
 	}
-	if err := r.world.Up(name); err != nil {
-		r.t.Fatal(err)
+	if err := upgrade.cluster.Up(name); err != nil {
+		upgrade.t.Fatal(err)
 	}
-	r.serves(name)
-	r.acts()
+	upgrade.waitAccepting(name)
+	upgrade.waitExecution()
 }
 
-// checkEnds waits until each charge that was taken on has its end, and checks that it is the right one and the only
-// one.
-func (r *rolled) checkEnds() {
-	r.t.Helper()
-	r.await("all charges end", func() bool {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		for id := range r.taken {
-			if delivered := r.applied[id] > 0 && !rejected(id); !delivered && len(r.finals[id]) == 0 {
+// checkFinalAnswers waits until each accepted charge has its final outcome, and checks that it is the right one and
+// the only one.
+func (upgrade *rollingUpgrade) checkFinalAnswers() {
+	upgrade.t.Helper()
+	upgrade.waitFor("all charges end", func() bool {
+		upgrade.mu.Lock()
+		defer upgrade.mu.Unlock()
+		for id := range upgrade.accepted {
+			if delivered := upgrade.applied[id] > 0 && !getsErrorReply(id); !delivered &&
+				len(upgrade.finalAnswers[id]) == 0 {
 				return false
 			}
 		}
 		return true
 	})
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for id, n := range r.applied {
-		if n > 1 {
-			r.t.Errorf("%s was applied %d times", id, n)
+	upgrade.mu.Lock()
+	defer upgrade.mu.Unlock()
+	for id, count := range upgrade.applied {
+		if count > 1 {
+			upgrade.t.Errorf("%s was applied %d times", id, count)
 		}
 	}
-	for id := range r.taken {
-		ends := slices.Compact(slices.Sorted(slices.Values(r.finals[id])))
-		delivered := r.applied[id] == 1 && !rejected(id)
-		never := slices.Contains(ends, "returned") // its client was told that it never ran
-		if delivered && len(ends) > 0 || !delivered && len(ends) != 1 || r.applied[id] > 0 && never {
-			r.t.Errorf("%s reached the partner %d times, and its end is %v", id, r.applied[id], r.finals[id])
+	for id := range upgrade.accepted {
+		answers := slices.Compact(slices.Sorted(slices.Values(upgrade.finalAnswers[id])))
+		delivered := upgrade.applied[id] == 1 && !getsErrorReply(id)
+		neverRan := slices.Contains(answers, "returned") // the final answer "returned" means that it never ran
+		if delivered && len(answers) > 0 || !delivered && len(answers) != 1 || upgrade.applied[id] > 0 && neverRan {
+			upgrade.t.Errorf("%s reached the partner %d times, and its final answers are %v", id, upgrade.applied[id],
+				upgrade.finalAnswers[id])
 		}
 	}
-	if len(r.taken) == 0 {
-		r.t.Error("nothing was taken on")
+	if len(upgrade.accepted) == 0 {
+		upgrade.t.Error("no charge was accepted")
 	}
-	r.t.Logf("%d charges taken on", len(r.taken))
+	upgrade.t.Logf("%d charges accepted", len(upgrade.accepted))
 }
 
-// playRoll rolls a group of three senders from one version to the other, one by one and under load: the group
-// lets each go, its duty goes on without overlaps after each step, and every charge ends once.
-func playRoll(t *testing.T, x order) {
-	r := newRolled(t, x.from)
-	if err := r.world.Up(); err != nil {
+// runRollingUpgrade upgrades a group of three senders from one version to the other, one by one and under load: the
+// group permits each restart, its duty is executed without overlaps after each step, and every charge has one final
+// outcome.
+func runRollingUpgrade(t *testing.T, programs versionOrder) {
+	upgrade := newRollingUpgrade(t, programs.first)
+	if err := upgrade.cluster.Up(); err != nil {
 		t.Fatal(err)
 	}
-	for _, name := range rolledNames {
-		r.serves(name)
+	for _, name := range memberNames {
+		upgrade.waitAccepting(name)
 	}
-	r.acts()
-	end := r.load()
-	r.use(x.to)
-	for _, name := range rolledNames {
-		r.roll(name)
+	upgrade.waitExecution()
+	stopLoad := upgrade.startLoad()
+	upgrade.setProgram(programs.second)
+	for _, name := range memberNames {
+		upgrade.restart(name)
 	}
-	end()
-	r.checkEnds()
-	if verdict := fleet.Check(r.line.Events()); !verdict.Right() {
+	stopLoad()
+	upgrade.checkFinalAnswers()
+	if verdict := fleet.Check(upgrade.timeline.Events()); !verdict.Right() {
 		t.Errorf("%+v", verdict)
 	}
 }
