--- a/internal/app/blocking_socket_test.go
+++ b/internal/app/blocking_socket_test.go
@@ -125,8 +125,8 @@
 
 // openClients has one open connection of each protocol, on which requests are sent one after another.
 type openClients struct {
-	wg   sync.WaitGroup
-	stop chan bool // closed to end the requests
+	requesters sync.WaitGroup
+	stop       chan bool // closed to end the requests
 
 	mu     sync.Mutex
 	errs   []error
@@ -192,9 +192,9 @@
 	if err := request(); err != nil {
 		t.Fatal(protocol, err)
 	}
-	clients.wg.Add(1)
+	clients.requesters.Add(1)
 	go func() {
-		defer clients.wg.Done()
+		defer clients.requesters.Done()
 		for {
 			err := request()
 			clients.mu.Lock()
@@ -221,7 +221,7 @@
 func (clients *openClients) check(t *testing.T) {
 	t.Helper()
 	close(clients.stop)
-	clients.wg.Wait()
+	clients.requesters.Wait()
 	for _, err := range clients.errs {
 		t.Error(err)
 	}
--- a/internal/app/office_test.go
+++ b/internal/app/office_test.go
@@ -46,7 +46,7 @@
 	interrupted  int               // requests whose connection was closed before the reply
 	callDuration time.Duration     // of a call of the partner
 	partnerKind  string            // machine type of the partner; with "k" a call carries up to three messages
-	rejected     int               // requests
+	rejected     int               // requests that a sender did not accept
 	partnerDial  string            // address of the partner in the registry; empty for its own address
 	extraEnv     []string          // additional environment of the next process
 	// partnerHandler replaces the handler of the partner. It is set before the first call.
--- a/internal/app/predecessor.go
+++ b/internal/app/predecessor.go
@@ -58,7 +58,7 @@
 	startShutdown  func()      // starts a graceful shutdown of this process
 
 	listener    *net.UnixListener
-	releasePath func()
+	releasePath func() // releases the path of the socket
 
 	mu      sync.Mutex
 	closed  bool
--- a/internal/app/start_faults_test.go
+++ b/internal/app/start_faults_test.go
@@ -162,7 +162,7 @@
 
 // A sender starts with a full journal, a full disk and a registry that does not respond: it is ready within 10 s, with
 // the endpoint list in its configuration.
-func TestReadyWithAFullJournalAFullDiskAndNoDiscovery(t *testing.T) {
+func TestStartWithFullJournalFullDiskAndNoRegistry(t *testing.T) {
 	dir := t.TempDir()
 	registry, err := net.Listen("tcp", "127.0.0.1:0") // accepts no connection
 	if err != nil {
--- a/internal/hotrestart/machines_test.go
+++ b/internal/hotrestart/machines_test.go
@@ -80,7 +80,7 @@
 
 // In any order of messages, timeouts, disconnections and kills at most one process holds the journal, the predecessor
 // does not stay quiesced, and the process that runs at the end holds the journal.
-func TestOneOwner(t *testing.T) {
+func TestAtMostOneJournalHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{
 			predecessorUp: true, successorUp: true, lock: predecessorSide, toPredecessor: []Event{PeerConnected},
