--- a/cmd/adapter/golden_test.go
+++ b/cmd/adapter/golden_test.go
@@ -12,8 +12,8 @@
 	"testing"
 )
 
-// The golden session fixes what the adapter prints for a session with every message name and every field. The input is
-// written by a seeded script that reacts to the output. After an intended change record both files anew:
+// The golden session records the adapter's output for a session that uses every message and every field. Its input
+// comes from a seeded generator that reacts to the output. After an intended change, regenerate both files:
 //
 //	go test ./cmd/adapter -run TestGolden -update-golden
 var updateGolden = flag.Bool("update-golden", false, "record the golden files anew")
@@ -35,35 +35,35 @@
 	`"rules":{"answerSlackUs":1,"askWithinUs":1000000,"coldFrom":0.25,"fallMultiple":2,"fallUs":2000000,` +
 	`"warmAfterUs":4000000,"stopSendingWithinUs":1,"keyRestUs":500000},"unknown":{"ignored":[1]}}`
 
-// goldenSession writes the lines of a session batch by batch and reads the replies to each.
+// goldenSession generates the lines of a session batch by batch, and reads the replies to each batch.
 type goldenSession struct {
-	t     *testing.T
-	rng   *rand.Rand
-	in    strings.Builder
-	now   int64
-	n     int
-	lines []string // of the next batch
-	out   []goldenAttempt
-	tries map[string]int
+	t             *testing.T
+	rng           *rand.Rand
+	input         strings.Builder
+	now           int64
+	requestCount  int
+	batchLines    []string // of the next batch
+	running       []goldenAttempt
+	attemptCounts map[string]int // by instance and request
 }
 
-// goldenAttempt is an attempt that has not been reported.
+// goldenAttempt is an attempt whose outcome has not been reported.
 type goldenAttempt struct {
-	who      int64
+	instance int64
 	id, addr string
-	n        int
+	n        int // the number of the attempt, as on the wire
 }
 
 func (s *goldenSession) add(format string, args ...any) {
-	s.lines = append(s.lines, fmt.Sprintf(format, args...))
+	s.batchLines = append(s.batchLines, fmt.Sprintf(format, args...))
 }
 
-// flush ends a batch, and reads what the adapter has answered to it.
+// flush ends a batch and handles the adapter's replies to it.
 func (s *goldenSession) flush() {
 	s.t.Helper()
-	fmt.Fprintf(&s.in, "{\"Batch\":{\"timeUs\":%d}}\n%s\n{\"Eob\":{}}\n", s.now, strings.Join(s.lines, "\n"))
-	s.lines = nil
-	out, err := play(s.t, s.in.String())
+	fmt.Fprintf(&s.input, "{\"Batch\":{\"timeUs\":%d}}\n%s\n{\"Eob\":{}}\n", s.now, strings.Join(s.batchLines, "\n"))
+	s.batchLines = nil
+	out, err := runSession(s.t, s.input.String())
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -73,129 +73,135 @@
 	}
 }
 
-// reply takes up an order to send or to recall an attempt.
+// reply handles one line of the adapter's output: it records an attempt that is started, and reports the end of one
+// that is canceled.
 func (s *goldenSession) reply(line string) {
 	var a goldenAttempt
-	if n, _ := fmt.Sscanf(line, `{"Issue":{"who":%d,"opId":%q,"endpoint":%q,`, &a.who, &a.id, &a.addr); n == 3 {
-		key := fmt.Sprint(a.who, a.id)
-		a.n = s.tries[key]
-		s.tries[key]++
-		s.out = append(s.out, a)
+	if n, _ := fmt.Sscanf(line, `{"Issue":{"who":%d,"opId":%q,"endpoint":%q,`, &a.instance, &a.id, &a.addr); n == 3 {
+		key := fmt.Sprint(a.instance, a.id)
+		a.n = s.attemptCounts[key]
+		s.attemptCounts[key]++
+		s.running = append(s.running, a)
 	}
-	if n, _ := fmt.Sscanf(line, `{"Recall":{"who":%d,"opId":%q,"n":%d`, &a.who, &a.id, &a.n); n == 3 {
-		i := slices.IndexFunc(s.out, func(o goldenAttempt) bool { return o.who == a.who && o.id == a.id && o.n == a.n })
+	if n, _ := fmt.Sscanf(line, `{"Recall":{"who":%d,"opId":%q,"n":%d`, &a.instance, &a.id, &a.n); n == 3 {
+		i := slices.IndexFunc(s.running, func(other goldenAttempt) bool {
+			return other.instance == a.instance && other.id == a.id && other.n == a.n
+		})
 		if i >= 0 {
-			s.report(s.out[i], "CXL", "null", "null")
-			s.out = slices.Delete(s.out, i, i+1)
+			s.report(s.running[i], "CXL", "null", "null")
+			s.running = slices.Delete(s.running, i, i+1)
 		}
 	}
 }
 
-func (s *goldenSession) report(a goldenAttempt, reason, hold, report string) {
+// report adds the outcome of an attempt.
+func (s *goldenSession) report(a goldenAttempt, outcome, retryAfterMs, report string) {
 	s.add(`{"ReportBack":{"who":%d,"opId":%q,"n":%d,"endpoint":%q,"reason":%q,"rttUs":%d,"finished":%t,`+
 		`"holdMs":%s,"report":%s}}`,
-		a.who, a.id, a.n, a.addr, reason, 20_000+s.rng.Intn(9000), reason == "GOOD", hold, report)
+		a.instance, a.id, a.n, a.addr, outcome, 20_000+s.rng.Intn(9000), outcome == "GOOD", retryAfterMs, report)
 }
 
-// start brings an instance up with a catalog of its own.
-func (s *goldenSession) start(who, replicas int, discovery string) {
-	s.add(`{"Up":{"who":%d,"initSeed":%d,"setup":%s}}`, who, 7*who, fmt.Sprintf(goldenSetup, replicas, discovery))
-	s.catalog(who, "live", "live", "live", "live", "live")
-	s.add(`{"DirectoryUpdate":{"who":%d,"how":"whole","sheet":%d}}`, who, who)
+// start starts an instance with an endpoint list of its own.
+func (s *goldenSession) start(instance, replicas int, discovery string) {
+	s.add(`{"Up":{"who":%d,"initSeed":%d,"setup":%s}}`,
+		instance, 7*instance, fmt.Sprintf(goldenSetup, replicas, discovery))
+	s.catalog(instance, "live", "live", "live", "live", "live")
+	s.add(`{"DirectoryUpdate":{"who":%d,"how":"whole","sheet":%d}}`, instance, instance)
 }
 
-// catalog defines the list of an instance.
-func (s *goldenSession) catalog(who int, states ...string) {
+// catalog defines the endpoint list of an instance.
+func (s *goldenSession) catalog(instance int, states ...string) {
 	var entries []string
 	for i, state := range states {
 		entries = append(entries, fmt.Sprintf(
 			`{"endpoint":"e%d","site":%q,"shape":%q,"belongsTo":%d,"stageState":%q,"powerHint":%d}`,
 			i, []string{"z", "y"}[i%2], []string{"plain", "apart", "batch"}[i%3], i%3, state, i))
 	}
-	s.add(`{"Catalog":{"sheet":%d,"elements":[%s]}}`, who, strings.Join(entries, ","))
+	s.add(`{"Catalog":{"sheet":%d,"elements":[%s]}}`, instance, strings.Join(entries, ","))
 }
 
-// incoming hands a request to an instance.
-func (s *goldenSession) incoming(who int64) {
-	s.n++
+// request adds a request to an instance.
+func (s *goldenSession) request(instance int64) {
+	s.requestCount++
 	class := []string{"safe", "key", "once", "stream"}[s.rng.Intn(4)]
 	s.add(`{"Incoming":{"who":%d,"opId":"m%d","partitionKey":%s,"class":%q,"workHintUs":%s,"terminatesAt":%d,`+
-		`"dropDeadUs":%d,"team":%s}}`, who, s.n, []string{"null", "1", "2"}[s.rng.Intn(3)], class,
+		`"dropDeadUs":%d,"team":%s}}`, instance, s.requestCount, []string{"null", "1", "2"}[s.rng.Intn(3)], class,
 		[]string{"null", "90000"}[s.rng.Intn(2)], s.rng.Intn(3), s.now+5_000_000,
 		[]string{`"alpha"`, "0", "null"}[s.rng.Intn(3)])
 }
 
-// outcomes reports some of the attempts that are out; those of some requests hang, until they are recalled.
+// outcomes reports the outcomes of some of the running attempts. Those of requests whose id ends in 7 mostly hang,
+// until they are canceled.
 func (s *goldenSession) outcomes() {
-	var left []goldenAttempt
-	for _, a := range s.out {
-		switch k := s.rng.Intn(14); {
-		case k < 4 || strings.HasSuffix(a.id, "7") && s.rng.Intn(60) > 0:
-			left = append(left, a)
-		case k < 9:
+	var stillRunning []goldenAttempt
+	for _, a := range s.running {
+		switch choice := s.rng.Intn(14); {
+		case choice < 4 || strings.HasSuffix(a.id, "7") && s.rng.Intn(60) > 0:
+			stillRunning = append(stillRunning, a)
+		case choice < 9:
 			s.report(a, "GOOD", "null", []string{"null", "[0.5,20]", "[0.1,null]"}[s.rng.Intn(3)])
-		case k < 11:
+		case choice < 11:
 			s.report(a, "FULL", []string{"null", "300", "2500"}[s.rng.Intn(3)], []string{"null", "[0,20]"}[s.rng.Intn(2)])
-		case k == 11:
-			s.add(`{"Streaming":{"who":%d,"opId":%q,"n":%d,"endpoint":%q}}`, a.who, a.id, a.n, a.addr)
-			left = append(left, a)
+		case choice == 11:
+			s.add(`{"Streaming":{"who":%d,"opId":%q,"n":%d,"endpoint":%q}}`, a.instance, a.id, a.n, a.addr)
+			stillRunning = append(stillRunning, a)
 		default:
 			s.report(a, []string{"BAD", "LATE", "NOCONN", "RST", "NOP"}[s.rng.Intn(5)], "null", "null")
 		}
 	}
-	s.out = left
+	s.running = stillRunning
 }
 
-// rare adds one of the other messages of an instance.
-func (s *goldenSession) rare(who int) {
+// otherMessage adds one of the remaining kinds of messages to an instance.
+func (s *goldenSession) otherMessage(instance int) {
 	switch s.rng.Intn(9) {
 	case 0:
-		s.add(`{"Left":{"who":%d,"opId":"m%d"}}`, who, s.n)
+		s.add(`{"Left":{"who":%d,"opId":"m%d"}}`, instance, s.requestCount)
 	case 1:
-		s.add(`{"CheckResult":{"who":%d,"endpoint":"e1","reason":"GOOD","rttUs":5,"report":[1,2]}}`, who)
+		s.add(`{"CheckResult":{"who":%d,"endpoint":"e1","reason":"GOOD","rttUs":5,"report":[1,2]}}`, instance)
 	case 2:
-		s.add(`{"Message":{"who":%d}}`, who)
+		s.add(`{"Message":{"who":%d}}`, instance)
 	case 3:
-		s.add(`{"DirectoryUpdate":{"who":%d,"how":"broken"}}`, who)
+		s.add(`{"DirectoryUpdate":{"who":%d,"how":"broken"}}`, instance)
 	case 4, 5:
-		how := []string{"patch", "whole", "stale_copy"}[s.rng.Intn(3)]
-		s.catalog(who, "live", "live", []string{"live", "quiescing", "dead"}[s.rng.Intn(3)], "live", "live")
-		s.add(`{"DirectoryUpdate":{"who":%d,"how":%q,"sheet":%d}}`, who, how, who)
+		kind := []string{"patch", "whole", "stale_copy"}[s.rng.Intn(3)]
+		s.catalog(instance, "live", "live", []string{"live", "quiescing", "dead"}[s.rng.Intn(3)], "live", "live")
+		s.add(`{"DirectoryUpdate":{"who":%d,"how":%q,"sheet":%d}}`, instance, kind, instance)
 	default:
-		s.add(`{"Wake":{"who":%d,"mark":%d}}`, who, s.n)
+		s.add(`{"Wake":{"who":%d,"mark":%d}}`, instance, s.requestCount)
 	}
 }
 
-// goldenInput plays the script and returns its lines.
+// goldenInput generates a session and returns its input.
 func goldenInput(t *testing.T) string {
 	t.Helper()
-	s := &goldenSession{t: t, rng: rand.New(rand.NewSource(11)), now: 1_000_000, tries: map[string]int{}}
+	s := &goldenSession{t: t, rng: rand.New(rand.NewSource(11)), now: 1_000_000, attemptCounts: map[string]int{}}
 	s.start(1, 1, "pushed")
 	s.start(2, 300, "on_request")
-	s.add(`{"Up":{"who":3,"initSeed":1,"setup":{}}}`) // settings that cannot be served
+	s.add(`{"Up":{"who":3,"initSeed":1,"setup":{}}}`) // settings that the scheduler refuses
 	s.flush()
 	for i := range 150 {
 		s.now += 1000 + s.rng.Int63n(120_000)
-		s.incoming(int64(1 + i%2))
+		s.request(int64(1 + i%2))
 		if i%3 == 0 {
-			s.incoming(1)
+			s.request(1)
 		}
 		s.outcomes()
 		if s.rng.Intn(3) == 0 {
-			s.rare(1 + s.rng.Intn(2))
+			s.otherMessage(1 + s.rng.Intn(2))
 		}
 		s.add(`{"Wake":{"who":%d,"mark":%d}}`, 1+i%2, i)
-		if i == 100 { // one instance starts afresh; its attempts are lost
+		if i == 100 { // one instance restarts; its attempts are lost
 			s.add(`{"PowerOff":{"who":2}}`)
 			s.start(2, 5, "on_request")
-			s.out = slices.DeleteFunc(s.out, func(a goldenAttempt) bool { return a.who == 2 })
+			s.running = slices.DeleteFunc(s.running, func(a goldenAttempt) bool { return a.instance == 2 })
 		}
 		s.flush()
 	}
-	return s.in.String()
+	return s.input.String()
 }
 
-// checkGolden compares text with a golden file, or records it.
+// checkGolden compares text with a golden file, or writes it there if -update-golden is set.
 func checkGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -215,16 +221,16 @@
 	if got == string(want) {
 		return
 	}
-	a, b := strings.Split(got, "\n"), strings.Split(string(want), "\n")
-	t.Errorf("%s: %d lines, want %d", path, len(a), len(b))
-	for i := range min(len(a), len(b)) {
-		if a[i] != b[i] {
-			t.Fatalf("%s:%d: got\n%s\nwant\n%s", path, i+1, a[i], b[i])
+	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(string(want), "\n")
+	t.Errorf("%s: %d lines, want %d", path, len(gotLines), len(wantLines))
+	for i := range min(len(gotLines), len(wantLines)) {
+		if gotLines[i] != wantLines[i] {
+			t.Fatalf("%s:%d: got\n%s\nwant\n%s", path, i+1, gotLines[i], wantLines[i])
 		}
 	}
 }
 
-// TestGoldenSession: the recorded input gives the recorded output, byte by byte.
+// TestGoldenSession checks that the recorded input produces the recorded output, byte for byte.
 func TestGoldenSession(t *testing.T) {
 	if *updateGolden {
 		checkGolden(t, "session.in", goldenInput(t))
@@ -233,29 +239,30 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	out, err := play(t, string(in))
+	out, err := runSession(t, string(in))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name := range strings.FieldsSeq("Issue PushBack Abort Sleep WriteLog Recall FreeLinks Tail GiveIn Ok") {
 		if !strings.Contains(out, "{\""+name+"\":") {
-			t.Errorf("the session shows no %s", name)
+			t.Errorf("no %s in the output of the session", name)
 		}
 	}
 	checkGolden(t, "session.out", out)
 }
 
-// TestGoldenFaults records the texts of the errors that end a session.
+// TestGoldenFaults compares the texts of the errors that end a session.
 func TestGoldenFaults(t *testing.T) {
-	ok := batch("1", "3", up, list, update)
+	valid := batchLines("1", "3", instanceStarted, endpointList, endpointUpdate)
 	var out bytes.Buffer
 	for _, in := range []string{
 		"{]\n", "{}\n", "{\"Batch\":3}\n", "{\"Batch\":{}}\n", "{\"Eob\":{}}\n", "{\"Batch\":{\"timeUs\":1}}\n",
 		"{\"Wake\":{\"who\":3}}\n", "{\"Batch\":{\"timeUs\":1}}\n{\"Batch\":{\"timeUs\":1}}\n",
-		ok + batch("2", "8", first), ok + batch("2", "8", `{"PowerOff":{"who":%}}`), batch("1", "3", up, update),
-		ok + batch("2", "3", `{"Surprise":{"who":%}}`),
+		valid + batchLines("2", "8", request), valid + batchLines("2", "8", `{"PowerOff":{"who":%}}`),
+		batchLines("1", "3", instanceStarted, endpointUpdate),
+		valid + batchLines("2", "3", `{"Surprise":{"who":%}}`),
 	} {
-		reply, err := play(t, in)
+		reply, err := runSession(t, in)
 		fmt.Fprintf(&out, "%d bytes, %v\n", len(reply), err)
 	}
 	checkGolden(t, "faults.txt", out.String())
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter is the simulator adapter: it reads batches of events from standard input, lets one scheduler for each
-// instance answer them, and writes the replies to standard output.
+// Command adapter connects schedulers to the simulator: it reads batches of events from standard input, passes each
+// instance's events to that instance's own scheduler, and writes the resulting actions to standard output.
 package main
 
 import (
@@ -26,41 +26,42 @@
 	}
 }
 
-// host keeps the instances of one process apart from each other.
-type host struct {
-	schedulers map[int64]*scheduler.Scheduler
-	sheets     map[int][]scheduler.Endpoint
-	batch      openBatch
-	buffer     []byte // of the replies, used again for each batch
+// adapter holds a scheduler for each simulated instance, the endpoint lists that updates refer to, and the batch that
+// is being read.
+type adapter struct {
+	schedulers    map[int64]*scheduler.Scheduler
+	endpointLists map[int][]scheduler.Endpoint
+	currentBatch  batch
+	buffer        []byte // holds the replies to a batch; reused for the next one
 }
 
-// openBatch is what has come between the start and the end of a batch.
-type openBatch struct {
-	open   bool
-	timeUs int64
-	events map[int64][]scheduler.Event // by instance
-	faults map[int64]string            // why an instance could not be started
-	order  []int64                     // the instances, in the order of their first event
+// batch collects the messages between a batch's start and its end.
+type batch struct {
+	open        bool
+	timeUs      int64
+	events      map[int64][]scheduler.Event // by instance
+	startErrors map[int64]string            // by instance: the reason why it could not be started
+	order       []int64                     // the instances, in the order of their first event
 }
 
-func newHost() *host {
-	return &host{schedulers: map[int64]*scheduler.Scheduler{}, sheets: map[int][]scheduler.Endpoint{}}
+func newAdapter() *adapter {
+	return &adapter{schedulers: map[int64]*scheduler.Scheduler{}, endpointLists: map[int][]scheduler.Endpoint{}}
 }
 
-// serve answers batches until the input ends. An error names the line of the input.
+// serve replies to batches until the input ends. Its errors name the number of the input line at fault.
 func serve(in io.Reader, out io.Writer) error {
-	h := newHost()
+	a := newAdapter()
 	reader := bufio.NewReaderSize(in, readBufferBytes)
 	writer := bufio.NewWriterSize(out, writeBufferBytes)
 	for number := 1; ; number++ {
 		raw, err := reader.ReadBytes('\n')
 		if len(raw) > 0 && string(raw) != "\n" {
-			if lineErr := h.line(raw, number, writer); lineErr != nil {
+			if lineErr := a.handleLine(raw, number, writer); lineErr != nil {
 				return lineErr
 			}
 		}
 		switch {
-		case errors.Is(err, io.EOF) && h.batch.open:
+		case errors.Is(err, io.EOF) && a.currentBatch.open:
 			return fmt.Errorf("line %d: input ends inside a batch", number)
 		case errors.Is(err, io.EOF):
 			return nil
@@ -70,11 +71,11 @@
 	}
 }
 
-// line takes one line, and writes the replies where it ends a batch.
-func (h *host) line(raw []byte, number int, out *bufio.Writer) error {
+// handleLine processes one line of the input. After a line that ends a batch it writes the replies to that batch.
+func (a *adapter) handleLine(raw []byte, number int, out *bufio.Writer) error {
 	line, err := simulator.Parse(raw)
 	if err == nil {
-		err = h.receive(line)
+		err = a.handleMessage(line)
 	}
 	if err != nil {
 		return fmt.Errorf("line %d: %w", number, err)
@@ -82,8 +83,8 @@
 	if line.Name != simulator.BatchEnded {
 		return nil
 	}
-	h.buffer = append(h.replies(h.buffer[:0]), "{\"Ok\":{}}\n"...)
-	if _, err := out.Write(h.buffer); err != nil {
+	a.buffer = append(a.appendReplies(a.buffer[:0]), "{\"Ok\":{}}\n"...)
+	if _, err := out.Write(a.buffer); err != nil {
 		return fmt.Errorf("writing the reply: %w", err)
 	}
 	if err := out.Flush(); err != nil {
@@ -92,94 +93,99 @@
 	return nil
 }
 
-func (h *host) receive(line simulator.Line) error {
-	if (line.Name == simulator.BatchStarted) == h.batch.open {
+// handleMessage applies one message: it opens or closes a batch, stores an endpoint list, starts or stops an instance,
+// or queues an event for its instance.
+func (a *adapter) handleMessage(line simulator.Line) error {
+	if (line.Name == simulator.BatchStarted) == a.currentBatch.open {
 		return fmt.Errorf("%s: out of place", line.Name)
 	}
 	switch line.Name {
 	case simulator.BatchStarted:
-		h.batch = openBatch{
-			open: true, timeUs: line.TimeUs, events: map[int64][]scheduler.Event{}, faults: map[int64]string{},
-			order: h.batch.order[:0],
+		a.currentBatch = batch{
+			open: true, timeUs: line.TimeUs, events: map[int64][]scheduler.Event{}, startErrors: map[int64]string{},
+			order: a.currentBatch.order[:0],
 		}
 	case simulator.BatchEnded:
-		h.batch.open = false
-	case simulator.EndpointSheet:
-		h.sheets[line.Sheet] = line.Endpoints
+		a.currentBatch.open = false
+	case simulator.EndpointListDefined:
+		a.endpointLists[line.ListNumber] = line.Endpoints
 	case simulator.InstanceStarted:
-		h.start(line)
+		a.startInstance(line)
 	case simulator.InstanceStopped:
-		return h.stop(line)
+		return a.stopInstance(line)
 	default:
-		return h.event(line)
+		return a.addEvent(line)
 	}
 	return nil
 }
 
-func (h *host) start(line simulator.Line) {
-	h.addToOrder(line.Instance)
+// startInstance makes a scheduler for an instance. Invalid settings do not end the session: the instance alone is
+// reported as failed when the batch ends.
+func (a *adapter) startInstance(line simulator.Line) {
+	a.addToOrder(line.Instance)
 	s, err := scheduler.New(line.Settings, line.Seed)
 	if err != nil {
-		h.batch.faults[line.Instance] = err.Error()
+		a.currentBatch.startErrors[line.Instance] = err.Error()
 		return
 	}
-	h.schedulers[line.Instance], h.batch.events[line.Instance] = s, nil
+	a.schedulers[line.Instance], a.currentBatch.events[line.Instance] = s, nil
 }
 
-func (h *host) stop(line simulator.Line) error {
-	if h.schedulers[line.Instance] == nil {
+func (a *adapter) stopInstance(line simulator.Line) error {
+	if a.schedulers[line.Instance] == nil {
 		return fmt.Errorf("%s: instance %d is unknown", line.Name, line.Instance)
 	}
-	delete(h.schedulers, line.Instance)
-	h.batch.events[line.Instance] = nil
+	delete(a.schedulers, line.Instance)
+	a.currentBatch.events[line.Instance] = nil
 	return nil
 }
 
-func (h *host) event(line simulator.Line) error {
-	if h.schedulers[line.Instance] == nil && h.batch.faults[line.Instance] == "" {
+func (a *adapter) addEvent(line simulator.Line) error {
+	if a.schedulers[line.Instance] == nil && a.currentBatch.startErrors[line.Instance] == "" {
 		return fmt.Errorf("%s: instance %d is unknown", line.Name, line.Instance)
 	}
 	if line.Event.Kind == scheduler.EndpointsUpdated && line.Event.Update != scheduler.UpdateBroken {
-		endpoints, ok := h.sheets[line.Sheet]
+		endpoints, ok := a.endpointLists[line.ListNumber]
 		if !ok {
-			return fmt.Errorf("%s: list %d is unknown", simulator.EndpointsUpdated, line.Sheet)
+			return fmt.Errorf("%s: list %d is unknown", simulator.EndpointsUpdated, line.ListNumber)
 		}
 		line.Event.Endpoints = endpoints
 	}
-	h.addToOrder(line.Instance)
-	h.batch.events[line.Instance] = append(h.batch.events[line.Instance], line.Event)
+	a.addToOrder(line.Instance)
+	a.currentBatch.events[line.Instance] = append(a.currentBatch.events[line.Instance], line.Event)
 	return nil
 }
 
-// addToOrder notes that an instance has an event in this batch.
-func (h *host) addToOrder(instance int64) {
-	if !slices.Contains(h.batch.order, instance) {
-		h.batch.order = append(h.batch.order, instance)
+// addToOrder records that an instance has an event in this batch.
+func (a *adapter) addToOrder(instance int64) {
+	if !slices.Contains(a.currentBatch.order, instance) {
+		a.currentBatch.order = append(a.currentBatch.order, instance)
 	}
 }
 
-// replies lets each instance that has an event decide and adds the replies to out.
-func (h *host) replies(out []byte) []byte {
-	for _, instance := range h.batch.order {
-		if fault := h.batch.faults[instance]; fault != "" {
-			out = simulator.AppendFault(out, instance, fault)
+// appendReplies steps the scheduler of each instance that has an event in the batch and appends the replies to out.
+func (a *adapter) appendReplies(out []byte) []byte {
+	for _, instance := range a.currentBatch.order {
+		if reason := a.currentBatch.startErrors[instance]; reason != "" {
+			out = simulator.AppendInstanceFailed(out, instance, reason)
 			continue
 		}
-		if s := h.schedulers[instance]; s != nil {
-			out = step(out, instance, s, h.batch.timeUs, h.batch.events[instance])
+		if s := a.schedulers[instance]; s != nil {
+			out = stepInstance(out, instance, s, a.currentBatch.timeUs, a.currentBatch.events[instance])
 		}
 	}
 	return out
 }
 
-// step lets one instance decide; a panic becomes that instance's fault and does not end the others.
-func step(
+// stepInstance steps one instance's scheduler and appends its actions to out. A panic in it is reported as that
+// instance's failure, in place of its actions, and does not affect the other instances.
+func stepInstance(
 	out []byte, instance int64, s *scheduler.Scheduler, timeUs int64, events []scheduler.Event,
 ) (result []byte) {
 	start := len(out)
 	defer func() {
 		if p := recover(); p != nil {
-			result = simulator.AppendFault(out[:start], instance, fmt.Sprint(p))
+			result = simulator.AppendInstanceFailed(out[:start], instance, fmt.Sprint(p))
 		}
 	}()
 	for _, a := range s.Step(timeUs, events) {
--- a/cmd/brackendale-load/main.go
+++ b/cmd/brackendale-load/main.go
@@ -1,5 +1,5 @@
-// Command brackendale-load is brackendale's load tool; "brackendale load" starts it. It is a program of its own, since
-// what it draws and counts with would cost a sender memory.
+// Command brackendale-load generates load on a sender and measures it; "brackendale load" starts it. It is a separate
+// program because the code that draws and counts its results would otherwise take up memory in every sender.
 package main
 
 import (
--- a/cmd/brackendale/golden_test.go
+++ b/cmd/brackendale/golden_test.go
@@ -13,35 +13,35 @@
 	"brackendale/internal/testing/golden"
 )
 
-// asProgram in the environment makes the test binary the program itself.
-const asProgram = "BRACKENDALE_TEST_MAIN"
+// runMainEnv is the environment variable that makes the test binary run main instead of the tests.
+const runMainEnv = "BRACKENDALE_TEST_MAIN"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
-		_ = os.Unsetenv(asProgram)
+	if os.Getenv(runMainEnv) != "" {
+		_ = os.Unsetenv(runMainEnv)
 		main()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// run runs the program with a folder that lasts and tells all that it leaves: its status and both outputs.
+// run runs the program with dir as its state folder and returns its exit status, standard output and standard error.
 func run(t *testing.T, dir string, args ...string) string {
 	t.Helper()
-	c := exec.Command(os.Args[0], args...)
-	c.Env = []string{asProgram + "=1", "LB_STATE=" + dir}
-	var out, notes bytes.Buffer
-	c.Stdout, c.Stderr = &out, &notes
-	err := c.Run()
+	program := exec.Command(os.Args[0], args...)
+	program.Env = []string{runMainEnv + "=1", "LB_STATE=" + dir}
+	var stdout, stderr bytes.Buffer
+	program.Stdout, program.Stderr = &stdout, &stderr
+	err := program.Run()
 	var exit *exec.ExitError
 	if err != nil && !errors.As(err, &exit) {
 		t.Fatal(err)
 	}
 	return fmt.Sprintf("> brackendale %s\nstatus %d\n%s--- standard error\n%s", strings.Join(args, " "),
-		c.ProcessState.ExitCode(), &out, &notes)
+		program.ProcessState.ExitCode(), &stdout, &stderr)
 }
 
-const siteFile = `[amqp]
+const validConfig = `[amqp]
 listen = "127.0.0.1:5672"
 [[class]]
 name = "a"
@@ -56,12 +56,13 @@
 dial = "127.0.0.1:8081"
 `
 
-// The status and outputs of the program itself, for files good and bad and for words that are none of its own. After a
-// change that is meant, go test ./cmd/brackendale -run Golden -update-golden writes them anew.
+// TestGoldenStatus compares the exit status and outputs of the program, for valid and invalid configuration files and
+// for valid and unknown commands. After an intended change, go test ./cmd/brackendale -run Golden -update-golden
+// regenerates the golden file.
 func TestGoldenStatus(t *testing.T) {
 	dir := t.TempDir()
 	var out strings.Builder
-	for _, c := range []struct{ name, old, with string }{
+	for _, c := range []struct{ name, old, replacement string }{
 		{"good", "", ""},
 		{"key", "worth", "worths"},
 		{"type", "worth = 1", `worth = "x"`},
@@ -70,7 +71,7 @@
 		{"route", `"http"`, `"ftp"`},
 	} {
 		path := filepath.Join(dir, c.name+".toml")
-		if err := os.WriteFile(path, []byte(strings.Replace(siteFile, c.old, c.with, 1)), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(strings.Replace(validConfig, c.old, c.replacement, 1)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		out.WriteString(run(t, dir, "check", "--config", path))
--- a/cmd/brackendale/main.go
+++ b/cmd/brackendale/main.go
@@ -1,4 +1,4 @@
-// Command brackendale is the sender: see README.md.
+// Command brackendale runs a message sender and the tools to operate it; see README.md.
 package main
 
 import (
--- a/internal/simulator/append.go
+++ b/internal/simulator/append.go
@@ -6,7 +6,7 @@
 	"brackendale/scheduler"
 )
 
-// Append adds one action of an instance to out as a line.
+// Append appends one action of an instance to out, as a line of JSON.
 func Append(out []byte, instance int64, a scheduler.Action) []byte {
 	r := reply{Instance: instance}
 	var name MessageName
@@ -31,14 +31,14 @@
 	return appendLine(out, name, r)
 }
 
-// AppendFault adds the line that declares an instance's decisions failed.
-func AppendFault(out []byte, instance int64, text string) []byte {
-	return appendLine(out, instanceFailed, reply{Instance: instance, Text: text})
+// AppendInstanceFailed appends the line that reports that an instance's scheduler could not be started or has panicked.
+func AppendInstanceFailed(out []byte, instance int64, reason string) []byte {
+	return appendLine(out, instanceFailed, reply{Instance: instance, Text: reason})
 }
 
 func appendLine(out []byte, name MessageName, r reply) []byte {
 	inner, err := json.Marshal(r)
-	if err != nil { // strings and numbers only: cannot happen
+	if err != nil { // cannot happen: a reply holds only strings, numbers and booleans
 		panic(err)
 	}
 	out = append(out, '{', '"')
--- a/internal/simulator/golden_test.go
+++ b/internal/simulator/golden_test.go
@@ -17,8 +17,8 @@
 	"brackendale/scheduler"
 )
 
-// The golden files fix what Parse makes of every message and field, its errors, and what Append writes. After an
-// intended change record them anew:
+// The golden files record what Parse returns for every message and field, its errors, and what Append writes. After an
+// intended change, regenerate them:
 //
 //	go test ./internal/simulator -run TestGolden -update-golden
 var updateGolden = flag.Bool("update-golden", false, "record the golden files anew")
@@ -56,81 +56,81 @@
 	`{"Message":{"who":3}}`,
 }
 
-// variant is a line with one field changed; what tells the change.
-type variant struct{ what, line string }
+// variant is a line in which one field is changed, and a description of the change.
+type variant struct{ change, line string }
 
-// variants returns lines made from one: each field in turn is absent, null and of another type. A field of an object or
-// of the first entry of a list counts too.
+// variants derives lines from one line: each field in turn is absent, null or has a value of another type or range.
+// Fields of nested objects and of the first entry of a list are included.
 func variants(t *testing.T, line string) (list []variant) {
 	t.Helper()
 	var root any
 	if err := json.Unmarshal([]byte(line), &root); err != nil {
 		t.Fatal(err)
 	}
-	var visit func(path string, x any)
-	visit = func(path string, x any) {
-		if entries, ok := x.([]any); ok && len(entries) > 0 {
+	var visit func(path string, node any)
+	visit = func(path string, node any) {
+		if entries, ok := node.([]any); ok && len(entries) > 0 {
 			visit(path, entries[0])
 		}
-		fields, ok := x.(map[string]any)
+		fields, ok := node.(map[string]any)
 		if !ok {
 			return
 		}
 		for _, name := range slices.Sorted(maps.Keys(fields)) {
-			old := fields[name]
-			for _, other := range []any{nil, "other", -1, true, []any{}, map[string]any{}, -0.5} {
-				fields[name] = other
-				list = append(list, variant{fmt.Sprintf("%s.%s = %s", path, name, encode(t, other)), encode(t, root)})
+			original := fields[name]
+			for _, replacement := range []any{nil, "other", -1, true, []any{}, map[string]any{}, -0.5} {
+				fields[name] = replacement
+				list = append(list, variant{fmt.Sprintf("%s.%s = %s", path, name, encode(t, replacement)), encode(t, root)})
 			}
 			delete(fields, name)
 			list = append(list, variant{fmt.Sprintf("%s.%s absent", path, name), encode(t, root)})
-			fields[name] = old
-			visit(path+"."+name, old)
+			fields[name] = original
+			visit(path+"."+name, original)
 		}
 	}
 	visit("", root)
 	return list
 }
 
-func encode(t *testing.T, x any) string {
+func encode(t *testing.T, value any) string {
 	t.Helper()
-	text, err := json.Marshal(x)
+	text, err := json.Marshal(value)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return string(text)
 }
 
-// Errors of encoding/json name Go types. Those of this module are not part of the behaviour.
+// Errors of encoding/json contain names of Go types. The names of this module's types are not part of its behavior, so
+// they are removed before the comparison.
 var (
 	goField = regexp.MustCompile(`Go struct field \w*\.`)
 	goType  = regexp.MustCompile(` of type (\[\])?(struct|settings\.|simulator\.|scheduler\.).*`)
 )
 
-// parsed is the result of Parse as text, without the names of Go identifiers.
-func parsed(line string) string {
-	l, err := Parse([]byte(line))
+// parseToText returns the result of Parse as text, without Go identifiers.
+func parseToText(line string) string {
+	parsed, err := Parse([]byte(line))
 	if err != nil {
 		return "error: " + goType.ReplaceAllString(goField.ReplaceAllString(err.Error(), "field "), "")
 	}
 	settings := "no settings"
-	if !reflect.DeepEqual(l.Settings, scheduler.Settings{}) {
-		settings = fmt.Sprint(l.Settings)
+	if !reflect.DeepEqual(parsed.Settings, scheduler.Settings{}) {
+		settings = fmt.Sprint(parsed.Settings)
 	}
-	return fmt.Sprintf("%q %d %d %d %s %d %v %v %t", l.Name, l.Instance, l.TimeUs, l.Seed, settings, l.Sheet,
-		l.Endpoints, l.Event,
-		l.IsEvent)
+	return fmt.Sprintf("%q %d %d %d %s %d %v %v %t", parsed.Name, parsed.Instance, parsed.TimeUs, parsed.Seed, settings,
+		parsed.ListNumber, parsed.Endpoints, parsed.Event, parsed.IsEvent)
 }
 
-// short replaces a long text by its hash.
-func short(text string) string {
+// hashIfLong returns a text of 160 bytes or more as its hash, and a shorter one as it is.
+func hashIfLong(text string) string {
 	if len(text) < 160 {
 		return text
 	}
 	return fmt.Sprintf("%.16x", sha256.Sum256([]byte(text)))
 }
 
-// checkGolden compares lines with a golden file, or records them.
+// checkGolden compares lines with a golden file, or writes them to it if -update-golden is set.
 func checkGolden(t *testing.T, name string, lines []string) {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -160,16 +160,17 @@
 	}
 }
 
-// TestGoldenParse records what Parse returns for complete lines.
+// TestGoldenParse compares what Parse returns for complete lines.
 func TestGoldenParse(t *testing.T) {
 	var lines []string
 	for _, line := range goldenLines {
-		lines = append(lines, line, "\t"+parsed(line))
+		lines = append(lines, line, "\t"+parseToText(line))
 	}
 	checkGolden(t, "parse.txt", lines)
 }
 
-// TestGoldenParseVariants records what Parse returns where one field is absent, null or of another type.
+// TestGoldenParseVariants compares what Parse returns for malformed lines, and for lines in which one field is absent,
+// null or of another type.
 func TestGoldenParseVariants(t *testing.T) {
 	broken := []string{
 		`nonsense`, ``, `[]`, `{}`, `{"Eob":{},"Batch":{}}`, `{"Batch":3}`, `{"Batch":null}`,
@@ -177,20 +178,20 @@
 	}
 	var lines []string
 	for _, line := range broken {
-		lines = append(lines, line, "\t"+parsed(line))
+		lines = append(lines, line, "\t"+parseToText(line))
 	}
 	for _, line := range goldenLines {
 		for _, v := range variants(t, line) {
-			lines = append(lines, v.what+": "+short(parsed(v.line)))
+			lines = append(lines, v.change+": "+hashIfLong(parseToText(v.line)))
 		}
 	}
 	checkGolden(t, "variants.txt", lines)
 }
 
-// TestGoldenAppend records the line of each kind of action: with all fields set, and with none.
+// TestGoldenAppend compares the line of each kind of action, with all fields set and with none.
 func TestGoldenAppend(t *testing.T) {
 	var lines []string
-	for kind := scheduler.StartAttempt; kind <= scheduler.WatchEndpoints+1; kind++ { // and one that is none
+	for kind := scheduler.StartAttempt; kind <= scheduler.WatchEndpoints+1; kind++ { // and one unknown kind
 		full := scheduler.Action{
 			Kind: kind, ID: "x\"<", Attempt: 2, Endpoint: "e:1", TimeoutUs: 3, RetryAfterUs: 4, DelayUs: 5, TimerID: 6,
 			Text: "said \"no\"\n", On: true,
@@ -199,6 +200,6 @@
 			lines = append(lines, strings.TrimSuffix(string(Append([]byte("before "), 7, a)), "\n"))
 		}
 	}
-	lines = append(lines, strings.TrimSuffix(string(AppendFault(nil, 7, "settings: none")), "\n"))
+	lines = append(lines, strings.TrimSuffix(string(AppendInstanceFailed(nil, 7, "settings: none")), "\n"))
 	checkGolden(t, "append.txt", lines)
 }
--- a/internal/simulator/messages.go
+++ b/internal/simulator/messages.go
@@ -5,24 +5,24 @@
 // MessageName is the name of a message on the simulator's wire.
 type MessageName string
 
-// The messages from the simulator.
+// The messages that the simulator sends.
 const (
-	BatchStarted     MessageName = "Batch"
-	BatchEnded       MessageName = "Eob"
-	EndpointSheet    MessageName = "Catalog" // a list of endpoints, by number
-	InstanceStarted  MessageName = "Up"
-	InstanceStopped  MessageName = "PowerOff"
-	requestAccepted  MessageName = "Incoming"
-	attemptFinished  MessageName = "ReportBack"
-	responseStarted  MessageName = "Streaming"
-	requestWithdrawn MessageName = "Left"
-	timerFired       MessageName = "Wake"
-	EndpointsUpdated MessageName = "DirectoryUpdate"
-	healthChecked    MessageName = "CheckResult"
-	peerMessage      MessageName = "Message"
+	BatchStarted        MessageName = "Batch"
+	BatchEnded          MessageName = "Eob"
+	EndpointListDefined MessageName = "Catalog" // a numbered list of endpoints, which EndpointsUpdated refers to
+	InstanceStarted     MessageName = "Up"
+	InstanceStopped     MessageName = "PowerOff"
+	requestAccepted     MessageName = "Incoming"
+	attemptFinished     MessageName = "ReportBack"
+	responseStarted     MessageName = "Streaming"
+	requestWithdrawn    MessageName = "Left"
+	timerFired          MessageName = "Wake"
+	EndpointsUpdated    MessageName = "DirectoryUpdate"
+	healthChecked       MessageName = "CheckResult"
+	peerMessage         MessageName = "Message"
 )
 
-// The messages to the simulator.
+// The messages that the adapter sends.
 const (
 	startAttempt         MessageName = "Issue"
 	reject               MessageName = "PushBack"
@@ -35,14 +35,14 @@
 	instanceFailed       MessageName = "GiveIn"
 )
 
-// message holds the fields of all messages from the simulator; a nil pointer is a field that is absent.
+// message holds the fields of all messages from the simulator. A pointer is nil where the field is absent or null.
 type message struct {
 	Instance     *int64          `json:"who"`
 	TimeUs       *int64          `json:"timeUs"`
 	Seed         *int64          `json:"initSeed"`
 	Settings     json.RawMessage `json:"setup"`
-	Sheet        *int            `json:"sheet"`
-	Endpoints    *[]sheetEntry   `json:"elements"`
+	ListNumber   *int            `json:"sheet"`
+	Endpoints    *[]listEntry    `json:"elements"`
 	Update       *string         `json:"how"`
 	ID           *string         `json:"opId"`
 	Key          *int64          `json:"partitionKey"`
@@ -60,8 +60,8 @@
 	LoadReport   []*float64      `json:"report"`
 }
 
-// sheetEntry is one endpoint of a sheet.
-type sheetEntry struct {
+// listEntry is one endpoint of a numbered list.
+type listEntry struct {
 	Endpoint     *string  `json:"endpoint"`
 	Zone         string   `json:"site"`
 	MachineType  string   `json:"shape"`
@@ -70,7 +70,8 @@
 	CapacityHint *float64 `json:"powerHint"`
 }
 
-// reply holds the fields of all messages to the simulator.
+// reply holds the fields of all messages to the simulator. Pointers tell fields that are sent even if zero from fields
+// that the message does not have.
 type reply struct {
 	Instance     int64   `json:"who"`
 	ID           string  `json:"opId,omitempty"`
--- a/internal/simulator/parse.go
+++ b/internal/simulator/parse.go
@@ -1,5 +1,5 @@
-// Package simulator is the edge between the simulator's JSON lines and the scheduler: it turns
-// lines into events and actions into lines, and decides nothing.
+// Package simulator translates between the simulator's JSON lines and the scheduler's types: it parses lines into
+// events and formats actions as lines. It makes no scheduling decisions.
 package simulator
 
 import (
@@ -11,31 +11,31 @@
 	"brackendale/scheduler"
 )
 
-// Line is one parsed line of a batch. Which fields are set depends on its name.
+// Line is one parsed line from the simulator. Which fields are set depends on its name.
 type Line struct {
-	Name      MessageName
-	Instance  int64
-	TimeUs    int64
-	Seed      int64
-	Settings  scheduler.Settings
-	Sheet     int
-	Endpoints []scheduler.Endpoint
-	Event     scheduler.Event
-	IsEvent   bool
+	Name       MessageName
+	Instance   int64
+	TimeUs     int64
+	Seed       int64
+	Settings   scheduler.Settings
+	ListNumber int
+	Endpoints  []scheduler.Endpoint
+	Event      scheduler.Event
+	IsEvent    bool
 }
 
-// A MissingFieldError tells that a message lacks a field that it must have.
+// A MissingFieldError reports a message that lacks a required field.
 type MissingFieldError struct {
 	Message string
 	Field   string
 }
 
-// Error names the message and the field, as on the wire.
+// Error names the message and the field by their names on the wire.
 func (e *MissingFieldError) Error() string {
 	return fmt.Sprintf("%s: field %s is missing", e.Message, e.Field)
 }
 
-// Parse reads one line. The error says which message and field are malformed.
+// Parse parses one line. Its error names the malformed message and field.
 func Parse(raw []byte) (Line, error) {
 	var outer map[string]json.RawMessage
 	if err := json.Unmarshal(raw, &outer); err != nil {
@@ -58,21 +58,22 @@
 	return line, line.fill(&m)
 }
 
+// fill sets the fields of the line from its message.
 func (l *Line) fill(m *message) error {
-	l.Instance, l.TimeUs, l.Sheet = value(m.Instance), value(m.TimeUs), value(m.Sheet)
+	l.Instance, l.TimeUs, l.ListNumber = value(m.Instance), value(m.TimeUs), value(m.ListNumber)
 	switch l.Name {
 	case BatchStarted:
 		return l.require(field{"timeUs", m.TimeUs != nil})
 	case BatchEnded:
 		return nil
-	case EndpointSheet:
-		return l.fillSheet(m)
+	case EndpointListDefined:
+		return l.fillEndpointList(m)
 	}
 	if err := l.require(field{"who", m.Instance != nil}); err != nil {
 		return err
 	}
 	l.IsEvent = l.Name != InstanceStarted && l.Name != InstanceStopped
-	l.fillCommon(m)
+	l.fillSharedFields(m)
 	switch l.Name {
 	case InstanceStarted:
 		return l.fillStart(m)
@@ -82,30 +83,30 @@
 	return l.fillEvent(m)
 }
 
-func (l *Line) fillSheet(m *message) error {
-	if err := l.require(field{"sheet", m.Sheet != nil}, field{"elements", m.Endpoints != nil}); err != nil {
+func (l *Line) fillEndpointList(m *message) error {
+	if err := l.require(field{"sheet", m.ListNumber != nil}, field{"elements", m.Endpoints != nil}); err != nil {
 		return err
 	}
-	for _, e := range *m.Endpoints {
-		err := require("Catalog entry", field{"endpoint", e.Endpoint != nil}, field{"belongsTo", e.Destination != nil},
-			field{"stageState", e.Status != nil})
+	for _, entry := range *m.Endpoints {
+		err := require("Catalog entry", field{"endpoint", entry.Endpoint != nil},
+			field{"belongsTo", entry.Destination != nil}, field{"stageState", entry.Status != nil})
 		if err != nil {
 			return err
 		}
 		l.Endpoints = append(l.Endpoints, scheduler.Endpoint{
-			Addr:         *e.Endpoint,
-			Zone:         e.Zone,
-			MachineType:  e.MachineType,
-			Destination:  *e.Destination,
-			State:        scheduler.EndpointStatus(*e.Status),
-			CapacityHint: value(e.CapacityHint),
+			Addr:         *entry.Endpoint,
+			Zone:         entry.Zone,
+			MachineType:  entry.MachineType,
+			Destination:  *entry.Destination,
+			State:        scheduler.EndpointStatus(*entry.Status),
+			CapacityHint: value(entry.CapacityHint),
 		})
 	}
 	return nil
 }
 
-// fillCommon sets the fields that several kinds of events share.
-func (l *Line) fillCommon(m *message) {
+// fillSharedFields sets the fields of the event that several kinds of events share.
+func (l *Line) fillSharedFields(m *message) {
 	event := &l.Event
 	event.ID = value(m.ID)
 	event.Attempt = value(m.Attempt)
@@ -114,8 +115,8 @@
 	event.RttUs = value(m.RttUs)
 	event.RetryAfterMs = value(m.RetryAfterMs)
 	event.Update = scheduler.UpdateKind(value(m.Update))
-	for _, x := range m.LoadReport {
-		event.LoadReport = append(event.LoadReport, value(x))
+	for _, reported := range m.LoadReport {
+		event.LoadReport = append(event.LoadReport, value(reported))
 	}
 }
 
@@ -152,7 +153,7 @@
 		l.Event.Kind = scheduler.TimerFired
 	case EndpointsUpdated:
 		l.Event.Kind = scheduler.EndpointsUpdated
-		hasSheet := m.Sheet != nil || l.Event.Update == scheduler.UpdateBroken
+		hasSheet := m.ListNumber != nil || l.Event.Update == scheduler.UpdateBroken
 		return l.require(field{"how", m.Update != nil}, field{"sheet", hasSheet})
 	case healthChecked:
 		l.Event.Kind = scheduler.HealthChecked
@@ -182,7 +183,7 @@
 		field{"terminatesAt", m.Destination != nil}, field{"dropDeadUs", m.DeadlineUs != nil})
 }
 
-// field is a field of a message by its name on the wire.
+// field names a required field, as on the wire, and records whether a message has it.
 type field struct {
 	name    string
 	present bool
@@ -200,7 +201,7 @@
 	return nil
 }
 
-// value is what a pointer points to, or the zero value.
+// value returns what p points to, or the zero value if p is nil.
 func value[T any](p *T) (v T) {
 	if p != nil {
 		v = *p
--- a/internal/simulator/parse_test.go
+++ b/internal/simulator/parse_test.go
@@ -7,7 +7,7 @@
 	"brackendale/scheduler"
 )
 
-func TestParseTellsWhatIsMalformed(t *testing.T) {
+func TestParseReportsMalformedFields(t *testing.T) {
 	for line, want := range map[string]string{
 		`nonsense`:                    "not a JSON object",
 		`{}`:                          "want one message name",
@@ -26,40 +26,41 @@
 		`{"CheckResult":{"who":1,"endpoint":"e","rttUs":1,"report":null}}`: `"reason" is missing`,
 	} {
 		if _, err := Parse([]byte(line)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: error %v, want one with %q", line, err, want)
+			t.Errorf("%s: got error %v, want one that contains %q", line, err, want)
 		}
 	}
 }
 
 func TestParseReadsEvents(t *testing.T) {
-	l, err := Parse([]byte(`{"ReportBack":{"who":3,"opId":"x","n":2,"endpoint":"e:1","reason":"FULL","rttUs":18,` +
+	parsed, err := Parse([]byte(`{"ReportBack":{"who":3,"opId":"x","n":2,"endpoint":"e:1","reason":"FULL","rttUs":18,` +
 		`"finished":false,"holdMs":40,"report":null,"new":1}}`))
 	want := scheduler.Event{
 		Kind: scheduler.AttemptFinished, ID: "x", Attempt: 2, Endpoint: "e:1", Outcome: "FULL",
 		RttUs: 18, RetryAfterMs: 40,
 	}
-	if err != nil || l.Instance != 3 || l.Event.ID != want.ID || l.Event.Attempt != want.Attempt ||
-		l.Event.Endpoint != want.Endpoint ||
-		l.Event.Outcome != want.Outcome || l.Event.RetryAfterMs != want.RetryAfterMs || l.Event.Kind != want.Kind {
-		t.Errorf("got %+v, %v; want %+v", l.Event, err, want)
+	if err != nil || parsed.Instance != 3 || parsed.Event.ID != want.ID || parsed.Event.Attempt != want.Attempt ||
+		parsed.Event.Endpoint != want.Endpoint || parsed.Event.Outcome != want.Outcome ||
+		parsed.Event.RetryAfterMs != want.RetryAfterMs || parsed.Event.Kind != want.Kind {
+		t.Errorf("got %+v, %v; want %+v", parsed.Event, err, want)
 	}
-	l, err = Parse([]byte(`{"Incoming":{"who":1,"opId":"y","class":"a","terminatesAt":5,"dropDeadUs":9,"team":0}}`))
-	if err != nil || l.Event.Tenant != "" || l.Event.Destination != 5 || l.Event.HasKey {
-		t.Errorf("a message without tenant and key: %+v, %v", l.Event, err)
+	parsed, err = Parse([]byte(`{"Incoming":{"who":1,"opId":"y","class":"a","terminatesAt":5,"dropDeadUs":9,"team":0}}`))
+	if err != nil || parsed.Event.Tenant != "" || parsed.Event.Destination != 5 || parsed.Event.HasKey {
+		t.Errorf("a request without tenant and key: got %+v, %v", parsed.Event, err)
 	}
 }
 
-func TestParseReadsReports(t *testing.T) {
+func TestParseReadsLoadReports(t *testing.T) {
 	const line = `{"ReportBack":{"who":3,"opId":"x","n":2,"endpoint":"e:1","reason":"GOOD","finished":true,"report":%}}`
 	for text, want := range map[string]int{"null": 0, "[]": 0, "[0.5,null]": 2, "[1,2,3]": 3} {
-		l, err := Parse([]byte(strings.Replace(line, "%", text, 1)))
-		if err != nil || len(l.Event.LoadReport) != want || want > 1 && text[1] == '0' && l.Event.LoadReport[0] != 0.5 {
-			t.Errorf("report %s: %v, %v", text, l.Event.LoadReport, err)
+		parsed, err := Parse([]byte(strings.Replace(line, "%", text, 1)))
+		if err != nil || len(parsed.Event.LoadReport) != want ||
+			want > 1 && text[1] == '0' && parsed.Event.LoadReport[0] != 0.5 {
+			t.Errorf("load report %s: got %v, %v", text, parsed.Event.LoadReport, err)
 		}
 	}
 	if _, err := Parse([]byte(strings.Replace(line, "%", `"much"`, 1))); err == nil ||
 		!strings.Contains(err.Error(), "report") {
-		t.Errorf("a report that is no row: %v", err)
+		t.Errorf("a load report that is not a list: %v", err)
 	}
 }
 
