--- a/internal/access/access.go
+++ b/internal/access/access.go
@@ -1,5 +1,6 @@
 // Package access decides who may log in, which virtual hosts a user may open, and what is allowed there. A policy is
-// immutable: a reload makes a new one. Only Checker has goroutines, because comparing a password with its hash is slow.
+// immutable: a reload of the settings makes a new one. Only Checker starts goroutines, because comparing a password
+// with its hash is slow.
 package access
 
 import (
@@ -12,23 +13,24 @@
 	"golang.org/x/crypto/bcrypt"
 )
 
-// Root is the virtual host that clients mean when they name none.
+// Root is the virtual host that a client opens if it names none.
 const Root = "/"
 
-// User is one login.
+// User is an account that clients log in with.
 type User struct {
 	Name string
-	Hash string // bcrypt's, or of a plain password what Plain makes; empty: no password is right
-	// the common name, DNS name, address or URI of the certificate that stands for the user; empty:
-	// none does
+	Hash string // a bcrypt hash, or a plain-text password wrapped by Plain; empty: no password matches
+	// Certificate is the common name, DNS name, e-mail address or URI of the certificate that authenticates the user;
+	// empty: no certificate does.
 	Certificate string
 }
 
-// Permission is what one user may do in one host. Patterns are regular expressions (RE2) that must match the whole.
+// Permission is what one user may do in one host. Patterns are regular expressions (RE2) that must match the whole
+// name.
 type Permission struct {
 	User    string
-	Publish string // routing keys: destinations' numbers
-	Read    string // names of queues, also those that reply-to names; a queue may be declared, read, purged and deleted
+	Publish string // routing keys, which are the numbers of destinations
+	Read    string // queues, also those named by reply-to; a matching queue may be declared, read, purged and deleted
 }
 
 // Host is one virtual host.
@@ -36,23 +38,23 @@
 	Name         string
 	Exchange     string
 	Destinations []int64      // empty: all
-	Permissions  []Permission // empty: every user may do everything
+	Permissions  []Permission // empty: every user may do everything in this host
 }
 
-// Policy is all users and hosts. It is immutable, so that any goroutine may use it.
+// Policy holds all users, hosts and permissions. It is immutable and therefore safe for concurrent use.
 type Policy struct {
 	users  map[string]User
 	hosts  map[string]Host
 	grants map[grantKey]*Grant
 }
 
-// grantKey finds a grant. The user is empty in a policy without users; the host is empty for the grant of a login that
-// has not opened a host yet.
+// grantKey identifies a grant. The user is empty in a policy without users; the host is empty for the grant of a user
+// who has logged in but has not opened a host yet.
 type grantKey struct {
 	user, host string
 }
 
-// List names one of the lists that a policy is made of.
+// List names one of the two lists that a policy is made from.
 type List string
 
 // The lists of a policy.
@@ -61,7 +63,7 @@
 	ListHosts List = "vhost"
 )
 
-// The bounds of names, in bytes, and of the hashes that are accepted.
+// The limits of names, in bytes, and the highest bcrypt cost that is accepted.
 const (
 	maxUserName   = 128
 	maxHostName   = 127
@@ -69,7 +71,7 @@
 	maxBcryptCost = 14
 )
 
-// Error names the list that is at fault, the place in it, and the key.
+// Error is an invalid entry of a list: the list, the entry's index in it, and the invalid key of the entry.
 type Error struct {
 	List  List
 	Index int
@@ -77,16 +79,16 @@
 	Err   error
 }
 
-// Error names the key and its fault.
+// Error names the key and the reason why it is invalid.
 func (e *Error) Error() string { return fmt.Sprintf("%s[%d].%s: %v", e.List, e.Index, e.Key, e.Err) }
 
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// New checks users and hosts. Without users any client may log in, and do everything.
+// New validates users and hosts and makes a policy from them. Without users any client may log in and do everything.
 func New(users []User, hosts []Host) (*Policy, error) {
 	p := &Policy{users: map[string]User{}, hosts: map[string]Host{}, grants: map[grantKey]*Grant{}}
-	certificates := map[string]bool{} // names that stand for a user already
+	certificates := map[string]bool{} // names that authenticate an earlier user
 	for i, user := range users {
 		if err := p.checkUser(i, user, certificates); err != nil {
 			return nil, err
@@ -103,11 +105,12 @@
 	return p, nil
 }
 
+// checkUser validates a user. certificates holds the names of certificates of the users before it.
 func (p *Policy) checkUser(index int, user User, certificates map[string]bool) error {
 	invalid := func(key, format string, args ...any) error {
 		return &Error{ListUsers, index, key, fmt.Errorf(format, args...)}
 	}
-	if _, twice := p.users[user.Name]; user.Name == "" || len(user.Name) > maxUserName || twice {
+	if _, duplicate := p.users[user.Name]; user.Name == "" || len(user.Name) > maxUserName || duplicate {
 		return invalid("name", "%q is missing, too long or there twice", user.Name)
 	}
 	if user.Hash == "" && user.Certificate == "" {
@@ -125,12 +128,12 @@
 	return nil
 }
 
-// addHost adds a host and its grants; the users are complete by then.
+// addHost validates and adds a host and its grants. All users must have been added before.
 func (p *Policy) addHost(index int, host Host) error {
 	invalid := func(key, format string, args ...any) error {
 		return &Error{ListHosts, index, key, fmt.Errorf(format, args...)}
 	}
-	if _, twice := p.hosts[host.Name]; host.Name == "" || len(host.Name) > maxHostName || twice {
+	if _, duplicate := p.hosts[host.Name]; host.Name == "" || len(host.Name) > maxHostName || duplicate {
 		return invalid("name", "%q is missing, too long or there twice", host.Name)
 	}
 	if len(host.Exchange) > maxExchange {
@@ -153,7 +156,7 @@
 	return nil
 }
 
-// addPermission adds the grant of one permission, or returns the key at fault and why.
+// addPermission adds the grant of one permission, or returns the invalid key and the reason.
 func (p *Policy) addPermission(host Host, permission Permission) (key string, err error) {
 	publish, err := compileWhole(permission.Publish)
 	if err != nil {
@@ -163,18 +166,19 @@
 	if err != nil {
 		return "read", err
 	}
-	at := grantKey{permission.User, host.Name}
+	id := grantKey{permission.User, host.Name}
 	if _, known := p.users[permission.User]; !known {
-		return "user", fmt.Errorf("%q is none of the users", permission.User)
+		return "user", fmt.Errorf("%q is not a user", permission.User)
 	}
-	if p.grants[at] != nil {
-		return "user", fmt.Errorf("%q is there twice", permission.User)
+	if p.grants[id] != nil {
+		return "user", fmt.Errorf("%q is listed twice", permission.User)
 	}
-	p.grants[at] = &Grant{user: permission.User, host: host, publish: publish, read: read}
+	p.grants[id] = &Grant{user: permission.User, host: host, publish: publish, read: read}
 	return "", nil
 }
 
-// compileWhole compiles a pattern that must match all of a text; the empty one matches nothing.
+// compileWhole compiles a pattern so that it matches only a whole text. An empty pattern gives nil, which matches
+// nothing. The pattern is also compiled by itself, so that an unbalanced one cannot escape the group around it.
 func compileWhole(pattern string) (*regexp.Regexp, error) {
 	if pattern == "" {
 		return nil, nil
@@ -185,13 +189,13 @@
 	return regexp.Compile(`\A(?:` + pattern + `)\z`)
 }
 
-// Open reports whether any client may log in, by any name.
+// Open reports whether any client may log in, under any name.
 func (p *Policy) Open() bool { return len(p.users) == 0 }
 
-// User finds a user by name.
-func (p *Policy) User(name string) (User, bool) { u, ok := p.users[name]; return u, ok }
+// User returns the user of that name.
+func (p *Policy) User(name string) (User, bool) { user, ok := p.users[name]; return user, ok }
 
-// Holder returns the user for whom a verified certificate stands.
+// Holder returns the user whom a verified certificate authenticates. The certificate may be nil.
 func (p *Policy) Holder(cert *x509.Certificate) (User, bool) {
 	if cert == nil {
 		return User{}, false
@@ -206,7 +210,7 @@
 	return User{}, false
 }
 
-// Names returns the names in a certificate: the common name first, then the alternative names.
+// Names returns the names in a certificate: the common name, then the DNS names, e-mail addresses and URIs.
 func Names(cert *x509.Certificate) []string {
 	names := []string{cert.Subject.CommonName}
 	names = append(names, cert.DNSNames...)
@@ -217,17 +221,17 @@
 	return slices.DeleteFunc(names, func(name string) bool { return name == "" })
 }
 
-// Hosts lists the virtual hosts by name.
+// Hosts returns the virtual hosts, sorted by name.
 func (p *Policy) Hosts() []Host {
 	var list []Host
-	for _, h := range p.hosts {
-		list = append(list, h)
+	for _, host := range p.hosts {
+		list = append(list, host)
 	}
 	slices.SortFunc(list, func(a, b Host) int { return strings.Compare(a.Name, b.Name) })
 	return list
 }
 
-// Enter returns what a user may do in a host, or nil if the user may not open it. The empty host is the root.
+// Enter returns what a user may do in a host, or nil if the user may not open it. An empty host means Root.
 func (p *Policy) Enter(user, host string) *Grant {
 	if host == "" {
 		host = Root
@@ -246,21 +250,21 @@
 	user          string
 	host          Host
 	all           bool
-	publish, read *regexp.Regexp // nil: nothing
+	publish, read *regexp.Regexp // nil: nothing is allowed
 }
 
-// Lobby returns the grant of a login that has not opened a host yet: it allows nothing.
+// Lobby returns the grant of a user who has logged in but has not opened a host yet. It allows nothing.
 func (p *Policy) Lobby(user string) *Grant {
 	if g := p.grants[grantKey{user, ""}]; g != nil {
 		return g
 	}
-	return unknownUser
+	return noPermissions
 }
 
-// unknownUser is the grant of the logins that are not of the policy.
-var unknownUser = &Grant{}
+// noPermissions is the grant of logins under names that are not in the policy.
+var noPermissions = &Grant{}
 
-// User returns the name of the user.
+// User returns the name of the user, or "" if the policy does not have the user.
 func (g *Grant) User() string { return g.user }
 
 // Host returns the virtual host.
@@ -269,24 +273,25 @@
 // Exchange returns the exchange of the host.
 func (g *Grant) Exchange() string { return g.host.Exchange }
 
-// Reaches reports whether a destination belongs to the host.
+// Reaches reports whether messages in the host may go to a destination.
 func (g *Grant) Reaches(dest int64) bool {
 	return len(g.host.Destinations) == 0 || slices.Contains(g.host.Destinations, dest)
 }
 
-// Publish reports whether messages with that routing key may be published.
+// Publish reports whether messages with a routing key may be published.
 func (g *Grant) Publish(key []byte) bool {
 	return g.all || g.publish != nil && g.publish.Match(key)
 }
 
-// Read reports whether a queue of that name may be used.
+// Read reports whether a queue may be used.
 func (g *Grant) Read(queue string) bool { return g.all || g.read != nil && g.read.MatchString(queue) }
 
-// Anyone is the policy of a site without users: one virtual host, the root, with that exchange.
+// Anyone returns a policy without users, which lets any client do everything in one virtual host, Root, with the given
+// exchange.
 func Anyone(exchange string) *Policy {
 	p, err := New(nil, []Host{{Name: Root, Exchange: exchange}})
 	if err != nil {
-		panic(err) // the caller's own text is too long
+		panic(err) // only if the name of the exchange is too long
 	}
 	return p
 }
--- a/internal/access/access_test.go
+++ b/internal/access/access_test.go
@@ -8,13 +8,13 @@
 	"testing"
 )
 
-func TestNewNamesTheFaultyKey(t *testing.T) {
+func TestNewReportsInvalidKey(t *testing.T) {
 	hash, err := Hash("s3")
 	if err != nil {
 		t.Fatal(err)
 	}
 	lab := User{Name: "lab", Hash: hash}
-	may := func(p Permission) []Host { return []Host{{Name: "h", Permissions: []Permission{p}}} }
+	hostWith := func(p Permission) []Host { return []Host{{Name: "h", Permissions: []Permission{p}}} }
 	for want, c := range map[string]struct {
 		users []User
 		hosts []Host
@@ -27,24 +27,26 @@
 		"vhost[0].name":                  {nil, []Host{{}}},
 		"vhost[1].name":                  {nil, []Host{{Name: "h"}, {Name: "h"}}},
 		"vhost[0].exchange":              {nil, []Host{{Name: "h", Exchange: strings.Repeat("x", 128)}}},
-		"vhost[0].permission[0].user":    {[]User{lab}, may(Permission{User: "nobody"})},
-		"vhost[0].permission[0].publish": {[]User{lab}, may(Permission{User: "lab", Publish: "("})},
-		"vhost[0].permission[0].read":    {[]User{lab}, may(Permission{User: "lab", Read: "a)|(b"})},
+		"vhost[0].permission[0].user":    {[]User{lab}, hostWith(Permission{User: "nobody"})},
+		"vhost[0].permission[0].publish": {[]User{lab}, hostWith(Permission{User: "lab", Publish: "("})},
+		"vhost[0].permission[0].read":    {[]User{lab}, hostWith(Permission{User: "lab", Read: "a)|(b"})},
 		"vhost[0].permission[1].user": {
 			[]User{lab},
 			[]Host{{Name: "h", Permissions: []Permission{{User: "lab"}, {User: "lab"}}}},
 		},
-		// a check would take hours
+		// a comparison at this cost would take hours
 		"user[0].password: is no bcrypt has": {[]User{{Name: "a", Hash: strings.Replace(hash, "$10$", "$31$", 1)}}, nil},
 	} {
 		_, err := New(c.users, c.hosts)
-		var e *Error
-		if !errors.As(err, &e) || !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
+		var invalid *Error
+		if !errors.As(err, &invalid) || !strings.HasPrefix(err.Error(), want) {
+			t.Errorf("want an error that begins with %s, got %v", want, err)
 		}
 	}
 }
 
+// A host without permissions allows every user everything; with permissions it allows only the users they name, and
+// only what their patterns match. A policy without users allows any login.
 func TestGrants(t *testing.T) {
 	p, err := New([]User{{Name: "a", Hash: Plain("x"), Certificate: "robot"}, {Name: "b", Hash: Plain("y")}}, []Host{
 		{Name: Root, Exchange: "m"}, {
@@ -56,7 +58,7 @@
 		t.Fatal(err)
 	}
 	if p.Open() || p.Enter("b", "h") != nil || p.Enter("nobody", Root) != nil || p.Enter("a", "nowhere") != nil {
-		t.Error("somebody was let in")
+		t.Error("a user got a grant without permission, or any login is allowed")
 	}
 	if g := p.Enter("b", ""); g == nil || g.Host().Name != Root || !g.Publish([]byte("9")) || !g.Read("q") ||
 		!g.Reaches(9) || g.User() != "b" {
@@ -69,10 +71,10 @@
 		}
 	}
 	if !g.Read("abc") || g.Read("ba") || g.Reaches(3) || !g.Reaches(2) {
-		t.Error("patterns and destinations are not of the whole")
+		t.Error("the grant does not follow its patterns and destinations")
 	}
 	if g := p.Lobby("a"); g.User() != "a" || g.Read("a") || g.Publish([]byte("1")) {
-		t.Error("something is allowed in the lobby")
+		t.Error("a user without a host is allowed something")
 	}
 	for _, c := range []struct {
 		cert *x509.Certificate
@@ -84,48 +86,50 @@
 		{&x509.Certificate{Subject: pkix.Name{CommonName: "thief"}}, ""},
 		{&x509.Certificate{}, ""},
 	} {
-		if u, ok := p.Holder(c.cert); u.Name != c.want || ok != (c.want != "") {
-			t.Error(c.cert, u.Name)
+		if user, ok := p.Holder(c.cert); user.Name != c.want || ok != (c.want != "") {
+			t.Error(c.cert, user.Name)
 		}
 	}
 	open := Anyone("m")
 	if g := open.Enter("whoever", Root); !open.Open() || g == nil || !g.Publish(nil) || open.Enter("whoever", "h") != nil {
-		t.Error("the open policy")
+		t.Error("the policy without users does not allow exactly its root host")
 	}
 }
 
+// Each check has the same result from the cache, too many pending checks are rejected at once, and a cached password is
+// accepted even then.
 func TestChecker(t *testing.T) {
 	c := NewChecker()
 	hash, err := Hash("s3")
 	if err != nil {
 		t.Fatal(err)
 	}
-	ask := func(hash, password string) bool {
-		got := make(chan bool, 1)
-		if err := c.Check(hash, password, func(ok bool) { got <- ok }); err != nil {
+	check := func(hash, password string) bool {
+		result := make(chan bool, 1)
+		if err := c.Check(hash, password, func(ok bool) { result <- ok }); err != nil {
 			t.Fatal(err)
 		}
-		return <-got
+		return <-result
 	}
-	for range 2 { // the second is remembered
-		if !ask(hash, "s3") || ask(hash, "s4") || ask("", "s3") || ask("", "") || !ask(Plain("x"), "x") ||
-			ask(Plain("x"), "plain:x") {
-			t.Fatal("a wrong answer")
+	for range 2 { // the second time from the cache
+		if !check(hash, "s3") || check(hash, "s4") || check("", "s3") || check("", "") || !check(Plain("x"), "x") ||
+			check(Plain("x"), "plain:x") {
+			t.Fatal("a password was checked wrongly")
 		}
 	}
 	if len(c.verified) != 1 {
-		t.Error(len(c.verified), "are remembered")
+		t.Error(len(c.verified), "pairs are cached, want 1")
 	}
-	crowd := 0
+	rejected := 0
 	for range 3 * maxChecks {
 		if err := c.Check(hash, "wrong", func(bool) {}); err != nil {
-			crowd++
+			rejected++
 		}
 	}
-	if crowd < maxChecks { // far more than can be checked while they come
-		t.Error(crowd, "were turned away")
+	if rejected < maxChecks { // far more checks are requested than can finish meanwhile
+		t.Error(rejected, "checks were rejected")
 	}
-	if !ask(hash, "s3") {
-		t.Error("one that is remembered waits behind the crowd")
+	if !check(hash, "s3") {
+		t.Error("a cached password was not accepted while too many checks were pending")
 	}
 }
--- a/internal/access/password.go
+++ b/internal/access/password.go
@@ -13,18 +13,18 @@
 	"golang.org/x/crypto/bcrypt"
 )
 
-// plainMark begins what Plain makes. No bcrypt hash has it.
-const plainMark = "plain:"
+// plainPrefix marks a plain-text password in User.Hash. No bcrypt hash begins with it.
+const plainPrefix = "plain:"
 
-// Plain wraps a password that stands in the file as it is.
-func Plain(password string) string { return plainMark + password }
+// Plain wraps a password that the settings hold in plain text, for User.Hash.
+func Plain(password string) string { return plainPrefix + password }
 
-func isPlain(hash string) bool { return strings.HasPrefix(hash, plainMark) }
+func isPlain(hash string) bool { return strings.HasPrefix(hash, plainPrefix) }
 
-// Cost is the bcrypt cost of the hashes that Hash makes.
+// Cost is the bcrypt cost of the hashes that Hash returns.
 const Cost = 10
 
-// Hash makes the hash of a password of 1 to 72 bytes, bcrypt's own bound.
+// Hash returns the bcrypt hash of a password of 1 to 72 bytes; 72 is bcrypt's own limit.
 func Hash(password string) (string, error) {
 	if password == "" {
 		return "", errors.New("a password must not be empty")
@@ -36,70 +36,72 @@
 	return string(h), nil
 }
 
-// unknownUserHash is compared with for unknown users, so that the time of an answer does not reveal them.
+// unknownUserHash is compared with the passwords of unknown users, so that the response time does not reveal whether a
+// user exists.
 const unknownUserHash = "$2a$10$N9qo8uLOickgx2ZMRZoMyeIjZAgcfl7p92ldGxad68LJZdL17lhWy"
 
-// The bounds of a Checker.
+// The limits of a Checker.
 const (
 	maxChecks   = 64  // waiting or running
-	maxVerified = 512 // remembered pairs
+	maxVerified = 512 // cached pairs
 )
 
-// ErrCrowd says that too many passwords are being checked.
+// ErrCrowd reports that maxChecks passwords are being checked already.
 var ErrCrowd = errors.New("too many logins at once")
 
-// Checker compares passwords with hashes, one at a time, on goroutines of its own. It remembers matching pairs under a
-// secret of this process, so that clients that reconnect need no second comparison. Any goroutine may use it.
+// Checker compares passwords with bcrypt hashes, one at a time, on goroutines of its own. It caches the pairs that
+// match, so that clients that reconnect need no second comparison. The cache holds only keyed digests (HMAC-SHA-256)
+// of the pairs, with a secret of this process as their key. A Checker is safe for concurrent use.
 type Checker struct {
-	secret [32]byte   // of the remembered pairs' keys
-	turn   sync.Mutex // held while a password is compared
+	secret    [32]byte   // the key of the digests in verified
+	compareMu sync.Mutex // held while a password is compared
 
 	mu       sync.Mutex
 	verified map[[32]byte]struct{}
-	waiting  int // checks that wait or run
+	pending  int // checks that wait or run
 }
 
-// NewChecker returns a Checker that remembers nothing yet.
+// NewChecker returns a Checker with an empty cache and a new secret.
 func NewChecker() *Checker {
 	c := &Checker{verified: map[[32]byte]struct{}{}}
-	_, _ = rand.Read(c.secret[:]) // never fails, by its own contract
+	_, _ = rand.Read(c.secret[:]) // never fails, as crypto/rand documents
 	return c
 }
 
-// Check calls done with whether the password matches the hash: at once, or later on another goroutine. An empty hash is
-// an unknown user's and matches nothing. The error is ErrCrowd; done is not called then.
+// Check calls done with whether the password matches the hash, either before it returns or later on another goroutine.
+// An empty hash stands for an unknown user and matches nothing. The only error is ErrCrowd; done is not called then.
 func (c *Checker) Check(hash, password string, done func(bool)) error {
 	if isPlain(hash) {
 		done(subtle.ConstantTimeCompare([]byte(hash), []byte(Plain(password))) == 1)
 		return nil
 	}
-	real := hash != ""
-	if !real {
+	userExists := hash != ""
+	if !userExists {
 		hash = unknownUserHash
 	}
 	mac := hmac.New(sha256.New, c.secret[:])
 	_, _ = fmt.Fprintf(mac, "%d:%s%s", len(hash), hash, password)
 	id := [32]byte(mac.Sum(nil))
 	c.mu.Lock()
-	_, known := c.verified[id]
-	crowd := !known && c.waiting >= maxChecks
-	if !known && !crowd {
-		c.waiting++
+	_, cached := c.verified[id]
+	tooMany := !cached && c.pending >= maxChecks
+	if !cached && !tooMany {
+		c.pending++
 	}
 	c.mu.Unlock()
 	switch {
-	case known:
-		done(real)
+	case cached:
+		done(userExists)
 		return nil
-	case crowd:
+	case tooMany:
 		return ErrCrowd
 	}
 	go func() {
-		c.turn.Lock()
-		ok := bcrypt.CompareHashAndPassword([]byte(hash), []byte(password)) == nil && real
-		c.turn.Unlock()
+		c.compareMu.Lock()
+		ok := bcrypt.CompareHashAndPassword([]byte(hash), []byte(password)) == nil && userExists
+		c.compareMu.Unlock()
 		c.mu.Lock()
-		c.waiting--
+		c.pending--
 		if ok {
 			if len(c.verified) >= maxVerified {
 				clear(c.verified)
