--- a/internal/certs/explain.go
+++ b/internal/certs/explain.go
@@ -9,10 +9,11 @@
 	"syscall"
 )
 
-// opRemoteError is the operation by which crypto/tls marks an alert of the peer.
+// opRemoteError is the Op of the net.OpError in which crypto/tls returns an alert that the peer has sent.
 const opRemoteError = "remote error"
 
-// Explain gives the reason of a failed handshake, for people; ours tells that this side refused, and not the peer.
+// Explain returns the reason of a failed handshake as a text for operators. ours reports whether this side refused; it
+// is false if the peer refused or the connection ended.
 func Explain(err error) (reason string, ours bool) {
 	var (
 		invalid   x509.CertificateInvalidError
@@ -39,13 +40,14 @@
 		return "the peer does not speak TLS", true
 	case errors.As(err, &alert) && alert.Op == opRemoteError:
 		return "the peer refused: " + alert.Err.Error(), false
-	case connectionEnded(err):
+	case isConnectionEnd(err):
 		return "the handshake was cut short", false
 	}
 	return err.Error(), true
 }
 
-func connectionEnded(err error) bool {
+// isConnectionEnd reports whether a handshake failed only because the connection was closed or reset.
+func isConnectionEnd(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
--- a/internal/certs/list.go
+++ b/internal/certs/list.go
@@ -10,25 +10,25 @@
 // Kind is what a certificate is for.
 type Kind string
 
-// The kinds of certificates, as the command keys shows them.
+// The kinds of certificates, as "brackendale keys" shows them.
 const (
 	KindCA     Kind = "ca"
 	KindServer Kind = "server"
 	KindClient Kind = "client"
 )
 
-// Certificate is one certificate of a site's folder.
+// Certificate describes one certificate in the folder of an authority.
 type Certificate struct {
-	File     string // its name in the folder
+	File     string // base name
 	Name     string // common name
 	Kind     Kind
-	Names    []string // DNS names and addresses
+	Names    []string // DNS names and IP addresses
 	NotAfter time.Time
-	TimeLeft time.Duration // below 0: it has expired
+	TimeLeft time.Duration // negative: it has expired
 	Revoked  bool
 }
 
-// List gives the certificates of a site's folder, the next to expire first.
+// List returns the certificates in the folder of an authority, the next to expire first.
 func List(dir string, now time.Time) ([]Certificate, error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.pem"))
 	if err != nil {
@@ -60,10 +60,10 @@
 	return list, nil
 }
 
-// revokedSerials are the serial numbers of the folder's revocation list; without a list there are none.
+// revokedSerials returns the serial numbers in the folder's revocation list, and none if there is no readable list.
 func revokedSerials(dir string) map[string]bool {
 	revoked := map[string]bool{}
-	list, err := ReadRevocationList(filepath.Join(dir, revokedFile))
+	list, err := ReadRevocationList(filepath.Join(dir, revocationListFile))
 	if err != nil {
 		return revoked
 	}
--- a/internal/certs/pem.go
+++ b/internal/certs/pem.go
@@ -14,7 +14,7 @@
 	pemPrivateKey     = "PRIVATE KEY"
 )
 
-// ReadCerts reads all certificates of a PEM file. A file without one is an error.
+// ReadCerts reads all certificates in a PEM file, at least one. Other blocks are ignored.
 func ReadCerts(path string) ([]*x509.Certificate, error) {
 	rest, err := os.ReadFile(path)
 	if err != nil {
@@ -36,12 +36,12 @@
 		list = append(list, cert)
 	}
 	if len(list) == 0 {
-		return nil, fmt.Errorf("%s: holds no certificate", path)
+		return nil, fmt.Errorf("%s: contains no certificate", path)
 	}
 	return list, nil
 }
 
-// ReadRevocationList reads a revocation list, PEM or DER.
+// ReadRevocationList reads a revocation list in PEM or DER.
 func ReadRevocationList(path string) (*x509.RevocationList, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -57,7 +57,8 @@
 	return list, nil
 }
 
-// writePEM replaces a file by one PEM block. A reader finds the old file or the whole new one.
+// writePEM replaces a file by one PEM block. It renames a new file into place, so that a reader finds either the old
+// file or the complete new one.
 func writePEM(path, blockType string, der []byte, mode os.FileMode) error {
 	next := path + ".new"
 	if err := os.WriteFile(next, pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: der}), mode); err != nil {
--- a/internal/certs/site.go
+++ b/internal/certs/site.go
@@ -19,15 +19,15 @@
 	"time"
 )
 
-// The files of a site's folder.
+// The files of an authority in its folder. Each issued certificate adds a NAME.pem and a NAME.key.
 const (
-	caName      = "ca"
-	caCertFile  = caName + ".pem"
-	caKeyFile   = caName + ".key"
-	revokedFile = "revoked.crl"
+	caName             = "ca"
+	caCertFile         = caName + ".pem"
+	caKeyFile          = caName + ".key"
+	revocationListFile = "revoked.crl"
 )
 
-// The modes of a site's folder and files.
+// The modes of the folder and its files.
 const (
 	dirMode    os.FileMode = 0o700
 	publicMode os.FileMode = 0o644
@@ -35,7 +35,7 @@
 )
 
 const (
-	// clockSkew is how far in the past a certificate begins: clocks of small machines differ.
+	// clockSkew is how far in the past the validity of a certificate begins, since the clocks of small machines differ.
 	clockSkew = 10 * time.Minute
 
 	day           = 24 * time.Hour
@@ -44,18 +44,20 @@
 	serialNumBits = 127
 )
 
-// Site is a folder with a CA of its own and what it has signed. It is not safe for concurrent use.
-type Site struct {
+// Authority is the certificate authority (CA) of one installation. Its folder holds the CA's certificate and key, the
+// revocation list, and the certificates and keys that it has issued. It is not safe for concurrent use.
+type Authority struct {
 	dir  string
 	cert *x509.Certificate // of the CA
 	key  crypto.Signer     // of the CA
 	now  func() time.Time
 }
 
-// Make makes a site: a CA for a number of days, and its empty revocation list.
-func Make(dir, name string, days int, now func() time.Time) (*Site, error) {
+// Make creates an authority in a folder: a self-signed CA certificate that is valid for a number of days, its key, and
+// an empty revocation list. It does not overwrite a CA that is there already.
+func Make(dir, name string, days int, now func() time.Time) (*Authority, error) {
 	if _, err := os.Stat(filepath.Join(dir, caCertFile)); err == nil {
-		return nil, fmt.Errorf("%s: there is a CA already", filepath.Join(dir, caCertFile))
+		return nil, fmt.Errorf("%s: a CA exists already", filepath.Join(dir, caCertFile))
 	}
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return nil, err
@@ -78,15 +80,15 @@
 		writePEM(filepath.Join(dir, caCertFile), pemCertificate, der, publicMode)); err != nil {
 		return nil, err
 	}
-	site, err := Open(dir, now)
+	authority, err := Open(dir, now)
 	if err != nil {
 		return nil, err
 	}
-	return site, site.writeRevocationList(nil, 1)
+	return authority, authority.writeRevocationList(nil, 1)
 }
 
-// Open opens a site that Make has made.
-func Open(dir string, now func() time.Time) (*Site, error) {
+// Open opens an authority that Make has created.
+func Open(dir string, now func() time.Time) (*Authority, error) {
 	certs, err := ReadCerts(filepath.Join(dir, caCertFile))
 	if err != nil {
 		return nil, err
@@ -98,7 +100,7 @@
 	}
 	block, _ := pem.Decode(raw)
 	if block == nil {
-		return nil, fmt.Errorf("%s: holds no key", keyPath)
+		return nil, fmt.Errorf("%s: contains no key", keyPath)
 	}
 	parsed, err := x509.ParsePKCS8PrivateKey(block.Bytes)
 	if err != nil {
@@ -106,17 +108,18 @@
 	}
 	key, ok := parsed.(crypto.Signer)
 	if !ok || !certs[0].IsCA {
-		return nil, fmt.Errorf("%s: the key or the certificate is no CA's", dir)
+		return nil, fmt.Errorf("%s: the certificate is not a CA's, or the key cannot sign", dir)
 	}
-	return &Site{dir: dir, cert: certs[0], key: key, now: now}, nil
+	return &Authority{dir: dir, cert: certs[0], key: key, now: now}, nil
 }
 
-// Server signs a certificate for a listening side that clients reach by any of the names or addresses.
-func (s *Site) Server(names []string, days int) (Files, error) {
+// Server issues a certificate for a server that clients reach by any of the DNS names or IP addresses. The first name
+// is its common name.
+func (a *Authority) Server(names []string, days int) (Files, error) {
 	if len(names) == 0 {
-		return Files{}, errors.New("a server's certificate needs a name or an address that clients call it by")
+		return Files{}, errors.New("a server certificate needs a name or an address that clients connect to")
 	}
-	return s.sign(names[0], days, func(cert *x509.Certificate) {
+	return a.issue(names[0], days, func(cert *x509.Certificate) {
 		cert.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth}
 		for _, name := range names {
 			if ip := net.ParseIP(name); ip != nil {
@@ -128,47 +131,50 @@
 	})
 }
 
-// Client signs a certificate that identifies a user.
-func (s *Site) Client(user string, days int) (Files, error) {
-	return s.sign(user, days, func(cert *x509.Certificate) {
+// Client issues a certificate that authenticates a user.
+func (a *Authority) Client(user string, days int) (Files, error) {
+	return a.issue(user, days, func(cert *x509.Certificate) {
 		cert.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}
 	})
 }
 
-// sign makes a key and signs its certificate, which complete fills in, and writes both.
-func (s *Site) sign(name string, days int, complete func(*x509.Certificate)) (Files, error) {
+// issue makes a key and a certificate for it, and writes both files. complete adds to the certificate before it is
+// signed.
+func (a *Authority) issue(name string, days int, complete func(*x509.Certificate)) (Files, error) {
 	base := fileName(name)
 	if base == "" || base == caName {
-		return Files{}, fmt.Errorf("%q cannot name a certificate's file", name)
+		return Files{}, fmt.Errorf("no file name can be derived from %q", name)
 	}
 	key, err := newKey()
 	if err != nil {
 		return Files{}, err
 	}
-	cert, err := newTemplate(name, days, s.now())
+	cert, err := newTemplate(name, days, a.now())
 	if err != nil {
 		return Files{}, err
 	}
-	if cert.NotAfter.After(s.cert.NotAfter) {
-		cert.NotAfter = s.cert.NotAfter // nothing outlives its CA
+	if cert.NotAfter.After(a.cert.NotAfter) {
+		cert.NotAfter = a.cert.NotAfter // no certificate outlives its CA
 	}
 	cert.KeyUsage = x509.KeyUsageDigitalSignature
 	complete(cert)
-	der, err := x509.CreateCertificate(rand.Reader, cert, s.cert, key.Public(), s.key)
+	der, err := x509.CreateCertificate(rand.Reader, cert, a.cert, key.Public(), a.key)
 	if err != nil {
-		return Files{}, fmt.Errorf("signing: %w", err)
+		return Files{}, fmt.Errorf("signing the certificate: %w", err)
 	}
 	files := Files{
-		Cert:    filepath.Join(s.dir, base+".pem"),
-		Key:     filepath.Join(s.dir, base+".key"),
-		CA:      filepath.Join(s.dir, caCertFile),
-		Revoked: filepath.Join(s.dir, revokedFile),
+		Cert:    filepath.Join(a.dir, base+".pem"),
+		Key:     filepath.Join(a.dir, base+".key"),
+		CA:      filepath.Join(a.dir, caCertFile),
+		Revoked: filepath.Join(a.dir, revocationListFile),
 	}
-	// The key first: a sender that reads both in between finds a pair that does not fit, says so, and keeps the old one.
+	// The key is written first: a sender that reloads both files in between finds that they do not match, reports it
+	// and keeps the old pair.
 	return files, errors.Join(writeKey(files.Key, key), writePEM(files.Cert, pemCertificate, der, publicMode))
 }
 
-// fileName makes the base of a file's name from a certificate's name.
+// fileName derives the base name of the files from a certificate's name; it may be empty. Characters other than ASCII
+// letters, digits, "-", "." and "_" become "-".
 func fileName(name string) string {
 	return strings.Trim(strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' || r == '.' || r == '_' {
@@ -178,52 +184,52 @@
 	}, name), ".-")
 }
 
-// Revoke adds the certificate in a file to the revocation list, for good.
-func (s *Site) Revoke(path string) error {
+// Revoke adds the certificate in a file to the revocation list. This cannot be undone.
+func (a *Authority) Revoke(path string) error {
 	certs, err := ReadCerts(path)
 	if err != nil {
 		return err
 	}
 	serial := certs[0].SerialNumber
-	if err := certs[0].CheckSignatureFrom(s.cert); err != nil {
-		return fmt.Errorf("%s: this site's CA has not signed it: %w", path, err)
+	if err := certs[0].CheckSignatureFrom(a.cert); err != nil {
+		return fmt.Errorf("%s: not signed by this CA: %w", path, err)
 	}
-	list, err := ReadRevocationList(filepath.Join(s.dir, revokedFile))
+	list, err := ReadRevocationList(filepath.Join(a.dir, revocationListFile))
 	if err != nil {
 		return err
 	}
 	entries := list.RevokedCertificateEntries
 	if slices.ContainsFunc(entries, func(e x509.RevocationListEntry) bool { return e.SerialNumber.Cmp(serial) == 0 }) {
-		return fmt.Errorf("%s: it was revoked before", path)
+		return fmt.Errorf("%s: already revoked", path)
 	}
-	entries = append(entries, x509.RevocationListEntry{SerialNumber: serial, RevocationTime: s.now()})
-	return s.writeRevocationList(entries, list.Number.Int64()+1)
+	entries = append(entries, x509.RevocationListEntry{SerialNumber: serial, RevocationTime: a.now()})
+	return a.writeRevocationList(entries, list.Number.Int64()+1)
 }
 
-func (s *Site) writeRevocationList(entries []x509.RevocationListEntry, number int64) error {
+func (a *Authority) writeRevocationList(entries []x509.RevocationListEntry, number int64) error {
 	der, err := x509.CreateRevocationList(rand.Reader, &x509.RevocationList{
 		RevokedCertificateEntries: entries,
 		Number:                    big.NewInt(number),
-		ThisUpdate:                s.now().Add(-clockSkew),
-		NextUpdate:                s.cert.NotAfter,
-	}, s.cert, s.key)
+		ThisUpdate:                a.now().Add(-clockSkew),
+		NextUpdate:                a.cert.NotAfter,
+	}, a.cert, a.key)
 	if err != nil {
-		return fmt.Errorf("signing the list: %w", err)
+		return fmt.Errorf("signing the revocation list: %w", err)
 	}
-	return writePEM(filepath.Join(s.dir, revokedFile), pemRevocationList, der, publicMode)
+	return writePEM(filepath.Join(a.dir, revocationListFile), pemRevocationList, der, publicMode)
 }
 
-// newTemplate is what all certificates have in common.
+// newTemplate returns the fields that all certificates have in common.
 func newTemplate(name string, days int, now time.Time) (*x509.Certificate, error) {
 	if name == "" || len(name) > maxNameBytes {
-		return nil, fmt.Errorf("%q is empty or over 64 bytes", name)
+		return nil, fmt.Errorf("name %q is empty or longer than 64 bytes", name)
 	}
 	if days < 1 || days > maxDays {
-		return nil, fmt.Errorf("%d days are not from 1 to 36500", days)
+		return nil, fmt.Errorf("validity of %d days is not from 1 to 36500 days", days)
 	}
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialNumBits))
 	if err != nil {
-		return nil, fmt.Errorf("making a serial: %w", err)
+		return nil, fmt.Errorf("generating a serial number: %w", err)
 	}
 	return &x509.Certificate{
 		SerialNumber: serial,
@@ -236,7 +242,7 @@
 func newKey() (*ecdsa.PrivateKey, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, fmt.Errorf("making a key: %w", err)
+		return nil, fmt.Errorf("generating a key: %w", err)
 	}
 	return key, nil
 }
--- a/internal/certs/tls.go
+++ b/internal/certs/tls.go
@@ -1,4 +1,5 @@
-// Package certs has the site's certificates: it reads, checks, signs, revokes and lists them.
+// Package certs makes TLS configurations from certificate files, and maintains the certificates of one installation: it
+// issues, revokes and lists them.
 package certs
 
 import (
@@ -10,30 +11,30 @@
 	"time"
 )
 
-// Files names the files of one side of a TLS connection. Empty names are left out.
+// Files names the files that one side of a TLS connection uses. An empty name means that there is no such file.
 type Files struct {
-	Cert    string // of this side, PEM
-	Key     string // of this side, PEM
-	CA      string // PEM: who may sign the peer's certificate
-	Revoked string // the CA's revocation list, PEM or DER (RFC 5280, section 5)
+	Cert    string // this side's certificate, PEM
+	Key     string // this side's key, PEM
+	CA      string // the CAs that may sign the peer's certificate, PEM
+	Revoked string // a CA's revocation list, PEM or DER (RFC 5280, section 5)
 }
 
-// ErrRevoked reports a peer whose certificate is revoked.
+// ErrRevoked reports a peer whose certificate, or one of its CAs', has been revoked.
 var ErrRevoked = errors.New("the certificate has been revoked")
 
-// peerTrust says which peers are trusted.
+// peerTrust holds the CAs that may sign a peer's certificate, and the certificates that are revoked.
 type peerTrust struct {
-	pool    *x509.CertPool  // nil: the machine's own CAs
+	pool    *x509.CertPool  // nil: the system's CAs
 	revoked map[string]bool // by certificateID
 }
 
-// certificateID tells certificates of one CA apart.
+// certificateID identifies a certificate by its issuer and serial number.
 func certificateID(rawIssuer []byte, serial fmt.Stringer) string {
 	return string(rawIssuer) + serial.String()
 }
 
-// Server makes the configuration of a listening side. A client's certificate is requested where there is a CA, and
-// must be there with clientRequired. now is called at every handshake, on any goroutine.
+// Server returns the TLS configuration of a server. If files has a CA, clients are asked for a certificate, which is
+// mandatory if clientRequired is set. now is called in every handshake, on any goroutine.
 func Server(files Files, clientRequired bool, now func() time.Time) (*tls.Config, error) {
 	cfg, trust, err := baseConfig(files, now)
 	if err != nil {
@@ -44,7 +45,7 @@
 	}
 	if trust.pool == nil {
 		if clientRequired {
-			return nil, errors.New("clients' certificates cannot be required without a CA to judge them by")
+			return nil, errors.New("client certificates cannot be required without a CA to verify them")
 		}
 		return cfg, nil
 	}
@@ -55,8 +56,8 @@
 	return cfg, nil
 }
 
-// Client makes the configuration of a dialling side. name is the name that the peer's certificate must have; without a
-// CA the machine's own CAs are trusted. now is called at every handshake, on any goroutine.
+// Client returns the TLS configuration of a client. The server's certificate must be valid for name. If files has no
+// CA, the system's CAs are trusted. now is called in every handshake, on any goroutine.
 func Client(files Files, name string, now func() time.Time) (*tls.Config, error) {
 	cfg, trust, err := baseConfig(files, now)
 	if err != nil {
@@ -66,12 +67,12 @@
 	return cfg, nil
 }
 
-// baseConfig is what both sides have in common.
+// baseConfig returns the part of the configuration that both sides have in common.
 func baseConfig(files Files, now func() time.Time) (*tls.Config, *peerTrust, error) {
-	// The connections are many and their messages small: full records from the start cost fewer of them.
+	// There are many connections, and their messages are small: full-size records from the start need fewer records.
 	cfg := &tls.Config{MinVersion: tls.VersionTLS12, Time: now, DynamicRecordSizingDisabled: true}
 	if (files.Cert == "") != (files.Key == "") {
-		return nil, nil, errors.New("a certificate and its key go together")
+		return nil, nil, errors.New("a certificate and its key must be set together")
 	}
 	if files.Cert != "" {
 		pair, err := loadKeyPair(files, now())
@@ -88,17 +89,19 @@
 	return cfg, trust, nil
 }
 
+// loadKeyPair loads this side's certificate and key. A certificate that has expired is an error.
 func loadKeyPair(files Files, now time.Time) (tls.Certificate, error) {
 	pair, err := tls.LoadX509KeyPair(files.Cert, files.Key)
 	if err != nil {
 		return pair, fmt.Errorf("%s, %s: %w", files.Cert, files.Key, err)
 	}
 	if now.After(pair.Leaf.NotAfter) {
-		return pair, fmt.Errorf("%s: it has expired on %s", files.Cert, pair.Leaf.NotAfter.Format(time.DateOnly))
+		return pair, fmt.Errorf("%s: expired on %s", files.Cert, pair.Leaf.NotAfter.Format(time.DateOnly))
 	}
 	return pair, nil
 }
 
+// loadTrust loads the CAs, and the revocation list, which one of these CAs must have signed.
 func loadTrust(files Files) (*peerTrust, error) {
 	trust := &peerTrust{revoked: map[string]bool{}}
 	var cas []*x509.Certificate
@@ -119,7 +122,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := checkListSigner(list, cas); err != nil {
+	if err := verifyListSigner(list, cas); err != nil {
 		return nil, fmt.Errorf("%s: %w", files.Revoked, err)
 	}
 	for _, entry := range list.RevokedCertificateEntries {
@@ -128,20 +131,20 @@
 	return trust, nil
 }
 
-// checkListSigner checks that one of the CAs has signed a revocation list.
-func checkListSigner(list *x509.RevocationList, cas []*x509.Certificate) error {
+// verifyListSigner checks that a revocation list is signed by one of the CAs.
+func verifyListSigner(list *x509.RevocationList, cas []*x509.Certificate) error {
 	for _, ca := range cas {
 		if bytes.Equal(ca.RawSubject, list.RawIssuer) && list.CheckSignatureFrom(ca) == nil {
 			return nil
 		}
 	}
-	return errors.New("the list is signed by none of the CAs that are believed")
+	return errors.New("the revocation list is not signed by a trusted CA")
 }
 
-// verify refuses a peer without a chain that is free of revoked certificates. crypto/tls calls it on resumed sessions
-// too.
+// verify refuses a peer if each of its certificate chains contains a revoked certificate. As VerifyConnection, it is
+// also called when a session is resumed.
 func (t *peerTrust) verify(state tls.ConnectionState) error {
-	if len(t.revoked) == 0 || len(state.VerifiedChains) == 0 { // a peer without a certificate need not have one
+	if len(t.revoked) == 0 || len(state.VerifiedChains) == 0 { // no chain: the peer had to present no certificate
 		return nil
 	}
 	for _, chain := range state.VerifiedChains {
@@ -161,7 +164,7 @@
 	return false
 }
 
-// Expires tells when the certificate that a side presents expires; zero where it presents none.
+// Expires returns when the certificate that a side presents expires, or the zero time if it presents none.
 func Expires(cfg *tls.Config) time.Time {
 	if cfg == nil || len(cfg.Certificates) == 0 || cfg.Certificates[0].Leaf == nil {
 		return time.Time{}
