--- a/internal/nginx/nginx.go
+++ b/internal/nginx/nginx.go
@@ -1,4 +1,5 @@
-// Package nginx turns upstream and location blocks of an nginx configuration into the appliance's TOML.
+// Package nginx converts the upstream and location blocks of an nginx configuration into a configuration of this
+// program in TOML. Each location becomes a destination, and each server of its upstream a route.
 package nginx
 
 import (
@@ -15,50 +16,51 @@
 
 // server is one server of an upstream.
 type server struct {
-	dial  string
-	drain bool // it is marked as down
+	dial     string
+	draining bool // the server is marked as down
 }
 
-// importer collects what is carried over.
+// importer collects what can be converted, and notes on what cannot.
 type importer struct {
-	r     *reader
-	notes []string // file, line and text of what is not carried over
+	source *reader
+	notes  []string // file, line and text of what is not converted
 
-	upstreams map[string][]server
-	locations []directive
-	routes    []config.Route
-	paths     map[int64]string // of the locations, by destination
+	upstreams     map[string][]server
+	locations     []directive
+	routes        []config.Route
+	locationPaths map[int64]string // by destination
 }
 
-func (im *importer) note(line int, format string, args ...any) {
-	im.notes = append(im.notes, im.r.fault(line, format, args...).Error())
+// addNote adds a note on a line of the input.
+func (im *importer) addNote(line int, format string, args ...any) {
+	im.notes = append(im.notes, im.source.errorAt(line, format, args...).Error())
 }
 
-// Import makes a whole configuration of the appliance from one of nginx. notes lists, with file and line, what
-// cannot be carried over. With an error out is empty.
+// Import converts an nginx configuration into a complete configuration of this program. file is its name, for notes and
+// errors. notes lists, with file and line, what cannot be converted. If there is an error, out is empty.
 func Import(file, text string) (out string, notes []string, err error) {
 	im := &importer{
-		r: &reader{file: file, text: text, line: 1}, upstreams: map[string][]server{},
-		paths: map[int64]string{},
+		source: &reader{file: file, text: text, line: 1}, upstreams: map[string][]server{},
+		locationPaths: map[int64]string{},
 	}
-	list, err := im.r.block(0)
+	directives, err := im.source.block(0)
 	if err != nil {
 		return "", nil, err
 	}
-	if err := im.collect(list, ""); err != nil {
+	if err := im.collectBlocks(directives, ""); err != nil {
 		return "", im.notes, err
 	}
 	for _, location := range im.locations {
-		im.location(location)
+		im.addLocation(location)
 	}
 	slices.SortStableFunc(im.notes, func(a, b string) int { return lineOf(a) - lineOf(b) })
 	if len(im.routes) == 0 {
 		return "", im.notes, fmt.Errorf("%s: no location that passes to a server can be carried over", file)
 	}
-	return im.write(), im.notes, nil
+	return im.writeTOML(), im.notes, nil
 }
 
-// lineOf returns the line that a note names.
+// lineOf returns the line number in a note.
 func lineOf(note string) (n int) {
 	parts := strings.SplitN(note, ":", 3)
 	if len(parts) > 1 {
@@ -67,7 +69,7 @@
 	return n
 }
 
-// The directives that are carried over.
+// The directives that are converted.
 const (
 	dirHTTP      = "http"
 	dirServer    = "server"
@@ -81,127 +83,128 @@
 	defaultPort = "80"
 )
 
-// collect takes the upstreams and locations of a block; inside is the block's directive.
-func (im *importer) collect(list []directive, inside string) error {
-	for _, statement := range list {
-		switch name := statement.words[0]; {
+// collectBlocks collects the upstreams and locations in the directives of a block. parent is the name of the directive
+// that the block belongs to, and empty at the top level.
+func (im *importer) collectBlocks(directives []directive, parent string) error {
+	for _, child := range directives {
+		switch name := child.words[0]; {
 		case name == dirHTTP,
-			name == dirServer && (inside != dirUpstream || statement.block != nil && len(statement.words) == 1):
-			if err := im.collect(statement.block, name); err != nil {
+			name == dirServer && (parent != dirUpstream || child.block != nil && len(child.words) == 1):
+			if err := im.collectBlocks(child.block, name); err != nil {
 				return err
 			}
-		case name == dirUpstream && len(statement.words) == 2:
-			if _, ok := im.upstreams[statement.words[1]]; ok {
-				return im.r.fault(statement.line, "upstream %q is there twice", statement.words[1])
+		case name == dirUpstream && len(child.words) == 2:
+			if _, ok := im.upstreams[child.words[1]]; ok {
+				return im.source.errorAt(child.line, "upstream %q is there twice", child.words[1])
 			}
-			im.upstreams[statement.words[1]] = im.servers(statement)
+			im.upstreams[child.words[1]] = im.upstreamServers(child)
 		case name == dirLocation:
-			im.locations = append(im.locations, statement)
+			im.locations = append(im.locations, child)
 		default:
-			im.note(statement.line, "%s is not carried over", name)
+			im.addNote(child.line, "%s is not carried over", name)
 		}
 	}
 	return nil
 }
 
-// servers returns the servers of an upstream block.
-func (im *importer) servers(upstream directive) []server {
+// upstreamServers returns the servers of an upstream block that can be converted.
+func (im *importer) upstreamServers(upstream directive) []server {
 	var list []server
-	for _, statement := range upstream.block {
-		if statement.words[0] != dirServer || len(statement.words) < 2 {
-			im.note(statement.line, "%s is not carried over", statement.words[0])
+	for _, child := range upstream.block {
+		if child.words[0] != dirServer || len(child.words) < 2 {
+			im.addNote(child.line, "%s is not carried over", child.words[0])
 			continue
 		}
-		carried, ok := server{}, true
-		for _, option := range statement.words[2:] {
+		converted, usable := server{}, true
+		for _, option := range child.words[2:] {
 			switch option {
 			case "down":
-				carried.drain = true
+				converted.draining = true
 			case "backup":
-				ok = false
-				im.note(statement.line, "a backup server is not carried over")
+				usable = false
+				im.addNote(child.line, "a backup server is not carried over")
 			default:
-				im.note(statement.line, "server's %s is not carried over", option)
+				im.addNote(child.line, "server's %s is not carried over", option)
 			}
 		}
-		if carried.dial = address(statement.words[1], defaultPort); carried.dial == "" {
-			ok = false
-			im.note(statement.line, "server %s is no TCP address and not carried over", statement.words[1])
+		if converted.dial = joinAddress(child.words[1], defaultPort); converted.dial == "" {
+			usable = false
+			im.addNote(child.line, "server %s is no TCP address and not carried over", child.words[1])
 		}
-		if ok {
-			list = append(list, carried)
+		if usable {
+			list = append(list, converted)
 		}
 	}
 	return list
 }
 
-// address completes host[:port]; "" if it is none.
-func address(text, port string) string {
+// joinAddress adds a fallback port to host[:port]. It returns "" if the text is not a TCP address.
+func joinAddress(text, fallbackPort string) string {
 	if strings.ContainsAny(text, "$/ ") || strings.HasPrefix(text, "unix:") {
 		return ""
 	}
-	host, ownPort, err := net.SplitHostPort(text)
+	host, port, err := net.SplitHostPort(text)
 	if err != nil {
-		host, ownPort = strings.Trim(text, "[]"), port
+		host, port = strings.Trim(text, "[]"), fallbackPort
 	}
-	if host == "" || ownPort == "" || strings.Count(host, ":") == 1 {
+	if host == "" || port == "" || strings.Count(host, ":") == 1 {
 		return ""
 	}
-	return net.JoinHostPort(host, ownPort)
+	return net.JoinHostPort(host, port)
 }
 
-// location makes the routes of one location, a destination of its own.
-func (im *importer) location(location directive) {
+// addLocation makes one location a destination, and adds a route for each of its servers.
+func (im *importer) addLocation(location directive) {
 	path := location.words[len(location.words)-1]
 	isPattern := len(location.words) > 2 && strings.HasPrefix(location.words[1], "~")
 	if isPattern || len(location.words) < 2 || strings.HasPrefix(path, "@") {
-		im.note(location.line, "location %s is no plain path and not carried over", strings.Join(location.words[1:], " "))
+		im.addNote(location.line, "location %s is no plain path and not carried over", strings.Join(location.words[1:], " "))
 		return
 	}
-	var list []server
+	var servers []server
 	name := ""
-	for _, statement := range location.block {
-		if statement.words[0] != dirProxyPass || len(statement.words) != 2 {
-			im.note(statement.line, "%s is not carried over", statement.words[0])
+	for _, child := range location.block {
+		if child.words[0] != dirProxyPass || len(child.words) != 2 {
+			im.addNote(child.line, "%s is not carried over", child.words[0])
 			continue
 		}
-		target, err := url.Parse(statement.words[1])
-		if err != nil || target.Scheme != protoHTTP || strings.Contains(statement.words[1], "$") {
-			im.note(statement.line, "proxy_pass %s is no plain http:// address and not carried over", statement.words[1])
+		target, err := url.Parse(child.words[1])
+		if err != nil || target.Scheme != protoHTTP || strings.Contains(child.words[1], "$") {
+			im.addNote(child.line, "proxy_pass %s is no plain http:// address and not carried over", child.words[1])
 			continue
 		}
 		if target.Path != "" {
-			im.note(statement.line, "the path %s of proxy_pass is not carried over: calls go to /events", target.Path)
+			im.addNote(child.line, "the path %s of proxy_pass is not carried over: calls go to /events", target.Path)
 		}
-		if list, name = im.upstreams[target.Host], target.Host; list == nil {
-			if dial := address(target.Host, defaultPort); dial != "" && strings.ContainsAny(target.Host, ".:") {
-				list = []server{{dial: dial}}
+		if servers, name = im.upstreams[target.Host], target.Host; servers == nil {
+			if dial := joinAddress(target.Host, defaultPort); dial != "" && strings.ContainsAny(target.Host, ".:") {
+				servers = []server{{dial: dial}}
 			}
 		}
-		if len(list) == 0 {
-			im.note(statement.line, "upstream %s has no server that can be carried over", target.Host)
+		if len(servers) == 0 {
+			im.addNote(child.line, "upstream %s has no server that can be carried over", target.Host)
 		}
 	}
-	if len(list) == 0 {
-		im.note(location.line, "location %s passes to no server and is not carried over", path)
+	if len(servers) == 0 {
+		im.addNote(location.line, "location %s passes to no server and is not carried over", path)
 		return
 	}
-	dest := int64(len(im.paths) + 1)
-	im.paths[dest] = path
-	for i, upstreamServer := range list {
+	dest := int64(len(im.locationPaths) + 1)
+	im.locationPaths[dest] = path
+	for i, upstreamServer := range servers {
 		im.routes = append(im.routes, config.Route{
 			Name: fmt.Sprintf("%s-%d-%d", name, dest, i+1), Dest: dest,
-			Proto: protoHTTP, Dial: upstreamServer.dial, Drain: upstreamServer.drain,
+			Proto: protoHTTP, Dial: upstreamServer.dial, Drain: upstreamServer.draining,
 		})
 	}
 }
 
-// write returns the configuration as TOML.
-func (im *importer) write() string {
+// writeTOML returns the configuration as TOML.
+func (im *importer) writeTOML() string {
 	var out strings.Builder
-	out.WriteString("# Made from " + fmt.Sprintf("%q", im.r.file) + ". Clients name a destination by its number:\n")
-	for dest := int64(1); dest <= int64(len(im.paths)); dest++ {
-		fmt.Fprintf(&out, "#   %d: location %q\n", dest, im.paths[dest])
+	out.WriteString("# Made from " + fmt.Sprintf("%q", im.source.file) + ". Clients name a destination by its number:\n")
+	for dest := int64(1); dest <= int64(len(im.locationPaths)); dest++ {
+		fmt.Fprintf(&out, "#   %d: location %q\n", dest, im.locationPaths[dest])
 	}
 	out.WriteString(`# nginx has no word on classes of message. This one is the safest: never sent again once ` +
 		`it may have run.
@@ -218,7 +221,7 @@
 worth = 1
 
 `)
-	// Strings, numbers and booleans into a builder: it cannot fail.
+	// Encoding strings, numbers and booleans into a builder cannot fail.
 	_ = toml.NewEncoder(&out).Encode(struct {
 		Route []config.Route `toml:"route"`
 	}{im.routes})
--- a/internal/nginx/nginx_test.go
+++ b/internal/nginx/nginx_test.go
@@ -33,11 +33,11 @@
 		`#   2: location "/bills"`, `dial = "127.0.0.1:9000"`,
 	} {
 		if !strings.Contains(out, want) {
-			t.Errorf("no %q in\n%s", want, out)
+			t.Errorf("%q is missing in\n%s", want, out)
 		}
 	}
 	if n := strings.Count(out, "[[route]]"); n != 3 {
-		t.Errorf("%d routes", n)
+		t.Errorf("got %d routes, want 3", n)
 	}
 	want := []string{
 		"site.conf:3: server's weight=3", "site.conf:4: a backup", "site.conf:4: keepalive", "site.conf:6: listen",
@@ -47,12 +47,12 @@
 		"site.conf:12: return", "site.conf:12: location /",
 	}
 	if !slices.EqualFunc(notes, want, strings.HasPrefix) {
-		t.Errorf("notes:\n%s", strings.Join(notes, "\n"))
+		t.Errorf("got notes\n%s", strings.Join(notes, "\n"))
 	}
 }
 
-// What is not whole gives no configuration at all, and the line at fault.
-func TestNothingHalfValid(t *testing.T) {
+// Text that is malformed or has nothing to convert gives an error with the line, and no configuration.
+func TestInvalidTextGivesNoConfiguration(t *testing.T) {
 	for text, want := range map[string]string{
 		"http {\n server {":        "f:2:",
 		"}\n":                      "f:1: braces",
@@ -66,11 +66,12 @@
 	} {
 		out, _, err := Import("f", text)
 		if err == nil || !strings.Contains(err.Error(), want) || out != "" {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: got error %v", text, err)
 		}
 	}
 }
 
+// For any text, Import returns either an error or a configuration with routes.
 func FuzzImport(f *testing.F) {
 	rng := rand.New(rand.NewSource(6))
 	for range 30 {
--- a/internal/nginx/reader.go
+++ b/internal/nginx/reader.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// directive is one statement, with its block if it has one.
+// directive is one directive of a configuration: its words, the first of which is its name, and its block, if any.
 type directive struct {
 	line  int
 	words []string
 	block []directive
 }
 
-// maxDepth bounds nested blocks.
+// maxDepth limits how deep blocks may be nested.
 const maxDepth = 16
 
 // reader splits a text into words and directives.
@@ -20,33 +20,34 @@
 	file string // for errors
 	text string
 
-	at   int // offset of the next byte
-	line int // of that byte, from 1
+	offset int // offset of the next byte
+	line   int // of that byte, from 1
 }
 
-// fault is an error at a line of the file.
-func (r *reader) fault(line int, format string, args ...any) error {
+// errorAt returns an error that names the file and a line of it.
+func (r *reader) errorAt(line int, format string, args ...any) error {
 	return fmt.Errorf("%s:%d: %s", r.file, line, fmt.Sprintf(format, args...))
 }
 
-// word returns the next word, or one of the marks ; { and }; an empty one without quotes is the end of the text.
+// word returns the next token: a word, or one of ; { and }. quoted reports whether a word was in quotes; an empty token
+// without quotes marks the end of the text.
 func (r *reader) word() (word string, quoted bool, err error) {
-	for r.at < len(r.text) {
-		switch next := r.text[r.at]; next {
+	for r.offset < len(r.text) {
+		switch next := r.text[r.offset]; next {
 		case '\n':
 			r.line++
-			r.at++
+			r.offset++
 		case ' ', '\t', '\r':
-			r.at++
+			r.offset++
 		case '#':
 			r.skipComment()
 		case ';', '{', '}':
-			r.at++
+			r.offset++
 			return string(next), false, nil
 		case '"', '\'':
 			return r.quoted(next)
 		default:
-			return r.plain(), false, nil
+			return r.plainWord(), false, nil
 		}
 	}
 	return "", false, nil
@@ -54,37 +55,37 @@
 
 // skipComment moves to the end of the line.
 func (r *reader) skipComment() {
-	if length := strings.IndexByte(r.text[r.at:], '\n'); length >= 0 {
-		r.at += length
+	if length := strings.IndexByte(r.text[r.offset:], '\n'); length >= 0 {
+		r.offset += length
 	} else {
-		r.at = len(r.text)
+		r.offset = len(r.text)
 	}
 }
 
-// plain reads a word without quotes.
-func (r *reader) plain() string {
-	start := r.at
-	for r.at < len(r.text) && !strings.ContainsRune(" \t\r\n;{}", rune(r.text[r.at])) {
-		if strings.HasPrefix(r.text[r.at:], "${") { // a variable's braces are no block
-			r.at += max(1, strings.IndexByte(r.text[r.at:], '}'))
+// plainWord reads a word without quotes. It ends before whitespace, ;, { or }.
+func (r *reader) plainWord() string {
+	start := r.offset
+	for r.offset < len(r.text) && !strings.ContainsRune(" \t\r\n;{}", rune(r.text[r.offset])) {
+		if strings.HasPrefix(r.text[r.offset:], "${") { // the braces of a variable do not open a block
+			r.offset += max(1, strings.IndexByte(r.text[r.offset:], '}'))
 		}
-		r.at++
+		r.offset++
 	}
-	return r.text[start:min(r.at, len(r.text))]
+	return r.text[start:min(r.offset, len(r.text))]
 }
 
-// quoted reads a word up to the closing mark; a backslash takes the next byte as it is.
-func (r *reader) quoted(mark byte) (string, bool, error) {
-	start := r.line
+// quoted reads a quoted word up to its closing quote. A backslash escapes the next byte.
+func (r *reader) quoted(quote byte) (string, bool, error) {
+	startLine := r.line
 	var text strings.Builder
-	for r.at++; r.at < len(r.text); r.at++ {
-		switch next := r.text[r.at]; {
-		case next == mark:
-			r.at++
+	for r.offset++; r.offset < len(r.text); r.offset++ {
+		switch next := r.text[r.offset]; {
+		case next == quote:
+			r.offset++
 			return text.String(), true, nil
-		case next == '\\' && r.at+1 < len(r.text):
-			r.at++
-			text.WriteByte(r.text[r.at])
+		case next == '\\' && r.offset+1 < len(r.text):
+			r.offset++
+			text.WriteByte(r.text[r.offset])
 		default:
 			if next == '\n' {
 				r.line++
@@ -92,13 +93,13 @@
 			text.WriteByte(next)
 		}
 	}
-	return "", false, r.fault(start, "a quote that does not end")
+	return "", false, r.errorAt(startLine, "a quote that does not end")
 }
 
-// block reads directives up to the end of the block, or of the text at depth 0.
+// block reads directives up to the end of the block, or, at depth 0, of the text.
 func (r *reader) block(depth int) ([]directive, error) {
 	if depth > maxDepth {
-		return nil, r.fault(r.line, "blocks inside one another too deep")
+		return nil, r.errorAt(r.line, "blocks inside one another too deep")
 	}
 	var list []directive
 	var current directive
@@ -110,15 +111,15 @@
 		switch {
 		case !quoted && word == "" || !quoted && word == "}":
 			if len(current.words) > 0 {
-				return nil, r.fault(current.line, "%q does not end in ; or a block", current.words[0])
+				return nil, r.errorAt(current.line, "%q does not end in ; or a block", current.words[0])
 			}
 			if (word == "") != (depth == 0) {
-				return nil, r.fault(r.line, "braces that do not match")
+				return nil, r.errorAt(r.line, "braces that do not match")
 			}
 			return list, nil
 		case !quoted && (word == ";" || word == "{"):
 			if len(current.words) == 0 {
-				return nil, r.fault(r.line, "%q without a directive", word)
+				return nil, r.errorAt(r.line, "%q without a directive", word)
 			}
 			if word == "{" {
 				if current.block, err = r.block(depth + 1); err != nil {
