--- a/internal/trace/golden_test.go
+++ b/internal/trace/golden_test.go
@@ -8,12 +8,12 @@
 	"brackendale/scheduler"
 )
 
-// The golden files hold the lines of serve --trace, which other programs read, and what count makes
-// of them. After a change that is meant, go test ./internal/trace -run Golden -update-golden writes
-// them anew.
+// The golden files hold lines as serve --trace writes them, which other programs read, and the sums that the command
+// count prints for them. After an intended change, go test ./internal/trace -run Golden -update-golden regenerates
+// them.
 
-// Each kind of event and action on a line of its own, one line with all, and names that hold what
-// separates fields.
+// TestGoldenLines covers each kind of event and action on a line of its own, one line with all of them, and names that
+// contain separators of fields, records and lines.
 func TestGoldenLines(t *testing.T) {
 	const now = 1_000_000
 	events := []scheduler.Event{
@@ -27,12 +27,12 @@
 		},
 		{Kind: scheduler.EndpointsUpdated, Update: "whole", Endpoints: make([]scheduler.Endpoint, 3)},
 	}
-	withoutWord := []scheduler.EventKind{
+	withoutRecord := []scheduler.EventKind{
 		scheduler.ResponseStarted, scheduler.RequestWithdrawn, scheduler.TimerFired, scheduler.HealthChecked,
 		scheduler.PeerMessage, scheduler.ShutdownStarted,
 		scheduler.QuotaAssigned, scheduler.RetryAfterShared, scheduler.ProbeDelegated, scheduler.RecoveryObserved,
 	}
-	acts := []scheduler.Action{
+	actions := []scheduler.Action{
 		{Kind: scheduler.StartAttempt, ID: "m1", Endpoint: "e:1", TimeoutUs: 1_500_999},
 		{Kind: scheduler.Reject, ID: "m1", RetryAfterUs: 250_000},
 		{Kind: scheduler.Fail, ID: "m1"},
@@ -43,26 +43,26 @@
 	}
 	var out strings.Builder
 	w := NewWriter(&out, "n 1:x")
-	step := func(events []scheduler.Event, acts []scheduler.Action) {
-		w.Step(now, events, acts, func(string) int64 { return 7 })
+	step := func(events []scheduler.Event, actions []scheduler.Action) {
+		w.Step(now, events, actions, func(string) int64 { return 7 })
 	}
-	for _, e := range events {
-		step([]scheduler.Event{e}, nil)
+	for _, event := range events {
+		step([]scheduler.Event{event}, nil)
 	}
-	for _, k := range withoutWord {
-		step([]scheduler.Event{{Kind: k, ID: "m1", Endpoint: "e1"}}, nil)
+	for _, kind := range withoutRecord {
+		step([]scheduler.Event{{Kind: kind, ID: "m1", Endpoint: "e1"}}, nil)
 	}
-	for _, a := range acts {
-		step(nil, []scheduler.Action{a})
+	for _, action := range actions {
+		step(nil, []scheduler.Action{action})
 	}
-	step(events, acts)
+	step(events, actions)
 	golden.Check(t, "lines.txt", out.String())
-	c := New(100_000)
-	if err := c.Read(strings.NewReader(out.String())); err != nil {
+	summary := New(100_000)
+	if err := summary.Read(strings.NewReader(out.String())); err != nil {
 		t.Fatal(err)
 	}
 	var sums strings.Builder
-	if err := c.Write(&sums); err != nil {
+	if err := summary.Write(&sums); err != nil {
 		t.Fatal(err)
 	}
 	golden.Check(t, "counts.txt", sums.String())
--- a/internal/trace/summary.go
+++ b/internal/trace/summary.go
@@ -12,102 +12,103 @@
 	"brackendale/scheduler"
 )
 
-// maxLineBytes is the longest line that is read.
+// maxLineBytes is the length of the longest line that Read accepts.
 const maxLineBytes = 16 << 20
 
-// What is counted beside the outcomes. The words are printed.
+// Counters beside those of the outcomes. Their names are printed.
 const (
-	rejectedWithoutReport = "DOOR"  // rejected with no load report and no wait
-	resultsWithWait       = "waits" // results with a Retry-After
+	rejectedWithoutReport = "DOOR"  // rejected without a load report and without a Retry-After
+	resultsWithRetryAfter = "waits" // results with a Retry-After
 )
 
-// Summary adds up the lines of any number of senders.
+// Summary adds up the lines of any number of senders by destination and time interval.
 type Summary struct {
-	spanUs       int64
-	firstUs      int64                     // the earliest time that was counted; 0: none
-	sums         map[int64]map[int64]*sums // by destination and span
-	destinations map[string]int64          // of requests and of endpoints
+	intervalUs   int64
+	firstUs      int64                       // the earliest time that was counted; 0: none
+	counts       map[int64]map[int64]*counts // by destination and interval
+	destinations map[string]int64            // of requests and of endpoints
 }
 
-// sums is what is counted for one destination in one span.
-type sums struct {
-	accepted int // requests, and of them
-	restored int // those that were restored at a start
-	calls    int
+// counts holds the counters of one destination in one interval.
+type counts struct {
+	accepted int            // requests
+	restored int            // those of the accepted requests that were restored at startup
+	calls    int            // calls to endpoints, each of which may carry several messages
 	rejected int            // requests
 	failed   int            // requests
 	results  map[string]int // of calls, by outcome
 }
 
-// New makes a summary by spans of so many microseconds, one at least.
-func New(span int64) *Summary {
-	return &Summary{spanUs: max(1, span), sums: map[int64]map[int64]*sums{}, destinations: map[string]int64{}}
+// New returns an empty summary by intervals of lengthUs microseconds, or of 1 µs if that is longer.
+func New(lengthUs int64) *Summary {
+	return &Summary{intervalUs: max(1, lengthUs), counts: map[int64]map[int64]*counts{}, destinations: map[string]int64{}}
 }
 
-// WordError says that a word of a line cannot be read.
-type WordError struct {
-	Word string
-	Line string
+// RecordError reports a malformed record in a line.
+type RecordError struct {
+	Record string
+	Line   string
 }
 
 // Error implements error.
-func (e *WordError) Error() string {
-	return fmt.Sprintf("the word %q cannot be read in %q", e.Word, e.Line)
+func (e *RecordError) Error() string {
+	return fmt.Sprintf("the word %q cannot be read in %q", e.Record, e.Line)
 }
 
-// Read takes in the output of one sender. Lines that are not of a trace are passed over. The error
-// is a *WordError, or that of reading.
+// Read adds the output of one sender. It skips lines that are not part of a trace. Its error is a *RecordError or the
+// error of reading.
 func (s *Summary) Read(in io.Reader) error {
 	scanner := bufio.NewScanner(in)
 	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		_, line, ok := strings.Cut(scanner.Text(), linePrefix)
-		words := strings.Fields(line)
-		if !ok || len(words) < 2 {
+		fields := strings.Fields(line)
+		if !ok || len(fields) < 2 {
 			continue
 		}
-		at, err := strconv.ParseInt(words[0], 10, 64)
+		timeUs, err := strconv.ParseInt(fields[0], 10, 64)
 		if err != nil {
-			continue // another line with that prefix in it
+			continue // another line that contains the prefix
 		}
-		step := &stepReader{summary: s, at: at, calls: map[string]bool{}, results: map[string]bool{}}
-		for _, word := range words[2:] {
-			if !step.read(strings.Split(word, ":")) {
-				return &WordError{Word: word, Line: line}
+		step := &stepReader{summary: s, timeUs: timeUs, calls: map[string]bool{}, results: map[string]bool{}}
+		for _, record := range fields[2:] {
+			if !step.readRecord(strings.Split(record, ":")) {
+				return &RecordError{Record: record, Line: line}
 			}
 		}
 	}
 	return scanner.Err()
 }
 
-func (s *Summary) at(destination, at int64) *sums {
-	if s.firstUs == 0 || at < s.firstUs {
-		s.firstUs = at
+// countsAt returns the counters of a destination in the interval that contains a time.
+func (s *Summary) countsAt(destination, timeUs int64) *counts {
+	if s.firstUs == 0 || timeUs < s.firstUs {
+		s.firstUs = timeUs
 	}
-	spans := s.sums[destination]
-	if spans == nil {
-		spans = map[int64]*sums{}
-		s.sums[destination] = spans
+	intervals := s.counts[destination]
+	if intervals == nil {
+		intervals = map[int64]*counts{}
+		s.counts[destination] = intervals
 	}
-	span := at / s.spanUs
-	if spans[span] == nil {
-		spans[span] = &sums{results: map[string]int{}}
+	interval := timeUs / s.intervalUs
+	if intervals[interval] == nil {
+		intervals[interval] = &counts{results: map[string]int{}}
 	}
-	return spans[span]
+	return intervals[interval]
 }
 
-// Write prints a line for each destination and span; times are in seconds from the first line that
-// was counted.
+// Write prints a line for each destination and interval. Times are in seconds since the interval of the earliest line
+// that was counted.
 func (s *Summary) Write(out io.Writer) error {
-	for _, destination := range slices.Sorted(maps.Keys(s.sums)) {
-		spans := s.sums[destination]
-		for _, span := range slices.Sorted(maps.Keys(spans)) {
-			sum := spans[span]
-			sinceFirstUs := span*s.spanUs - s.firstUs/s.spanUs*s.spanUs
+	for _, destination := range slices.Sorted(maps.Keys(s.counts)) {
+		intervals := s.counts[destination]
+		for _, interval := range slices.Sorted(maps.Keys(intervals)) {
+			counters := intervals[interval]
+			sinceFirstUs := interval*s.intervalUs - s.firstUs/s.intervalUs*s.intervalUs
 			line := fmt.Sprintf("dest %d  %7.1f s  in %d held %d calls %d back %d failed %d", destination,
-				float64(sinceFirstUs)/1e6, sum.accepted, sum.restored, sum.calls, sum.rejected, sum.failed)
-			for _, outcome := range slices.Sorted(maps.Keys(sum.results)) {
-				line += fmt.Sprintf(" %s %d", outcome, sum.results[outcome])
+				float64(sinceFirstUs)/1e6, counters.accepted, counters.restored, counters.calls, counters.rejected, counters.failed)
+			for _, outcome := range slices.Sorted(maps.Keys(counters.results)) {
+				line += fmt.Sprintf(" %s %d", outcome, counters.results[outcome])
 			}
 			if _, err := fmt.Fprintln(out, line); err != nil {
 				return err
@@ -117,38 +118,40 @@
 	return nil
 }
 
-// stepReader counts the words of one line. Messages of one call leave in one step and have their
-// results in one step: a call and its result count once.
+// stepReader counts the records of one line. All messages of one call to an endpoint are sent in one step and get their
+// outcomes in one step, so that a call and its result are counted only once for a line.
 type stepReader struct {
 	summary *Summary
-	at      int64
-	calls   map[string]bool // endpoints
-	results map[string]bool // endpoints with result
+	timeUs  int64
+	calls   map[string]bool // the calls that were counted, by endpoint
+	results map[string]bool // the results that were counted, by endpoint and result
 }
 
-// read counts one word; false means that it cannot be read.
-func (r *stepReader) read(fields []string) bool {
+// readRecord counts one record. It returns false if the record is malformed.
+func (r *stepReader) readRecord(fields []string) bool {
 	count := len(fields)
 	switch kind := fields[0]; {
-	case kind == wordAccepted && count >= 6:
+	case kind == recordAccepted && count >= 6:
 		return r.accepted(fields)
-	case kind == wordAttemptStarted && count == 5:
+	case kind == recordAttemptStarted && count == 5:
 		return r.attemptStarted(fields)
-	case kind == wordAttemptFinished && count == 7:
+	case kind == recordAttemptFinished && count == 7:
 		r.attemptFinished(fields)
-	case kind == wordRejected && count >= 2:
-		r.request(fields[1]).rejected++
-	case kind == wordFailed && count >= 2:
-		r.request(fields[1]).failed++
-	case kind == wordEndpoints, kind == wordCanceled, kind == wordIdleClosed:
+	case kind == recordRejected && count >= 2:
+		r.countsOfRequest(fields[1]).rejected++
+	case kind == recordFailed && count >= 2:
+		r.countsOfRequest(fields[1]).failed++
+	case kind == recordEndpoints, kind == recordCanceled, kind == recordIdleClosed:
 	default:
 		return false
 	}
 	return true
 }
 
-// request returns the sums for the destination of a request.
-func (r *stepReader) request(id string) *sums { return r.summary.at(r.summary.destinations[id], r.at) }
+// countsOfRequest returns the current counters of a request's destination.
+func (r *stepReader) countsOfRequest(id string) *counts {
+	return r.summary.countsAt(r.summary.destinations[id], r.timeUs)
+}
 
 func (r *stepReader) accepted(fields []string) bool {
 	destination, err := strconv.ParseInt(fields[4], 10, 64)
@@ -156,10 +159,10 @@
 		return false
 	}
 	r.summary.destinations[fields[1]] = destination
-	sum := r.summary.at(destination, r.at)
-	sum.accepted++
+	counters := r.summary.countsAt(destination, r.timeUs)
+	counters.accepted++
 	if fields[len(fields)-1] == restoredField {
-		sum.restored++
+		counters.restored++
 	}
 	return true
 }
@@ -173,25 +176,25 @@
 	r.summary.destinations[endpoint] = destination
 	if !r.calls[endpoint] {
 		r.calls[endpoint] = true
-		r.summary.at(destination, r.at).calls++
+		r.summary.countsAt(destination, r.timeUs).calls++
 	}
 	return true
 }
 
 func (r *stepReader) attemptFinished(fields []string) {
-	endpoint, outcome, waitMs, load := fields[3], fields[4], fields[5], fields[6]
-	hasWait := waitMs != "0"
-	if outcome == string(scheduler.OutcomeRejected) && load == "" && !hasWait {
+	endpoint, outcome, retryAfterMs, loadReport := fields[3], fields[4], fields[5], fields[6]
+	hasRetryAfter := retryAfterMs != "0"
+	if outcome == string(scheduler.OutcomeRejected) && loadReport == "" && !hasRetryAfter {
 		outcome = rejectedWithoutReport
 	}
-	key := endpoint + outcome + waitMs + load
+	key := endpoint + outcome + retryAfterMs + loadReport
 	if r.results[key] {
 		return
 	}
 	r.results[key] = true
-	sum := r.summary.at(r.summary.destinations[endpoint], r.at)
-	sum.results[outcome]++
-	if hasWait {
-		sum.results[resultsWithWait]++
+	counters := r.summary.countsAt(r.summary.destinations[endpoint], r.timeUs)
+	counters.results[outcome]++
+	if hasRetryAfter {
+		counters.results[resultsWithRetryAfter]++
 	}
 }
--- a/internal/trace/summary_test.go
+++ b/internal/trace/summary_test.go
@@ -7,52 +7,53 @@
 	"brackendale/scheduler"
 )
 
-// What the Writer writes the Summary adds up, over senders and whatever the names hold.
-func TestWhatIsWrittenIsSummedOverSenders(t *testing.T) {
-	const id, target = "a b:c\ntrace", "h:80"
+// A Summary adds up what Writers write: over several senders, with ids that contain separators, with messages that
+// share a call, and with restored, rejected and failed requests.
+func TestSummaryAddsUpWrittenLinesOfSenders(t *testing.T) {
+	const id, endpoint = "a b:c\ntrace", "h:80"
 	dest := func(string) int64 { return 7 }
-	c := New(100_000)
+	summary := New(100_000)
 	sender := func(name string, steps func(*Writer)) {
 		var out strings.Builder
 		out.WriteString("0.017 {\"message\":\"serving\"}\n")
 		steps(NewWriter(&out, name))
-		if err := c.Read(strings.NewReader(out.String())); err != nil {
+		if err := summary.Read(strings.NewReader(out.String())); err != nil {
 			t.Fatal(err)
 		}
 	}
-	arrive := func(id string, held bool) scheduler.Event {
+	accepted := func(id string, restored bool) scheduler.Event {
 		return scheduler.Event{
 			Kind: scheduler.RequestAccepted, ID: id, Class: "safe", Tenant: "t", Destination: 7,
-			Deadline: 2_000_000, Restored: held,
+			Deadline: 2_000_000, Restored: restored,
 		}
 	}
-	end := func(id, why string, wait int64, load ...float64) scheduler.Event {
+	finished := func(id, outcome string, retryAfterMs int64, loadReport ...float64) scheduler.Event {
 		return scheduler.Event{
-			Kind: scheduler.AttemptFinished, ID: id, Endpoint: target,
-			Outcome: scheduler.Outcome(why), RetryAfterMs: wait, LoadReport: load,
+			Kind: scheduler.AttemptFinished, ID: id, Endpoint: endpoint,
+			Outcome: scheduler.Outcome(outcome), RetryAfterMs: retryAfterMs, LoadReport: loadReport,
 		}
 	}
-	send := func(id string) scheduler.Action {
-		return scheduler.Action{Kind: scheduler.StartAttempt, ID: id, Endpoint: target, TimeoutUs: 500_000}
+	start := func(id string) scheduler.Action {
+		return scheduler.Action{Kind: scheduler.StartAttempt, ID: id, Endpoint: endpoint, TimeoutUs: 500_000}
 	}
 	sender("n 1", func(w *Writer) {
-		w.Step(1_000_000, []scheduler.Event{arrive(id, false), arrive("m2", false)},
-			[]scheduler.Action{send(id), send("m2")}, dest)
+		w.Step(1_000_000, []scheduler.Event{accepted(id, false), accepted("m2", false)},
+			[]scheduler.Action{start(id), start("m2")}, dest)
 		w.Step(1_020_000, []scheduler.Event{{Kind: scheduler.TimerFired}}, nil, dest)
-		w.Step(1_050_000, []scheduler.Event{end(id, "GOOD", 0, 0.5, 40), end("m2", "GOOD", 0, 0.5, 40)},
-			[]scheduler.Action{{Kind: scheduler.CloseIdleConnections, Endpoint: target}}, dest)
+		w.Step(1_050_000, []scheduler.Event{finished(id, "GOOD", 0, 0.5, 40), finished("m2", "GOOD", 0, 0.5, 40)},
+			[]scheduler.Action{{Kind: scheduler.CloseIdleConnections, Endpoint: endpoint}}, dest)
 	})
 	sender("n2", func(w *Writer) {
-		w.Step(1_010_000, []scheduler.Event{{Kind: scheduler.EndpointsUpdated, Update: "whole"}, arrive("m3", true)},
-			[]scheduler.Action{send("m3")}, dest)
-		w.Step(1_120_000, []scheduler.Event{end("m3", "FULL", 0)},
+		w.Step(1_010_000, []scheduler.Event{{Kind: scheduler.EndpointsUpdated, Update: "whole"}, accepted("m3", true)},
+			[]scheduler.Action{start("m3")}, dest)
+		w.Step(1_120_000, []scheduler.Event{finished("m3", "FULL", 0)},
 			[]scheduler.Action{{Kind: scheduler.Reject, ID: "m3", RetryAfterUs: 200_000}}, dest)
-		w.Step(1_130_000, nil, []scheduler.Action{send("m3")}, dest)
-		w.Step(1_140_000, []scheduler.Event{end("m3", "FULL", 300, 0, 40)},
+		w.Step(1_130_000, nil, []scheduler.Action{start("m3")}, dest)
+		w.Step(1_140_000, []scheduler.Event{finished("m3", "FULL", 300, 0, 40)},
 			[]scheduler.Action{{Kind: scheduler.CancelAttempt, ID: "m3", Attempt: 1}, {Kind: scheduler.Fail, ID: "m3"}}, dest)
 	})
 	var out strings.Builder
-	if err := c.Write(&out); err != nil {
+	if err := summary.Write(&out); err != nil {
 		t.Fatal(err)
 	}
 	want := "dest 7      0.0 s  in 3 held 1 calls 2 back 0 failed 0 GOOD 1\n" +
@@ -60,7 +61,7 @@
 	if out.String() != want {
 		t.Errorf("got\n%swant\n%s", out.String(), want)
 	}
-	if c.Read(strings.NewReader("trace 5 n1 i:m1:h:seven:1\n")) == nil {
-		t.Error("a word that makes no sense was accepted")
+	if summary.Read(strings.NewReader("trace 5 n1 i:m1:h:seven:1\n")) == nil {
+		t.Error("a malformed record was accepted")
 	}
 }
--- a/internal/trace/writer.go
+++ b/internal/trace/writer.go
@@ -8,48 +8,48 @@
 	"brackendale/scheduler"
 )
 
-// Writer writes the lines of one sender. It belongs to one goroutine.
+// Writer writes the lines of one sender. It is not safe for concurrent use.
 type Writer struct {
 	out    io.Writer
 	sender string // escaped
 	line   []byte
 }
 
-// NewWriter makes the writer of the sender of that name.
+// NewWriter returns a Writer for the sender of a name.
 func NewWriter(out io.Writer, name string) *Writer {
 	return &Writer{out: out, sender: url.QueryEscape(name)}
 }
 
-// Step writes a line for a step with events or actions that have a word; dest returns the
-// destination of an endpoint. now is in microseconds. An error of writing is ignored: the sender
-// goes on without its trace.
-func (w *Writer) Step(now int64, events []scheduler.Event, acts []scheduler.Action, dest func(addr string) int64) {
+// Step writes the line of a step, or nothing if none of its events and actions has a kind of record. now is in
+// microseconds; dest returns the destination of an endpoint. Write errors are ignored: the sender continues without its
+// trace.
+func (w *Writer) Step(now int64, events []scheduler.Event, actions []scheduler.Action, dest func(addr string) int64) {
 	w.line = append(strconv.AppendInt(append(w.line[:0], linePrefix...), now, 10), ' ')
 	w.line = append(w.line, w.sender...)
-	withoutWords := len(w.line)
+	withoutRecords := len(w.line)
 	for i := range events {
-		w.event(now, &events[i])
+		w.writeEvent(now, &events[i])
 	}
-	for i := range acts {
-		w.action(&acts[i], dest)
+	for i := range actions {
+		w.writeAction(&actions[i], dest)
 	}
-	if len(w.line) == withoutWords {
+	if len(w.line) == withoutRecords {
 		return
 	}
 	w.line = append(w.line, '\n')
 	_, _ = w.out.Write(w.line)
 }
 
-func (w *Writer) event(now int64, event *scheduler.Event) {
+func (w *Writer) writeEvent(now int64, event *scheduler.Event) {
 	switch event.Kind {
 	case scheduler.RequestAccepted:
-		left := number((event.Deadline - now) / 1000)
-		w.word(wordAccepted, event.ID, event.Class, event.Tenant, number(event.Destination), left)
+		remainingMs := number((event.Deadline - now) / 1000)
+		w.record(recordAccepted, event.ID, event.Class, event.Tenant, number(event.Destination), remainingMs)
 		if event.Restored {
 			w.line = append(append(w.line, ':'), restoredField...)
 		}
 	case scheduler.AttemptFinished:
-		w.word(wordAttemptFinished, event.ID, number(int64(event.Attempt)), event.Endpoint, string(event.Outcome),
+		w.record(recordAttemptFinished, event.ID, number(int64(event.Attempt)), event.Endpoint, string(event.Outcome),
 			number(event.RetryAfterMs), "")
 		for i, value := range event.LoadReport {
 			if i > 0 {
@@ -58,27 +58,28 @@
 			w.line = strconv.AppendFloat(w.line, value, 'g', 4, 64)
 		}
 	case scheduler.EndpointsUpdated:
-		w.word(wordEndpoints, string(event.Update), number(int64(len(event.Endpoints))))
+		w.record(recordEndpoints, string(event.Update), number(int64(len(event.Endpoints))))
 	}
 }
 
-func (w *Writer) action(action *scheduler.Action, dest func(addr string) int64) {
+func (w *Writer) writeAction(action *scheduler.Action, dest func(addr string) int64) {
 	switch action.Kind {
 	case scheduler.StartAttempt:
-		w.word(wordAttemptStarted, action.ID, action.Endpoint, number(dest(action.Endpoint)),
+		w.record(recordAttemptStarted, action.ID, action.Endpoint, number(dest(action.Endpoint)),
 			number(action.TimeoutUs/1000))
 	case scheduler.Reject:
-		w.word(wordRejected, action.ID, number(action.RetryAfterUs/1000))
+		w.record(recordRejected, action.ID, number(action.RetryAfterUs/1000))
 	case scheduler.Fail:
-		w.word(wordFailed, action.ID)
+		w.record(recordFailed, action.ID)
 	case scheduler.CancelAttempt:
-		w.word(wordCanceled, action.ID, number(int64(action.Attempt)))
+		w.record(recordCanceled, action.ID, number(int64(action.Attempt)))
 	case scheduler.CloseIdleConnections:
-		w.word(wordIdleClosed, action.Endpoint)
+		w.record(recordIdleClosed, action.Endpoint)
 	}
 }
 
-func (w *Writer) word(kind string, fields ...string) {
+// record appends a record, with its fields escaped.
+func (w *Writer) record(kind string, fields ...string) {
 	w.line = append(append(w.line, ' '), kind...)
 	for _, field := range fields {
 		w.line = append(append(w.line, ':'), url.QueryEscape(field)...)
