--- a/internal/access/access.go
+++ b/internal/access/access.go
@@ -145,7 +145,7 @@
 			return &Error{ListHosts, index, fmt.Sprintf("permission[%d].%s", i, key), err}
 		}
 	}
-	if p.Open() {
+	if p.IsOpen() {
 		p.grants[grantKey{"", host.Name}] = &Grant{host: host, all: true}
 	}
 	if len(host.Permissions) == 0 {
@@ -189,18 +189,18 @@
 	return regexp.Compile(`\A(?:` + pattern + `)\z`)
 }
 
-// Open reports whether any client may log in, under any name.
-func (p *Policy) Open() bool { return len(p.users) == 0 }
+// IsOpen reports whether any client may log in, under any name.
+func (p *Policy) IsOpen() bool { return len(p.users) == 0 }
 
 // User returns the user of that name.
 func (p *Policy) User(name string) (User, bool) { user, ok := p.users[name]; return user, ok }
 
-// Holder returns the user whom a verified certificate authenticates. The certificate may be nil.
-func (p *Policy) Holder(cert *x509.Certificate) (User, bool) {
+// UserOfCertificate returns the user whom a verified certificate authenticates. The certificate may be nil.
+func (p *Policy) UserOfCertificate(cert *x509.Certificate) (User, bool) {
 	if cert == nil {
 		return User{}, false
 	}
-	for _, name := range Names(cert) {
+	for _, name := range CertificateNames(cert) {
 		for _, user := range p.users {
 			if user.Certificate != "" && user.Certificate == name {
 				return user, true
@@ -210,8 +210,8 @@
 	return User{}, false
 }
 
-// Names returns the names in a certificate: the common name, then the DNS names, e-mail addresses and URIs.
-func Names(cert *x509.Certificate) []string {
+// CertificateNames returns the names in a certificate: the common name, then the DNS names, e-mail addresses and URIs.
+func CertificateNames(cert *x509.Certificate) []string {
 	names := []string{cert.Subject.CommonName}
 	names = append(names, cert.DNSNames...)
 	names = append(names, cert.EmailAddresses...)
@@ -231,15 +231,15 @@
 	return list
 }
 
-// Enter returns what a user may do in a host, or nil if the user may not open it. An empty host means Root.
-func (p *Policy) Enter(user, host string) *Grant {
+// HostGrant returns what a user may do in a host, or nil if the user may not open it. An empty host means Root.
+func (p *Policy) HostGrant(user, host string) *Grant {
 	if host == "" {
 		host = Root
 	}
 	if _, ok := p.hosts[host]; !ok {
 		return nil
 	}
-	if p.Open() {
+	if p.IsOpen() {
 		user = ""
 	}
 	return p.grants[grantKey{user, host}]
@@ -253,8 +253,8 @@
 	publish, read *regexp.Regexp // nil: nothing is allowed
 }
 
-// Lobby returns the grant of a user who has logged in but has not opened a host yet. It allows nothing.
-func (p *Policy) Lobby(user string) *Grant {
+// GrantWithoutHost returns the grant of a user who has logged in but has not opened a host yet. It allows nothing.
+func (p *Policy) GrantWithoutHost(user string) *Grant {
 	if g := p.grants[grantKey{user, ""}]; g != nil {
 		return g
 	}
@@ -273,22 +273,24 @@
 // Exchange returns the exchange of the host.
 func (g *Grant) Exchange() string { return g.host.Exchange }
 
-// Reaches reports whether messages in the host may go to a destination.
-func (g *Grant) Reaches(dest int64) bool {
+// AllowsDestination reports whether messages in the host may go to a destination.
+func (g *Grant) AllowsDestination(dest int64) bool {
 	return len(g.host.Destinations) == 0 || slices.Contains(g.host.Destinations, dest)
 }
 
-// Publish reports whether messages with a routing key may be published.
-func (g *Grant) Publish(key []byte) bool {
+// MayPublish reports whether messages with a routing key may be published.
+func (g *Grant) MayPublish(key []byte) bool {
 	return g.all || g.publish != nil && g.publish.Match(key)
 }
 
-// Read reports whether a queue may be used.
-func (g *Grant) Read(queue string) bool { return g.all || g.read != nil && g.read.MatchString(queue) }
+// MayRead reports whether a queue may be used.
+func (g *Grant) MayRead(queue string) bool {
+	return g.all || g.read != nil && g.read.MatchString(queue)
+}
 
-// Anyone returns a policy without users, which lets any client do everything in one virtual host, Root, with the given
-// exchange.
-func Anyone(exchange string) *Policy {
+// OpenPolicy returns a policy without users, which lets any client do everything in one virtual host, Root, with the
+// given exchange.
+func OpenPolicy(exchange string) *Policy {
 	p, err := New(nil, []Host{{Name: Root, Exchange: exchange}})
 	if err != nil {
 		panic(err) // only if the name of the exchange is too long
--- a/internal/access/access_test.go
+++ b/internal/access/access_test.go
@@ -57,23 +57,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.Open() || p.Enter("b", "h") != nil || p.Enter("nobody", Root) != nil || p.Enter("a", "nowhere") != nil {
+	if p.IsOpen() || p.HostGrant("b", "h") != nil || p.HostGrant("nobody", Root) != nil ||
+		p.HostGrant("a", "nowhere") != nil {
 		t.Error("a user got a grant without permission, or any login is allowed")
 	}
-	if g := p.Enter("b", ""); g == nil || g.Host().Name != Root || !g.Publish([]byte("9")) || !g.Read("q") ||
-		!g.Reaches(9) || g.User() != "b" {
+	if g := p.HostGrant("b", ""); g == nil || g.Host().Name != Root || !g.MayPublish([]byte("9")) || !g.MayRead("q") ||
+		!g.AllowsDestination(9) || g.User() != "b" {
 		t.Error(g)
 	}
-	g := p.Enter("a", "h")
+	g := p.HostGrant("a", "h")
 	for key, want := range map[string]bool{"1": true, "2": true, "12": false, "3": false, "": false} {
-		if g.Publish([]byte(key)) != want {
+		if g.MayPublish([]byte(key)) != want {
 			t.Error(key)
 		}
 	}
-	if !g.Read("abc") || g.Read("ba") || g.Reaches(3) || !g.Reaches(2) {
+	if !g.MayRead("abc") || g.MayRead("ba") || g.AllowsDestination(3) || !g.AllowsDestination(2) {
 		t.Error("the grant does not follow its patterns and destinations")
 	}
-	if g := p.Lobby("a"); g.User() != "a" || g.Read("a") || g.Publish([]byte("1")) {
+	if g := p.GrantWithoutHost("a"); g.User() != "a" || g.MayRead("a") || g.MayPublish([]byte("1")) {
 		t.Error("a user without a host is allowed something")
 	}
 	for _, c := range []struct {
@@ -86,12 +87,13 @@
 		{&x509.Certificate{Subject: pkix.Name{CommonName: "thief"}}, ""},
 		{&x509.Certificate{}, ""},
 	} {
-		if user, ok := p.Holder(c.cert); user.Name != c.want || ok != (c.want != "") {
+		if user, ok := p.UserOfCertificate(c.cert); user.Name != c.want || ok != (c.want != "") {
 			t.Error(c.cert, user.Name)
 		}
 	}
-	open := Anyone("m")
-	if g := open.Enter("whoever", Root); !open.Open() || g == nil || !g.Publish(nil) || open.Enter("whoever", "h") != nil {
+	open := OpenPolicy("m")
+	if g := open.HostGrant("whoever", Root); !open.IsOpen() || g == nil || !g.MayPublish(nil) ||
+		open.HostGrant("whoever", "h") != nil {
 		t.Error("the policy without users does not allow exactly its root host")
 	}
 }
--- a/internal/access/password.go
+++ b/internal/access/password.go
@@ -46,8 +46,8 @@
 	maxVerified = 512 // cached pairs
 )
 
-// ErrCrowd reports that maxChecks passwords are being checked already.
-var ErrCrowd = errors.New("too many logins at once")
+// ErrTooManyChecks reports that maxChecks passwords are being checked already.
+var ErrTooManyChecks = errors.New("too many logins at once")
 
 // Checker compares passwords with bcrypt hashes, one at a time, on goroutines of its own. It caches the pairs that
 // match, so that clients that reconnect need no second comparison. The cache holds only keyed digests (HMAC-SHA-256)
@@ -68,8 +68,9 @@
 	return c
 }
 
-// Check calls done with whether the password matches the hash, either before it returns or later on another goroutine.
-// An empty hash stands for an unknown user and matches nothing. The only error is ErrCrowd; done is not called then.
+// Check calls done with whether the password matches the hash, either before it returns or later on another
+// goroutine. An empty hash stands for an unknown user and matches nothing. The only error is ErrTooManyChecks; done
+// is not called then.
 func (c *Checker) Check(hash, password string, done func(bool)) error {
 	if isPlain(hash) {
 		done(subtle.ConstantTimeCompare([]byte(hash), []byte(Plain(password))) == 1)
@@ -94,7 +95,7 @@
 		done(userExists)
 		return nil
 	case tooMany:
-		return ErrCrowd
+		return ErrTooManyChecks
 	}
 	go func() {
 		c.compareMu.Lock()
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -217,7 +217,7 @@
 		fmt.Fprintf(&out, "policy host %q exchange %q to %v with %d permissions\n", h.Name, h.Exchange, h.Destinations,
 			len(h.Permissions))
 	}
-	fmt.Fprintf(&out, "policy open = %v\n", c.Policy.Open())
+	fmt.Fprintf(&out, "policy open = %v\n", c.Policy.IsOpen())
 	return out.String()
 }
 
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -46,7 +46,7 @@
 				core.AddIngress(platform.Front, in)
 				return in.Accept
 			}
-			in := amqpfront.NewIngress(core, r, amqpfront.Options{Policy: access.Anyone("messages"), Channels: 16},
+			in := amqpfront.NewIngress(core, r, amqpfront.Options{Policy: access.OpenPolicy("messages"), Channels: 16},
 				room.NewTable(amqpfront.Limits(most)))
 			return in.Accept
 		})
--- a/internal/net/amqpfront/cut_test.go
+++ b/internal/net/amqpfront/cut_test.go
@@ -128,7 +128,7 @@
 			}
 			addr, _ := standin.Start(t, t.TempDir(),
 				func(core *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
-					in := NewIngress(core, r, Options{Policy: access.Anyone("messages"), Channels: 16},
+					in := NewIngress(core, r, Options{Policy: access.OpenPolicy("messages"), Channels: 16},
 						conntable.NewRoom(10).NewTable(Limits(10)))
 					e := NewEgress(core, r, standin.Long, conntable.NewRoom(len(brokers)))
 					core.AddEgress(Proto, e)
--- a/internal/net/amqpfront/dribble_test.go
+++ b/internal/net/amqpfront/dribble_test.go
@@ -29,7 +29,7 @@
 			limits := Limits(100)
 			limits.First, limits.Whole = dribbleLimit, dribbleLimit
 			c.r = r
-			c.in = NewIngress(core, r, Options{Policy: access.Anyone("messages"), Channels: 16}, c.room.NewTable(limits))
+			c.in = NewIngress(core, r, Options{Policy: access.OpenPolicy("messages"), Channels: 16}, c.room.NewTable(limits))
 			return c.in.Accept
 		})
 	return c
--- a/internal/net/amqpfront/flowcontrol_test.go
+++ b/internal/net/amqpfront/flowcontrol_test.go
@@ -79,7 +79,7 @@
 	addr, _ := standin.StartWith(t, t.TempDir(), set, 256<<20, nil,
 		func(c *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
 			core = c
-			in := NewIngress(c, r, Options{Policy: access.Anyone("messages"), Channels: 16},
+			in := NewIngress(c, r, Options{Policy: access.OpenPolicy("messages"), Channels: 16},
 				conntable.NewRoom(10).NewTable(Limits(10)))
 			c.AddEgress("now", atOnce{c})
 			c.UpdateRoutes("whole", []sender.Route{{
--- a/internal/net/amqpfront/front_test.go
+++ b/internal/net/amqpfront/front_test.go
@@ -188,7 +188,7 @@
 // start begins one incarnation of a sender.
 func start(t *testing.T, dir string, b *broker) (addr string, kill func()) {
 	t.Helper()
-	return startFor(t, dir, b, access.Anyone("messages"))
+	return startFor(t, dir, b, access.OpenPolicy("messages"))
 }
 
 // startFor begins one whose clients are under a policy.
--- a/internal/net/amqpfront/host.go
+++ b/internal/net/amqpfront/host.go
@@ -53,7 +53,7 @@
 			return
 		}
 		user := s.grant.User()
-		if g := policy.Enter(user, s.host.name); g != nil {
+		if g := policy.HostGrant(user, s.host.name); g != nil {
 			s.grant = g
 			return
 		}
--- a/internal/net/amqpfront/idle_test.go
+++ b/internal/net/amqpfront/idle_test.go
@@ -36,7 +36,7 @@
 	c.addr, c.kill = standin.Start(t, t.TempDir(),
 		func(core *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
 			c.r = r
-			c.in = NewIngress(core, r, Options{Policy: access.Anyone("messages"), Heartbeat: beat, Channels: 16},
+			c.in = NewIngress(core, r, Options{Policy: access.OpenPolicy("messages"), Heartbeat: beat, Channels: 16},
 				c.room.NewTable(Limits(most)))
 			core.AddEgress(Proto, NewEgress(core, r, standin.Long, conntable.NewRoom(10)))
 			core.UpdateRoutes("whole", []sender.Route{{
--- a/internal/net/amqpfront/login.go
+++ b/internal/net/amqpfront/login.go
@@ -39,7 +39,7 @@
 	p := s.ingress.policy
 	switch {
 	case mechanism == mechExternal:
-		u, ok := p.Holder(s.conn.Peer())
+		u, ok := p.UserOfCertificate(s.conn.Peer())
 		if !ok || response != "" && response != u.Name && response != anonymousExternal {
 			return errLogin
 		}
@@ -47,7 +47,7 @@
 		return nil
 	case !ok:
 		return errLogin
-	case p.Open():
+	case p.IsOpen():
 		s.startTuning(user)
 		return nil
 	}
@@ -72,7 +72,7 @@
 			}
 		})
 	})
-	if errors.Is(err, access.ErrCrowd) {
+	if errors.Is(err, access.ErrTooManyChecks) {
 		return amqp.Errorf(amqp.ResourceError, "%v; come again in a second", err)
 	}
 	return err
@@ -98,14 +98,14 @@
 
 // startTuning goes on with the handshake of an authenticated user.
 func (s *session) startTuning(user string) {
-	s.grant = s.ingress.policy.Lobby(user)
+	s.grant = s.ingress.policy.GrantWithoutHost(user)
 	s.stage = stageTune
 	s.writeMethod(0, amqp.ConnTune, s.ingress.options.Channels, amqp.FrameMax, int(s.ingress.options.Heartbeat.Seconds()))
 }
 
 // openHost opens a virtual host.
 func (s *session) openHost(name string) error {
-	g := s.ingress.policy.Enter(s.grant.User(), name)
+	g := s.ingress.policy.HostGrant(s.grant.User(), name)
 	if g == nil {
 		if _, known := s.ingress.hosts[name]; known {
 			return &amqp.Fault{Code: amqp.NotAllowed, Text: "this user may not enter the virtual host", Method: amqp.ConnOpen}
@@ -125,7 +125,7 @@
 // updateSecret handles connection.update-secret: the new secret must be that of the same user.
 func (s *session) updateSecret(password string) error {
 	u, ok := s.ingress.policy.User(s.grant.User())
-	if s.ingress.policy.Open() {
+	if s.ingress.policy.IsOpen() {
 		s.writeMethod(0, amqp.ConnSecretOk)
 		return nil
 	}
--- a/internal/net/amqpfront/submit.go
+++ b/internal/net/amqpfront/submit.go
@@ -25,7 +25,7 @@
 	}
 	ch.published++
 	destination, err := strconv.ParseInt(string(msg.Bytes(2)), 10, 64)
-	if err != nil || !s.grant.Reaches(destination) || !s.ingress.core.HasDestination(destination) {
+	if err != nil || !s.grant.AllowsDestination(destination) || !s.ingress.core.HasDestination(destination) {
 		return s.publishUnroutable(ch, msg, fault)
 	}
 	class := s.ingress.core.Class(props.Type)
@@ -64,9 +64,9 @@
 	switch {
 	case string(msg.Bytes(1)) != s.grant.Exchange():
 		return fault(amqp.NotFound, "no exchange %q", msg.Str(1))
-	case !s.grant.Publish(msg.Bytes(2)):
+	case !s.grant.MayPublish(msg.Bytes(2)):
 		return fault(amqp.AccessRefused, "user %q may not publish with the key %q", s.grant.User(), msg.Str(2))
-	case userID != "" && userID != s.grant.User() && !s.ingress.policy.Open():
+	case userID != "" && userID != s.grant.User() && !s.ingress.policy.IsOpen():
 		return fault(amqp.PreconditionFailed, "user-id %q is not the connection's user", userID)
 	case !ch.confirms && ch.tx == nil: // without either the client would not learn of a rejection
 		return fault(amqp.PreconditionFailed, "confirm.select or tx.select must come first")
@@ -85,7 +85,7 @@
 		return fault(amqp.PreconditionFailed, "message-id is missing or no plain word")
 	case props.ReplyTo == "" || len(props.ReplyTo) > maxName:
 		return fault(amqp.PreconditionFailed, "reply-to is missing or too long")
-	case props.ReplyTo != ch.directQueue && !s.grant.Read(props.ReplyTo):
+	case props.ReplyTo != ch.directQueue && !s.grant.MayRead(props.ReplyTo):
 		return fault(amqp.AccessRefused, "user %q may not read the answers' queue %q", s.grant.User(), props.ReplyTo)
 	case needsKey && key == "":
 		return fault(amqp.PreconditionFailed, "header idempotency-key is missing")
--- a/internal/net/amqpfront/topology.go
+++ b/internal/net/amqpfront/topology.go
@@ -55,7 +55,7 @@
 
 // findQueue returns a queue that this connection may use, or nil if there is none of that name.
 func (s *session) findQueue(name string, fault faultFunc) (*queue, error) {
-	if own := strings.HasPrefix(name, directReplyTo+"."); !own && name != "" && !s.grant.Read(name) {
+	if own := strings.HasPrefix(name, directReplyTo+"."); !own && name != "" && !s.grant.MayRead(name) {
 		return nil, fault(amqp.AccessRefused, "user %q may not use the queue %q", s.grant.User(), name)
 	}
 	q := s.host.queues[name]
--- a/internal/net/amqpfront/topology_test.go
+++ b/internal/net/amqpfront/topology_test.go
@@ -129,7 +129,7 @@
 	addr, _ := standin.Start(t, t.TempDir(),
 		func(c *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
 			core = c
-			in := NewIngress(c, r, Options{Policy: access.Anyone("messages"), Channels: 16},
+			in := NewIngress(c, r, Options{Policy: access.OpenPolicy("messages"), Channels: 16},
 				conntable.NewRoom(10).NewTable(Limits(10)))
 			return in.Accept
 		})
