--- a/internal/cli/count.go
+++ b/internal/cli/count.go
@@ -19,7 +19,7 @@
 			Usage: "length of one line's time",
 		}},
 		Action: func(_ context.Context, c *cli.Command) error {
-			counter := trace.New(c.Duration("span").Microseconds())
+			counter := trace.NewSummary(c.Duration("span").Microseconds())
 			for _, name := range c.Args().Slice() {
 				file, err := os.Open(name)
 				if err != nil {
--- a/internal/trace/golden_test.go
+++ b/internal/trace/golden_test.go
@@ -57,7 +57,7 @@
 	}
 	step(events, actions)
 	golden.Check(t, "lines.txt", out.String())
-	summary := New(100_000)
+	summary := NewSummary(100_000)
 	if err := summary.Read(strings.NewReader(out.String())); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/trace/summary.go
+++ b/internal/trace/summary.go
@@ -39,8 +39,8 @@
 	results  map[string]int // of calls, by outcome
 }
 
-// New returns an empty summary by intervals of lengthUs microseconds, or of 1 µs if that is longer.
-func New(lengthUs int64) *Summary {
+// NewSummary returns an empty summary by intervals of lengthUs microseconds, or of 1 µs if that is longer.
+func NewSummary(lengthUs int64) *Summary {
 	return &Summary{intervalUs: max(1, lengthUs), counts: map[int64]map[int64]*counts{}, destinations: map[string]int64{}}
 }
 
--- a/internal/trace/summary_test.go
+++ b/internal/trace/summary_test.go
@@ -12,7 +12,7 @@
 func TestSummaryAddsUpWrittenLinesOfSenders(t *testing.T) {
 	const id, endpoint = "a b:c\ntrace", "h:80"
 	dest := func(string) int64 { return 7 }
-	summary := New(100_000)
+	summary := NewSummary(100_000)
 	sender := func(name string, steps func(*Writer)) {
 		var out strings.Builder
 		out.WriteString("0.017 {\"message\":\"serving\"}\n")
