--- a/internal/app/blocking_socket_test.go
+++ b/internal/app/blocking_socket_test.go
@@ -91,11 +91,11 @@
 		*addr = free
 	}
 	dir := filepath.Join(o.dir, "keys")
-	site, err := certs.Make(dir, "site", 10, time.Now)
+	site, err := certs.CreateAuthority(dir, "site", 10, time.Now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	files, err := site.Server([]string{"127.0.0.1"}, 10)
+	files, err := site.IssueServer([]string{"127.0.0.1"}, 10)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -76,12 +76,12 @@
 func TestHandshakes(t *testing.T) {
 	clk := &clock{startTime}
 	dir, otherDir := t.TempDir(), t.TempDir()
-	authority := must[*Authority](t)(Make(dir, "the site", 1000, clk.now))
-	otherAuthority := must[*Authority](t)(Make(otherDir, "another site", 1000, clk.now))
-	server := must[Files](t)(authority.Server([]string{"sender.site", "127.0.0.1"}, 100))
-	user := must[Files](t)(authority.Client("lab", 100))
-	revoked := must[Files](t)(authority.Client("gone", 100))
-	foreign := must[Files](t)(otherAuthority.Client("lab", 100))
+	authority := must[*Authority](t)(CreateAuthority(dir, "the site", 1000, clk.now))
+	otherAuthority := must[*Authority](t)(CreateAuthority(otherDir, "another site", 1000, clk.now))
+	server := must[Files](t)(authority.IssueServer([]string{"sender.site", "127.0.0.1"}, 100))
+	user := must[Files](t)(authority.IssueClient("lab", 100))
+	revoked := must[Files](t)(authority.IssueClient("gone", 100))
+	foreign := must[Files](t)(otherAuthority.IssueClient("lab", 100))
 	if err := authority.Revoke(revoked.Cert); err != nil {
 		t.Fatal(err)
 	}
@@ -122,8 +122,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			clk.current = startTime
-			serverConfig := must[*tls.Config](t)(Server(server, c.required, clk.now))
-			clientConfig := must[*tls.Config](t)(Client(c.client, c.serverName, clk.now))
+			serverConfig := must[*tls.Config](t)(ServerConfig(server, c.required, clk.now))
+			clientConfig := must[*tls.Config](t)(ClientConfig(c.client, c.serverName, clk.now))
 			if len(clientConfig.Certificates) > 0 { // presented even if it is not of a CA that the server asks for
 				clientConfig.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 					return &clientConfig.Certificates[0], nil
@@ -145,10 +145,12 @@
 			}
 		})
 	}
-	oldClient := must[*tls.Config](t)(Client(none, "sender.site", clk.now))
+	oldClient := must[*tls.Config](t)(ClientConfig(none, "sender.site", clk.now))
 	oldClient.MinVersion, oldClient.MaxVersion = tls.VersionTLS10, tls.VersionTLS11
 	clk.current = startTime
-	if serverErr, _ := handshake(must[*tls.Config](t)(Server(server, false, clk.now)), oldClient, -1); serverErr == nil {
+	if serverErr, _ := handshake(
+		must[*tls.Config](t)(ServerConfig(server, false, clk.now)), oldClient, -1,
+	); serverErr == nil {
 		t.Error("a TLS 1.1 handshake succeeded")
 	}
 }
@@ -158,9 +160,9 @@
 func TestMismatchedFilesAreRefused(t *testing.T) {
 	clk := &clock{startTime}
 	dir, otherDir := t.TempDir(), t.TempDir()
-	authority := must[*Authority](t)(Make(dir, "the site", 10, clk.now))
-	must[*Authority](t)(Make(otherDir, "another site", 10, clk.now))
-	server := must[Files](t)(authority.Server([]string{"a"}, 1000))
+	authority := must[*Authority](t)(CreateAuthority(dir, "the site", 10, clk.now))
+	must[*Authority](t)(CreateAuthority(otherDir, "another site", 10, clk.now))
+	server := must[Files](t)(authority.IssueServer([]string{"a"}, 1000))
 	empty := filepath.Join(dir, "empty")
 	if err := os.WriteFile(empty, nil, 0o600); err != nil {
 		t.Fatal(err)
@@ -174,18 +176,18 @@
 		{Cert: server.Cert, Key: server.Key, CA: server.CA, Revoked: foreign},
 		{Cert: server.Cert, Key: server.Key, CA: server.CA, Revoked: empty},
 	} {
-		if _, err := Server(f, false, clk.now); err == nil {
+		if _, err := ServerConfig(f, false, clk.now); err == nil {
 			t.Errorf("%+v was accepted", f)
 		}
 	}
-	if _, err := Server(Files{Cert: server.Cert, Key: server.Key}, true, clk.now); err == nil {
+	if _, err := ServerConfig(Files{Cert: server.Cert, Key: server.Key}, true, clk.now); err == nil {
 		t.Error("client certificates are required without a CA to verify them")
 	}
-	if _, err := Make(dir, "again", 10, clk.now); err == nil {
+	if _, err := CreateAuthority(dir, "again", 10, clk.now); err == nil {
 		t.Error("a CA was overwritten")
 	}
 	for _, names := range [][]string{nil, {""}, {"ca"}, {strings.Repeat("n", 65)}} {
-		if _, err := authority.Server(names, 10); err == nil {
+		if _, err := authority.IssueServer(names, 10); err == nil {
 			t.Errorf("a certificate for %q was issued", names)
 		}
 	}
@@ -197,7 +199,7 @@
 		t.Error(info.Mode())
 	}
 	clk.current = startTime.Add(11 * 24 * time.Hour)
-	if _, err := Server(server, false, clk.now); err == nil || !strings.Contains(err.Error(), "expired") {
+	if _, err := ServerConfig(server, false, clk.now); err == nil || !strings.Contains(err.Error(), "expired") {
 		t.Error(err)
 	}
 }
--- a/internal/certs/site.go
+++ b/internal/certs/site.go
@@ -53,9 +53,9 @@
 	now  func() time.Time
 }
 
-// Make creates an authority in a folder: a self-signed CA certificate that is valid for a number of days, its key, and
-// an empty revocation list. It does not overwrite a CA that is there already.
-func Make(dir, name string, days int, now func() time.Time) (*Authority, error) {
+// CreateAuthority creates an authority in a folder: a self-signed CA certificate that is valid for a number of days,
+// its key, and an empty revocation list. It does not overwrite a CA that is there already.
+func CreateAuthority(dir, name string, days int, now func() time.Time) (*Authority, error) {
 	if _, err := os.Stat(filepath.Join(dir, caCertFile)); err == nil {
 		return nil, fmt.Errorf("%s: a CA exists already", filepath.Join(dir, caCertFile))
 	}
@@ -80,15 +80,15 @@
 		writePEM(filepath.Join(dir, caCertFile), pemCertificate, der, publicMode)); err != nil {
 		return nil, err
 	}
-	authority, err := Open(dir, now)
+	authority, err := OpenAuthority(dir, now)
 	if err != nil {
 		return nil, err
 	}
 	return authority, authority.writeRevocationList(nil, 1)
 }
 
-// Open opens an authority that Make has created.
-func Open(dir string, now func() time.Time) (*Authority, error) {
+// OpenAuthority opens an authority that CreateAuthority has created.
+func OpenAuthority(dir string, now func() time.Time) (*Authority, error) {
 	certs, err := ReadCerts(filepath.Join(dir, caCertFile))
 	if err != nil {
 		return nil, err
@@ -113,9 +113,9 @@
 	return &Authority{dir: dir, cert: certs[0], key: key, now: now}, nil
 }
 
-// Server issues a certificate for a server that clients reach by any of the DNS names or IP addresses. The first name
-// is its common name.
-func (a *Authority) Server(names []string, days int) (Files, error) {
+// IssueServer issues a certificate for a server that clients reach by any of the DNS names or IP addresses. The first
+// name is its common name.
+func (a *Authority) IssueServer(names []string, days int) (Files, error) {
 	if len(names) == 0 {
 		return Files{}, errors.New("a server certificate needs a name or an address that clients connect to")
 	}
@@ -131,8 +131,8 @@
 	})
 }
 
-// Client issues a certificate that authenticates a user.
-func (a *Authority) Client(user string, days int) (Files, error) {
+// IssueClient issues a certificate that authenticates a user.
+func (a *Authority) IssueClient(user string, days int) (Files, error) {
 	return a.issue(user, days, func(cert *x509.Certificate) {
 		cert.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}
 	})
--- a/internal/certs/tls.go
+++ b/internal/certs/tls.go
@@ -33,9 +33,9 @@
 	return string(rawIssuer) + serial.String()
 }
 
-// Server returns the TLS configuration of a server. If files has a CA, clients are asked for a certificate, which is
-// mandatory if clientRequired is set. now is called in every handshake, on any goroutine.
-func Server(files Files, clientRequired bool, now func() time.Time) (*tls.Config, error) {
+// ServerConfig returns the TLS configuration of a server. If files has a CA, clients are asked for a certificate,
+// which is mandatory if clientRequired is set. now is called in every handshake, on any goroutine.
+func ServerConfig(files Files, clientRequired bool, now func() time.Time) (*tls.Config, error) {
 	cfg, trust, err := baseConfig(files, now)
 	if err != nil {
 		return nil, err
@@ -56,9 +56,9 @@
 	return cfg, nil
 }
 
-// Client returns the TLS configuration of a client. The server's certificate must be valid for name. If files has no
-// CA, the system's CAs are trusted. now is called in every handshake, on any goroutine.
-func Client(files Files, name string, now func() time.Time) (*tls.Config, error) {
+// ClientConfig returns the TLS configuration of a client. The server's certificate must be valid for name. If files
+// has no CA, the system's CAs are trusted. now is called in every handshake, on any goroutine.
+func ClientConfig(files Files, name string, now func() time.Time) (*tls.Config, error) {
 	cfg, trust, err := baseConfig(files, now)
 	if err != nil {
 		return nil, err
@@ -164,8 +164,8 @@
 	return false
 }
 
-// Expires returns when the certificate that a side presents expires, or the zero time if it presents none.
-func Expires(cfg *tls.Config) time.Time {
+// ExpiresAt returns when the certificate that a side presents expires, or the zero time if it presents none.
+func ExpiresAt(cfg *tls.Config) time.Time {
 	if cfg == nil || len(cfg.Certificates) == 0 || cfg.Certificates[0].Leaf == nil {
 		return time.Time{}
 	}
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -43,7 +43,7 @@
 			&cli.StringFlag{Name: "name", Value: "brackendale site", Usage: "what the CA is called"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
-			if _, err := certs.Make(c.String("dir"), c.String("name"), c.Int("days"), time.Now); err != nil {
+			if _, err := certs.CreateAuthority(c.String("dir"), c.String("name"), c.Int("days"), time.Now); err != nil {
 				return err
 			}
 			return listKeys(c.Root().Writer, c.String("dir"))
@@ -56,11 +56,11 @@
 		Name: "server", Usage: "sign a certificate for a listener", ArgsUsage: "NAME-OR-ADDRESS...",
 		Flags: []cli.Flag{keysDirFlag(), daysFlag(certDays)},
 		Action: func(_ context.Context, c *cli.Command) error {
-			site, err := certs.Open(c.String("dir"), time.Now)
+			site, err := certs.OpenAuthority(c.String("dir"), time.Now)
 			if err != nil {
 				return err
 			}
-			files, err := site.Server(c.Args().Slice(), c.Int("days"))
+			files, err := site.IssueServer(c.Args().Slice(), c.Int("days"))
 			if err != nil {
 				return err
 			}
@@ -74,11 +74,11 @@
 		Name: "client", Usage: "sign a certificate that stands for a user", ArgsUsage: "USER",
 		Flags: []cli.Flag{keysDirFlag(), daysFlag(certDays)},
 		Action: func(_ context.Context, c *cli.Command) error {
-			site, err := certs.Open(c.String("dir"), time.Now)
+			site, err := certs.OpenAuthority(c.String("dir"), time.Now)
 			if err != nil {
 				return err
 			}
-			files, err := site.Client(c.Args().First(), c.Int("days"))
+			files, err := site.IssueClient(c.Args().First(), c.Int("days"))
 			if err != nil {
 				return err
 			}
@@ -91,7 +91,7 @@
 	return &cli.Command{
 		Name: "revoke", Usage: "take a certificate back", ArgsUsage: "FILE", Flags: []cli.Flag{keysDirFlag()},
 		Action: func(_ context.Context, c *cli.Command) error {
-			site, err := certs.Open(c.String("dir"), time.Now)
+			site, err := certs.OpenAuthority(c.String("dir"), time.Now)
 			if err != nil {
 				return err
 			}
--- a/internal/config/amqp.go
+++ b/internal/config/amqp.go
@@ -87,7 +87,7 @@
 func (s *Secure) Renew(now time.Time) map[string]time.Time {
 	list := map[string]time.Time{}
 	add := func(name string, cfg *tls.Config) {
-		if expires := certs.Expires(cfg); !expires.IsZero() && expires.Sub(now) < RenewBefore {
+		if expires := certs.ExpiresAt(cfg); !expires.IsZero() && expires.Sub(now) < RenewBefore {
 			list[name] = expires
 		}
 	}
@@ -169,7 +169,7 @@
 		if _, _, err := net.SplitHostPort(listener.Listen); err != nil {
 			return fault(path+": amqp.tls.listen", "%q: %w", listener.Listen, err)
 		}
-		cfg, err := certs.Server(certs.Files{
+		cfg, err := certs.ServerConfig(certs.Files{
 			Cert:    besideFile(path, listener.Cert),
 			Key:     besideFile(path, listener.Key),
 			CA:      besideFile(path, listener.ClientCA),
@@ -209,7 +209,7 @@
 	if name == "" {
 		name, _, _ = net.SplitHostPort(addr)
 	}
-	return certs.Client(certs.Files{
+	return certs.ClientConfig(certs.Files{
 		Cert:    besideFile(path, keys.Cert),
 		Key:     besideFile(path, keys.Key),
 		CA:      besideFile(path, keys.CA),
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -82,14 +82,14 @@
 // siteKeys makes the files of keys that the full file names.
 func siteKeys(t *testing.T, dir string) {
 	t.Helper()
-	s, err := certs.Make(dir, "site", 100, time.Now)
+	s, err := certs.CreateAuthority(dir, "site", 100, time.Now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := s.Server([]string{"server"}, 90); err != nil {
+	if _, err := s.IssueServer([]string{"server"}, 90); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := s.Client("client", 90); err != nil {
+	if _, err := s.IssueClient("client", 90); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/net/amqpfront/flowhelp_test.go
+++ b/internal/net/amqpfront/flowhelp_test.go
@@ -22,18 +22,18 @@
 // siteKeys are those of one server and of whoever believes its CA.
 func siteKeys(t testing.TB) (server, client *tls.Config) {
 	t.Helper()
-	site, err := certs.Make(t.TempDir(), "site", 10, time.Now)
+	site, err := certs.CreateAuthority(t.TempDir(), "site", 10, time.Now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := site.Server([]string{"127.0.0.1"}, 10)
+	f, err := site.IssueServer([]string{"127.0.0.1"}, 10)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if server, err = certs.Server(f, false, time.Now); err != nil {
+	if server, err = certs.ServerConfig(f, false, time.Now); err != nil {
 		t.Fatal(err)
 	}
-	if client, err = certs.Client(certs.Files{CA: f.CA}, "127.0.0.1", time.Now); err != nil {
+	if client, err = certs.ClientConfig(certs.Files{CA: f.CA}, "127.0.0.1", time.Now); err != nil {
 		t.Fatal(err)
 	}
 	return server, client
--- a/internal/net/reactor/secure_test.go
+++ b/internal/net/reactor/secure_test.go
@@ -28,23 +28,23 @@
 
 func newPair(t testing.TB) *pair {
 	t.Helper()
-	site, err := certs.Make(t.TempDir(), "site", 10, time.Now)
+	site, err := certs.CreateAuthority(t.TempDir(), "site", 10, time.Now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := site.Server([]string{"127.0.0.1"}, 10)
+	f, err := site.IssueServer([]string{"127.0.0.1"}, 10)
 	if err != nil {
 		t.Fatal(err)
 	}
-	user, err := site.Client("lab", 10)
+	user, err := site.IssueClient("lab", 10)
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := &pair{}
-	if p.server, err = certs.Server(f, true, time.Now); err != nil {
+	if p.server, err = certs.ServerConfig(f, true, time.Now); err != nil {
 		t.Fatal(err)
 	}
-	if p.client, err = certs.Client(user, "127.0.0.1", time.Now); err != nil {
+	if p.client, err = certs.ClientConfig(user, "127.0.0.1", time.Now); err != nil {
 		t.Fatal(err)
 	}
 	l := loop.New()
