--- a/internal/access/password.go
+++ b/internal/access/password.go
@@ -69,15 +69,15 @@
 }
 
 // Check calls done with whether the password matches the hash, either before it returns or later on another
-// goroutine. An empty hash stands for an unknown user and matches nothing. The only error is ErrTooManyChecks; done
-// is not called then.
+// goroutine. An empty hash, of an unknown user or of one without a password, matches nothing. The only error is
+// ErrTooManyChecks; done is not called then.
 func (c *Checker) Check(hash, password string, done func(bool)) error {
 	if isPlain(hash) {
 		done(subtle.ConstantTimeCompare([]byte(hash), []byte(Plain(password))) == 1)
 		return nil
 	}
-	userExists := hash != ""
-	if !userExists {
+	hasHash := hash != ""
+	if !hasHash {
 		hash = unknownUserHash
 	}
 	mac := hmac.New(sha256.New, c.secret[:])
@@ -92,14 +92,14 @@
 	c.mu.Unlock()
 	switch {
 	case cached:
-		done(userExists)
+		done(hasHash)
 		return nil
 	case tooMany:
 		return ErrTooManyChecks
 	}
 	go func() {
 		c.compareMu.Lock()
-		ok := bcrypt.CompareHashAndPassword([]byte(hash), []byte(password)) == nil && userExists
+		ok := bcrypt.CompareHashAndPassword([]byte(hash), []byte(password)) == nil && hasHash
 		c.compareMu.Unlock()
 		c.mu.Lock()
 		c.pending--
--- a/internal/trace/summary.go
+++ b/internal/trace/summary.go
@@ -39,7 +39,7 @@
 	results  map[string]int // of calls, by outcome
 }
 
-// NewSummary returns an empty summary by intervals of lengthUs microseconds, or of 1 µs if that is longer.
+// NewSummary returns an empty summary by intervals of lengthUs microseconds, but at least 1.
 func NewSummary(lengthUs int64) *Summary {
 	return &Summary{intervalUs: max(1, lengthUs), counts: map[int64]map[int64]*counts{}, destinations: map[string]int64{}}
 }
