--- a/internal/app/blocking_socket_test.go
+++ b/internal/app/blocking_socket_test.go
@@ -92,11 +92,11 @@
 		*addr = freeAddr
 	}
 	dir := filepath.Join(env.dir, "keys")
-	authority, err := certs.Make(dir, "site", 10, time.Now)
+	authority, err := certs.CreateAuthority(dir, "site", 10, time.Now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	files, err := authority.Server([]string{"127.0.0.1"}, 10)
+	files, err := authority.IssueServer([]string{"127.0.0.1"}, 10)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/net/amqpfront/conformance_test.go
+++ b/internal/net/amqpfront/conformance_test.go
@@ -51,7 +51,8 @@
 
 // addInstantFront adds an AMQP ingress and an instantEgress to the core, and returns the ingress's accept function.
 func addInstantFront(core *sender.Sender, react *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
-	ingress := NewIngress(core, react, Options{Policy: access.Anyone("messages"), Heartbeat: time.Minute, Channels: 64},
+	ingress := NewIngress(core, react,
+		Options{Policy: access.OpenPolicy("messages"), Heartbeat: time.Minute, Channels: 64},
 		conntable.NewRoom(1000).NewTable(Limits(1000)))
 	core.AddEgress("now", instantEgress{core})
 	var routes []sender.Route
--- a/internal/net/amqpfront/cut_test.go
+++ b/internal/net/amqpfront/cut_test.go
@@ -131,7 +131,7 @@
 			}
 			addr, _ := standin.Start(t, t.TempDir(),
 				func(core *sender.Sender, react *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
-					ingress := NewIngress(core, react, Options{Policy: access.Anyone("messages"), Channels: 16},
+					ingress := NewIngress(core, react, Options{Policy: access.OpenPolicy("messages"), Channels: 16},
 						conntable.NewRoom(10).NewTable(Limits(10)))
 					egress := NewEgress(core, react, standin.Long, conntable.NewRoom(len(brokers)))
 					core.AddEgress(Proto, egress)
--- a/internal/net/amqpfront/dribble_test.go
+++ b/internal/net/amqpfront/dribble_test.go
@@ -29,7 +29,7 @@
 			limits := Limits(100)
 			limits.First, limits.Whole = shortFrameLimit, shortFrameLimit
 			front.react = react
-			front.ingress = NewIngress(core, react, Options{Policy: access.Anyone("messages"), Channels: 16},
+			front.ingress = NewIngress(core, react, Options{Policy: access.OpenPolicy("messages"), Channels: 16},
 				front.room.NewTable(limits))
 			return front.ingress.Accept
 		})
--- a/internal/net/amqpfront/flow_test.go
+++ b/internal/net/amqpfront/flow_test.go
@@ -63,7 +63,7 @@
 		started *sender.Sender, react *reactor.Reactor,
 	) func(*reactor.Conn) reactor.Handler {
 		core = started
-		ingress := NewIngress(started, react, Options{Policy: access.Anyone("messages"), Channels: 16},
+		ingress := NewIngress(started, react, Options{Policy: access.OpenPolicy("messages"), Channels: 16},
 			conntable.NewRoom(10).NewTable(Limits(10)))
 		started.AddEgress("now", instantEgress{started})
 		var routes []sender.Route
--- a/internal/net/amqpfront/flowcontrol_test.go
+++ b/internal/net/amqpfront/flowcontrol_test.go
@@ -79,7 +79,7 @@
 	addr, _ := standin.StartWith(t, t.TempDir(), settings, 256<<20, nil,
 		func(c *sender.Sender, react *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
 			core = c
-			ingress := NewIngress(c, react, Options{Policy: access.Anyone("messages"), Channels: 16},
+			ingress := NewIngress(c, react, Options{Policy: access.OpenPolicy("messages"), Channels: 16},
 				conntable.NewRoom(10).NewTable(Limits(10)))
 			c.AddEgress("now", instantEgress{c})
 			c.UpdateRoutes("whole", []sender.Route{{
--- a/internal/net/amqpfront/flowhelp_test.go
+++ b/internal/net/amqpfront/flowhelp_test.go
@@ -22,18 +22,18 @@
 // newTLSConfigs returns the TLS configurations of a server with a new certificate, and of a client that trusts its CA.
 func newTLSConfigs(t testing.TB) (server, client *tls.Config) {
 	t.Helper()
-	site, err := certs.Make(t.TempDir(), "site", 10, time.Now)
+	site, err := certs.CreateAuthority(t.TempDir(), "site", 10, time.Now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	files, err := site.Server([]string{"127.0.0.1"}, 10)
+	files, err := site.IssueServer([]string{"127.0.0.1"}, 10)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if server, err = certs.Server(files, false, time.Now); err != nil {
+	if server, err = certs.ServerConfig(files, false, time.Now); err != nil {
 		t.Fatal(err)
 	}
-	if client, err = certs.Client(certs.Files{CA: files.CA}, "127.0.0.1", time.Now); err != nil {
+	if client, err = certs.ClientConfig(certs.Files{CA: files.CA}, "127.0.0.1", time.Now); err != nil {
 		t.Fatal(err)
 	}
 	return server, client
--- a/internal/net/amqpfront/front_test.go
+++ b/internal/net/amqpfront/front_test.go
@@ -198,7 +198,7 @@
 // start starts an incarnation of a sender whose state is in dir, with one route, to the broker.
 func start(t *testing.T, dir string, broker *testBroker) (addr string, kill func()) {
 	t.Helper()
-	return startFor(t, dir, broker, access.Anyone("messages"))
+	return startFor(t, dir, broker, access.OpenPolicy("messages"))
 }
 
 // startFor is like start, with an access policy for the clients.
--- a/internal/net/amqpfront/host.go
+++ b/internal/net/amqpfront/host.go
@@ -53,7 +53,7 @@
 			return
 		}
 		user := s.grant.User()
-		if newGrant := policy.Enter(user, s.host.name); newGrant != nil {
+		if newGrant := policy.HostGrant(user, s.host.name); newGrant != nil {
 			s.grant = newGrant
 			return
 		}
--- a/internal/net/amqpfront/idle_test.go
+++ b/internal/net/amqpfront/idle_test.go
@@ -38,7 +38,7 @@
 		func(core *sender.Sender, react *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
 			front.react = react
 			front.ingress = NewIngress(core, react, Options{
-				Policy: access.Anyone("messages"), Heartbeat: heartbeat, Channels: 16,
+				Policy: access.OpenPolicy("messages"), Heartbeat: heartbeat, Channels: 16,
 			}, front.room.NewTable(Limits(maxConnections)))
 			core.AddEgress(Proto, NewEgress(core, react, standin.Long, conntable.NewRoom(10)))
 			core.UpdateRoutes("whole", []sender.Route{{
--- a/internal/net/amqpfront/login.go
+++ b/internal/net/amqpfront/login.go
@@ -38,7 +38,7 @@
 	accessPolicy := s.ingress.policy
 	switch {
 	case mechanism == mechExternal:
-		account, ok := accessPolicy.Holder(s.conn.Peer())
+		account, ok := accessPolicy.UserOfCertificate(s.conn.Peer())
 		if !ok || response != "" && response != account.Name && response != anonymousExternal {
 			return errLoginRefused
 		}
@@ -46,7 +46,7 @@
 		return nil
 	case !ok:
 		return errLoginRefused
-	case accessPolicy.Open():
+	case accessPolicy.IsOpen():
 		s.startTuning(user)
 		return nil
 	}
@@ -71,7 +71,7 @@
 			}
 		})
 	})
-	if errors.Is(err, access.ErrCrowd) {
+	if errors.Is(err, access.ErrTooManyChecks) {
 		return amqp.Errorf(amqp.ResourceError, "%v; come again in a second", err)
 	}
 	return err
@@ -97,14 +97,14 @@
 
 // startTuning continues the handshake of an authenticated user with connection.tune.
 func (s *session) startTuning(user string) {
-	s.grant = s.ingress.policy.Lobby(user)
+	s.grant = s.ingress.policy.GrantWithoutHost(user)
 	s.stage = stageTune
 	s.writeMethod(0, amqp.ConnTune, s.ingress.options.Channels, amqp.FrameMax, int(s.ingress.options.Heartbeat.Seconds()))
 }
 
 // openHost handles connection.open, which names the virtual host.
 func (s *session) openHost(name string) error {
-	newGrant := s.ingress.policy.Enter(s.grant.User(), name)
+	newGrant := s.ingress.policy.HostGrant(s.grant.User(), name)
 	if newGrant == nil {
 		if _, known := s.ingress.hosts[name]; known {
 			return &amqp.Fault{Code: amqp.NotAllowed, Text: "this user may not enter the virtual host", Method: amqp.ConnOpen}
@@ -124,7 +124,7 @@
 // updateSecret handles connection.update-secret. The new secret must be the current password of the same user.
 func (s *session) updateSecret(password string) error {
 	account, ok := s.ingress.policy.User(s.grant.User())
-	if s.ingress.policy.Open() {
+	if s.ingress.policy.IsOpen() {
 		s.writeMethod(0, amqp.ConnUpdateSecretOk)
 		return nil
 	}
--- a/internal/net/amqpfront/topology.go
+++ b/internal/net/amqpfront/topology.go
@@ -56,7 +56,7 @@
 // findQueue returns the queue with this name, or nil if there is none. It returns a fault if this connection may not
 // use it.
 func (s *session) findQueue(name string, fault faultFunc) (*queue, error) {
-	if own := strings.HasPrefix(name, directReplyTo+"."); !own && name != "" && !s.grant.Read(name) {
+	if own := strings.HasPrefix(name, directReplyTo+"."); !own && name != "" && !s.grant.MayRead(name) {
 		return nil, fault(amqp.AccessRefused, "user %q may not use the queue %q", s.grant.User(), name)
 	}
 	q := s.host.queues[name]
--- a/internal/net/amqpfront/topology_test.go
+++ b/internal/net/amqpfront/topology_test.go
@@ -131,7 +131,7 @@
 	addr, _ := standin.Start(t, t.TempDir(),
 		func(started *sender.Sender, react *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
 			core = started
-			ingress := NewIngress(started, react, Options{Policy: access.Anyone("messages"), Channels: 16},
+			ingress := NewIngress(started, react, Options{Policy: access.OpenPolicy("messages"), Channels: 16},
 				conntable.NewRoom(10).NewTable(Limits(10)))
 			return ingress.Accept
 		})
