--- a/internal/config/amqp.go
+++ b/internal/config/amqp.go
@@ -14,96 +14,96 @@
 	"brackendale/internal/net/amqp"
 )
 
-// AMQP is the AMQP front; it is off without an address to listen on, plainly or under TLS.
+// AMQP configures the AMQP front. Without an address to listen on, with or without TLS, there is none.
 type AMQP struct {
 	Listen     string `toml:"listen"`
-	User       string `toml:"user"`     // the one login of a small site, with the password as it is
-	Password   string `toml:"password"` // of that user
-	Exchange   string `toml:"exchange"` // of the root virtual host
+	User       string `toml:"user"`     // the single login of a small site, instead of Accounts
+	Password   string `toml:"password"` // the password of User, in plain text
+	Exchange   string `toml:"exchange"` // the exchange of the root virtual host
 	HeartbeatS int    `toml:"heartbeat_s"`
-	Channels   int    `toml:"channels"` // of one connection
+	Channels   int    `toml:"channels"` // the maximum for one connection
 
-	FirstS float64 `toml:"first_s"` // for the handshake; 0: any time
-	FrameS float64 `toml:"frame_s"` // for one frame, from its first byte to its last; 0: any time
-	IdleS  float64 `toml:"idle_s"`  // time without a message or an answer before a client is disconnected; 0: any time
+	FirstS float64 `toml:"first_s"` // timeout for the handshake; 0: none
+	FrameS float64 `toml:"frame_s"` // timeout for one frame, from its first byte to its last; 0: none
+	IdleS  float64 `toml:"idle_s"`  // a client without messages and final answers is disconnected after it; 0: never
 
-	TLS   AMQPTLS     `toml:"tls"`
-	Users []AMQPUser  `toml:"account"`
-	Hosts []AMQPVHost `toml:"vhost"`
+	TLS      AMQPTLS       `toml:"tls"`
+	Accounts []AMQPAccount `toml:"account"`
+	VHosts   []AMQPVHost   `toml:"vhost"`
 }
 
-// AMQPTLS is the front under TLS; it is off without an address.
+// AMQPTLS configures the AMQP listener with TLS. Without an address there is none.
 type AMQPTLS struct {
 	Listen   string `toml:"listen"`
 	Cert     string `toml:"cert"`
 	Key      string `toml:"key"`
-	ClientCA string `toml:"client_ca"` // who may sign clients' certificates; empty: none are asked for
-	Require  bool   `toml:"require"`   // clients without one are refused
-	Revoked  string `toml:"revoked"`   // the CA's list of certificates that were taken back
+	ClientCA string `toml:"client_ca"` // the CA of client certificates; empty: none are requested
+	Require  bool   `toml:"require"`   // refuse clients without a certificate
+	Revoked  string `toml:"revoked"`   // the CA's certificate revocation list
 }
 
-// AMQPUser is one login.
-type AMQPUser struct {
+// AMQPAccount is the login of one user.
+type AMQPAccount struct {
 	Name        string `toml:"name"`
-	Password    string `toml:"password"` // its bcrypt hash
-	Certificate string `toml:"certificate"`
+	Password    string `toml:"password"`    // the bcrypt hash of the password
+	Certificate string `toml:"certificate"` // the name in a client certificate that logs in as this user
 }
 
 // AMQPVHost is one virtual host.
 type AMQPVHost struct {
 	Name         string           `toml:"name"`
 	Exchange     string           `toml:"exchange"`
-	Destinations []int64          `toml:"destinations"` // empty: all
-	Permissions  []AMQPPermission `toml:"permission"`   // none: every user may do everything
+	Destinations []int64          `toml:"destinations"` // those that can be published to; empty: all
+	Permissions  []AMQPPermission `toml:"permission"`   // empty: every user may do everything
 }
 
-// AMQPPermission is what one user may do in a host.
+// AMQPPermission is what one user may do in a virtual host.
 type AMQPPermission struct {
 	User    string `toml:"user"`
-	Publish string `toml:"publish"` // a pattern for routing keys
-	Read    string `toml:"read"`    // a pattern for names of queues
+	Publish string `toml:"publish"` // a regular expression for routing keys
+	Read    string `toml:"read"`    // a regular expression for queue names
 }
 
-// RouteTLS says how a route's target is verified, and which certificate this sender presents.
+// RouteTLS configures how a route's target is verified, and which certificate this sender presents to it.
 type RouteTLS struct {
-	CA      string `toml:"ca,omitempty"`   // empty: those of this machine
-	Name    string `toml:"name,omitempty"` // who the target must be; empty: the host of its address
+	CA      string `toml:"ca,omitempty"`   // empty: the CAs that this machine trusts
+	Name    string `toml:"name,omitempty"` // the expected name in the target's certificate; empty: the host of its address
 	Cert    string `toml:"cert,omitempty"`
 	Key     string `toml:"key,omitempty"`
 	Revoked string `toml:"revoked,omitempty"`
 }
 
-// Secure holds the TLS configurations made of the files of keys.
+// Secure holds the TLS configurations, with the certificates and keys read from their files.
 type Secure struct {
-	Server  *tls.Config            // nil: no listener under TLS
-	Targets map[string]*tls.Config // by route; for those that speak TLS
+	Server  *tls.Config            // of the AMQP listener; nil: it has no TLS
+	Targets map[string]*tls.Config // of the routes with TLS, by route name
 }
 
-// RenewBefore is the time left at which a certificate should be renewed.
+// RenewBefore is how long before its expiry a certificate should be renewed.
 const RenewBefore = 30 * 24 * time.Hour
 
-// Renew returns the own certificates that should be renewed by now and when they expire: "amqp" for the listener,
-// "route NAME" for a route.
+// Renew returns the certificates of this sender that should be renewed by now, and when they expire. The keys are
+// "amqp" for the listener's and "route NAME" for a route's.
 func (s *Secure) Renew(now time.Time) map[string]time.Time {
-	list := map[string]time.Time{}
+	due := map[string]time.Time{}
 	add := func(name string, cfg *tls.Config) {
 		if expires := certs.Expires(cfg); !expires.IsZero() && expires.Sub(now) < RenewBefore {
-			list[name] = expires
+			due[name] = expires
 		}
 	}
 	add("amqp", s.Server)
 	for name, cfg := range s.Targets {
 		add("route "+name, cfg)
 	}
-	return list
+	return due
 }
 
-// Serves tells whether there is an AMQP front.
+// Serves reports whether there is an AMQP front.
 func (a *AMQP) Serves() bool { return a.Listen != "" || a.TLS.Listen != "" }
 
-// amqpPolicy makes the access policy of the file's users and virtual hosts. The plain keys stand for one user and the
-// root host.
-func (c *Config) amqpPolicy(path string) error {
+// setAccessPolicy builds the access policy from the file's accounts and virtual hosts. The keys amqp.user and
+// amqp.password define a single user, and amqp.exchange the root virtual host.
+func (c *Config) setAccessPolicy(path string) error {
 	users, err := c.AMQP.users(path)
 	if err != nil {
 		return err
@@ -111,72 +111,75 @@
 	policy, err := access.New(users, c.AMQP.hosts())
 	var invalid *access.Error
 	if errors.As(err, &invalid) {
-		list := string(invalid.List)
+		section := string(invalid.List)
 		if invalid.List == access.ListUsers {
-			list = "account"
+			section = "account"
 		}
-		return fault(fmt.Sprintf("%s: amqp.%s[%d].%s", path, list, invalid.Index, invalid.Key), "%w", invalid.Err)
+		return keyErrorf(fmt.Sprintf("%s: amqp.%s[%d].%s", path, section, invalid.Index, invalid.Key), "%w", invalid.Err)
 	}
 	c.Policy = policy
 	return err
 }
 
+// users returns the users of the access policy: the single login, or the accounts.
 func (a *AMQP) users(path string) ([]access.User, error) {
 	var users []access.User
-	hasPlain := a.User != "" || a.Password != ""
-	if len(a.Users) > 0 && hasPlain {
-		return nil, fault(path+": amqp.user", "stands beside amqp.account: one of them must go")
+	hasSingleLogin := a.User != "" || a.Password != ""
+	if len(a.Accounts) > 0 && hasSingleLogin {
+		return nil, keyErrorf(path+": amqp.user", "cannot be combined with amqp.account")
 	}
-	if hasPlain {
+	if hasSingleLogin {
 		users = append(users, access.User{Name: a.User, Hash: access.Plain(a.Password)})
 	}
-	for i, user := range a.Users {
-		if strings.HasPrefix(user.Password, access.Plain("")) { // the prefix is internal: files must not use it
-			return nil, fault(fmt.Sprintf("%s: amqp.account[%d].password", path, i),
-				"is no bcrypt hash: brackendale passwd makes one")
+	for i, account := range a.Accounts {
+		if strings.HasPrefix(account.Password, access.Plain("")) { // the prefix is internal: a file must not use it
+			return nil, keyErrorf(fmt.Sprintf("%s: amqp.account[%d].password", path, i),
+				"is not a bcrypt hash: create one with brackendale passwd")
 		}
-		users = append(users, access.User{Name: user.Name, Hash: user.Password, Certificate: user.Certificate})
+		users = append(users, access.User{Name: account.Name, Hash: account.Password, Certificate: account.Certificate})
 	}
 	return users, nil
 }
 
+// hosts returns the virtual hosts of the access policy. The root host is added if it is configured, or if it would be
+// the only one.
 func (a *AMQP) hosts() []access.Host {
 	var hosts []access.Host
-	for _, vhost := range a.Hosts {
+	for _, vhost := range a.VHosts {
 		host := access.Host{Name: vhost.Name, Exchange: vhost.Exchange, Destinations: vhost.Destinations}
 		for _, permission := range vhost.Permissions {
 			host.Permissions = append(host.Permissions, access.Permission(permission))
 		}
 		hosts = append(hosts, host)
 	}
-	if len(a.Hosts) == 0 || a.Exchange != "" {
+	if len(a.VHosts) == 0 || a.Exchange != "" {
 		hosts = append(hosts, access.Host{Name: access.Root, Exchange: a.Exchange})
 	}
 	return hosts
 }
 
-// besideFile resolves a name that the file at path gives, relative to that file's folder.
-func besideFile(path, name string) string {
+// resolvePath resolves a file name in the configuration file at path, relative to that file's folder.
+func resolvePath(path, name string) string {
 	if name == "" || filepath.IsAbs(name) {
 		return name
 	}
 	return filepath.Join(filepath.Dir(path), name)
 }
 
-// amqpKeys reads the files of keys and certificates of the listener and the routes.
-func (c *Config) amqpKeys(path string, routes []Route) error {
+// loadTLS reads the key and certificate files of the listener and the routes.
+func (c *Config) loadTLS(path string, routes []Route) error {
 	if listener := c.AMQP.TLS; listener != (AMQPTLS{}) {
 		if _, _, err := net.SplitHostPort(listener.Listen); err != nil {
-			return fault(path+": amqp.tls.listen", "%q: %w", listener.Listen, err)
+			return keyErrorf(path+": amqp.tls.listen", "%q: %w", listener.Listen, err)
 		}
 		cfg, err := certs.Server(certs.Files{
-			Cert:    besideFile(path, listener.Cert),
-			Key:     besideFile(path, listener.Key),
-			CA:      besideFile(path, listener.ClientCA),
-			Revoked: besideFile(path, listener.Revoked),
+			Cert:    resolvePath(path, listener.Cert),
+			Key:     resolvePath(path, listener.Key),
+			CA:      resolvePath(path, listener.ClientCA),
+			Revoked: resolvePath(path, listener.Revoked),
 		}, listener.Require, time.Now)
 		if err != nil {
-			return fault(path+": amqp.tls", "%w", err)
+			return keyErrorf(path+": amqp.tls", "%w", err)
 		}
 		c.Secure.Server = cfg
 	}
@@ -186,33 +189,33 @@
 		target, err := amqp.ParseURL(route.Dial)
 		if route.Proto != protoAMQP || err != nil || !target.TLS {
 			if route.TLS != nil {
-				return fault(key, "is for routes whose dial begins with amqps://")
+				return keyErrorf(key, "applies only to routes whose dial begins with amqps://")
 			}
 			continue
 		}
 		cfg, err := route.clientTLS(path, target.Addr)
 		if err != nil {
-			return fault(key, "%w", err)
+			return keyErrorf(key, "%w", err)
 		}
 		c.Secure.Targets[route.Name] = cfg
 	}
 	return nil
 }
 
-// clientTLS is the TLS configuration of a route whose target is at addr.
+// clientTLS returns the TLS configuration for connections of a route whose target is at addr.
 func (r *Route) clientTLS(path, addr string) (*tls.Config, error) {
-	var keys RouteTLS
+	var settings RouteTLS
 	if r.TLS != nil {
-		keys = *r.TLS
+		settings = *r.TLS
 	}
-	name := keys.Name
+	name := settings.Name
 	if name == "" {
 		name, _, _ = net.SplitHostPort(addr)
 	}
 	return certs.Client(certs.Files{
-		Cert:    besideFile(path, keys.Cert),
-		Key:     besideFile(path, keys.Key),
-		CA:      besideFile(path, keys.CA),
-		Revoked: besideFile(path, keys.Revoked),
+		Cert:    resolvePath(path, settings.Cert),
+		Key:     resolvePath(path, settings.Key),
+		CA:      resolvePath(path, settings.CA),
+		Revoked: resolvePath(path, settings.Revoked),
 	}, name, time.Now)
 }
--- a/internal/config/clients_test.go
+++ b/internal/config/clients_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-const small = `[limits]
+const smallAppliance = `[limits]
 sockets = 1000
 [amqp]
 listen = "127.0.0.1:1"
@@ -22,25 +22,26 @@
 dial = "127.0.0.1:2"
 `
 
-// Clients get most of an appliance's descriptors and half of the platform's; a file on the platform may say otherwise.
+// By default clients may use 85 % of an appliance's descriptors and half of a platform sender's; the section [clients]
+// changes that in both cases.
 func TestSplitOfDescriptors(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		platform, appliance string
 		clients, targets    int
 	}{
-		{"", small, 850, 100},
-		{"", "[clients]\nshare = 0.9\ntargets = 0.05\n" + small, 900, 50},
-		{good, "", 100, 80},
-		{good, "[clients]\nshare = 0.25\n", 50, 80},
+		{"", smallAppliance, 850, 100},
+		{"", "[clients]\nshare = 0.9\ntargets = 0.05\n" + smallAppliance, 900, 50},
+		{validPlatform, "", 100, 80},
+		{validPlatform, "[clients]\nshare = 0.25\n", 50, 80},
 	} {
-		c, err := load(t, x.platform, x.appliance, nil)
-		if err != nil || c.ClientSockets() != x.clients || c.TargetSockets() != x.targets {
-			t.Errorf("%q: %d %d %v", x.appliance, c.ClientSockets(), c.TargetSockets(), err)
+		c, err := load(t, test.platform, test.appliance, nil)
+		if err != nil || c.ClientSockets() != test.clients || c.TargetSockets() != test.targets {
+			t.Errorf("%q: %d %d %v", test.appliance, c.ClientSockets(), c.TargetSockets(), err)
 		}
 	}
 }
 
-// Every key is checked, and the faulty one named.
+// An invalid value of each key is an error that names the key.
 func TestClientsKeys(t *testing.T) {
 	for text, key := range map[string]string{
 		"[clients]\nshare = 1.5\n":                  "clients.share",
@@ -58,16 +59,16 @@
 		"listen = \"127.0.0.1:1\"\ndiscovery = \"127.0.0.1:2\"\n" +
 			"[resp]\nlisten = \"127.0.0.1:1\"\nfinals = \"127.0.0.1:2\"\n": "resp.listen",
 	} {
-		file := text + small
+		file := text + smallAppliance
 		if strings.HasPrefix(text, "listen") {
-			file = text + strings.Split(small, "[[route]]")[0]
+			file = text + strings.Split(smallAppliance, "[[route]]")[0]
 		}
 		if _, err := load(t, "", file, nil); err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
 	for _, key := range []string{"first_s", "frame_s", "idle_s"} {
-		text := strings.Replace(small, "[amqp]\n", "[amqp]\n"+key+" = -1\n", 1)
+		text := strings.Replace(smallAppliance, "[amqp]\n", "[amqp]\n"+key+" = -1\n", 1)
 		if _, err := load(t, "", text, nil); err == nil || !strings.Contains(err.Error(), "amqp."+key) {
 			t.Errorf("%s: %v", key, err)
 		}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,7 @@
-// Package config is the one place where configuration is read, checked and given defaults.
+// Package config reads and checks the configuration and sets its defaults. It has up to three sources: the JSON file
+// of the platform that runs the sender (LB_CONFIG names it), the TOML file of an appliance, and the environment. An
+// appliance is a sender that an operator runs without the platform; a sender of the platform may have a TOML file too,
+// for an AMQP front, say.
 package config
 
 import (
@@ -17,18 +20,18 @@
 
 // The other environment variables of the configuration.
 const (
-	envConfig    = "LB_CONFIG" // the path of the platform's file
+	envConfig    = "LB_CONFIG" // the path of the platform's configuration file
 	envName      = "LB_NAME"
 	envListen    = "LB_LISTEN"
 	envDiscovery = "LB_DISCOVERY"
 	envControl   = "LB_CONTROL"
-	envAcceptFD  = "LB_ACCEPT_FD" // the number of an inherited socket
+	envAcceptFD  = "LB_ACCEPT_FD" // the descriptor of an inherited listening socket
 )
 
 // minAcceptFD is the first descriptor after the standard streams.
 const minAcceptFD = 3
 
-// Limits is what the machine gives the sender.
+// Limits are the resources of the machine that the sender may use. Sockets counts file descriptors of any kind.
 type Limits struct {
 	Cores    float64 `json:"cores" toml:"cores"`
 	MemoryMB float64 `json:"memory_mb" toml:"memory_mb"`
@@ -38,8 +41,8 @@
 
 // List is the registry's endpoint list, or an update of it.
 type List struct {
-	Seq   int64  `json:"seq"`
-	Whole bool   `json:"whole"` // not an update
+	Seq   int64  `json:"seq"`   // the version of the list
+	Whole bool   `json:"whole"` // Hosts is the complete list, not an update
 	Hosts []Host `json:"hosts"`
 }
 
@@ -51,11 +54,11 @@
 	Class  string  `json:"class"`
 	Block  int64   `json:"block"` // the destination
 	Health string  `json:"health"`
-	Share  float64 `json:"share"`
-	Proto  string  `json:"-"` // of the appliance's routes: http or amqp
+	Share  float64 `json:"share"` // the capacity hint
+	Proto  string  `json:"-"`     // http or amqp for an appliance's route; empty: the platform's own protocol
 }
 
-// JournalMB is the most that the journal may take of the state folder, in megabytes.
+// JournalMB returns the maximum size of the journal in the state folder, in megabytes.
 func (c *Config) JournalMB() float64 {
 	if c.Group.Is() {
 		return c.Limits.DiskMB - groupDiskMB
@@ -63,7 +66,7 @@
 	return c.Limits.DiskMB
 }
 
-// Console is the local control socket; it is off without a path.
+// Console configures the local control socket; without a path there is none.
 type Console struct {
 	Socket string `toml:"socket"`
 }
@@ -73,19 +76,19 @@
 	Name  string
 	State string // the path of the state folder
 
-	Listen    string // the platform's ingress; empty: none
-	Discovery string // the registry; empty: none
-	Control   string // the second address; empty: none
-	AcceptFD  int    // the clients' listening socket, inherited; 0: this process listens itself
-	Upgrade   bool   // hot restart: a new process may take this one's place while it serves
+	Listen    string // the address of the platform's ingress; empty: none
+	Discovery string // the address of the registry; empty: none
+	Control   string // the address of the HTTP admin server; empty: none
+	AcceptFD  int    // an inherited listening socket for clients; 0: this process opens its own
+	Upgrade   bool   // hot restart: a new process may take over from this one while it serves
 
 	Seed     Seed
 	Limits   Limits
-	Known    List // the endpoints at the start
+	Known    List // the endpoint list at the start
 	Settings scheduler.Settings
 
 	AMQP    AMQP
-	Policy  *access.Policy // of the AMQP ingress
+	Policy  *access.Policy // the access policy of the AMQP ingress
 	Secure  Secure
 	Clients Clients
 	Resp    Resp
@@ -94,7 +97,7 @@
 	Group   Group
 }
 
-// Seed is a seed in hexadecimal.
+// Seed is a random seed, written in hexadecimal.
 type Seed int64
 
 // UnmarshalJSON reads a string of up to sixteen hexadecimal digits.
@@ -108,36 +111,36 @@
 	return nil
 }
 
-// KeyError names the key that is at fault.
+// KeyError reports an invalid value of a configuration key.
 type KeyError struct {
 	Key string
 	Err error
 }
 
-// Error names the key and its fault.
+// Error returns the key and what is wrong with its value.
 func (e *KeyError) Error() string { return "configuration: " + e.Key + ": " + e.Err.Error() }
 
 // Unwrap returns the cause.
 func (e *KeyError) Unwrap() error { return e.Err }
 
-func fault(key, format string, args ...any) error {
+func keyErrorf(key, format string, args ...any) error {
 	return &KeyError{key, fmt.Errorf(format, args...)}
 }
 
-// Load reads the platform's file that LB_CONFIG names, the appliance's file, if one is given, and the
-// environment. What is read later counts more, but for the registry's address: the platform replaces it in
-// its file while the process runs, where the environment keeps the old one. So LB_DISCOVERY counts only
-// where no file names one.
-func Load(env func(string) string, file string) (Config, error) {
+// Load reads the platform's file that LB_CONFIG names, the appliance's file at appliancePath if that is not empty, and
+// the environment. A later source takes precedence over an earlier one, except for the registry's address: the
+// platform changes the address in its file while the process runs, and the environment still has the old one. So
+// LB_DISCOVERY is used only if no file names a registry.
+func Load(getenv func(string) string, appliancePath string) (Config, error) {
 	c := Config{Name: "brackendale", Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 1024, DiskMB: 3}}
-	if path := env(envConfig); path != "" {
-		if err := c.platform(path); err != nil {
+	if path := getenv(envConfig); path != "" {
+		if err := c.readPlatformFile(path); err != nil {
 			return c, err
 		}
 	}
 	c.Clients = platformClients
-	if file != "" {
-		if err := c.appliance(file, env(envConfig) == ""); err != nil {
+	if appliancePath != "" {
+		if err := c.readApplianceFile(appliancePath, getenv(envConfig) == ""); err != nil {
 			return c, err
 		}
 	}
@@ -145,24 +148,24 @@
 		envName: &c.Name, envListen: &c.Listen,
 		envDiscovery: &c.Discovery, EnvState: &c.State, envControl: &c.Control,
 	} {
-		if v := env(key); v != "" && (key != envDiscovery || c.Discovery == "") {
+		if v := getenv(key); v != "" && (key != envDiscovery || c.Discovery == "") {
 			*field = v
 		}
 	}
-	if v := env(envAcceptFD); v != "" {
+	if v := getenv(envAcceptFD); v != "" {
 		n, err := strconv.Atoi(v)
 		if err != nil || n < minAcceptFD {
-			return c, fault(envAcceptFD, "%q is no inherited descriptor: a number from 3 up", v)
+			return c, keyErrorf(envAcceptFD, "%q is not a descriptor number of 3 or more", v)
 		}
 		c.AcceptFD, c.Upgrade = n, true
 	}
 	return c, c.check()
 }
 
-// check returns the first fault of the whole configuration.
+// check returns an error for the first invalid value of the whole configuration.
 func (c *Config) check() error {
-	if st, err := os.Stat(c.State); c.State == "" || err != nil || !st.IsDir() {
-		return fault(EnvState, "%q is not a folder: the one that lasts must be named", c.State)
+	if info, err := os.Stat(c.State); c.State == "" || err != nil || !info.IsDir() {
+		return keyErrorf(EnvState, "%q is not a folder: set it to the persistent state folder", c.State)
 	}
 	for _, address := range []struct {
 		key, value string
@@ -174,7 +177,7 @@
 		{"control (LB_CONTROL)", c.Control, false},
 	} {
 		if _, _, err := net.SplitHostPort(address.value); err != nil && (address.required || address.value != "") {
-			return fault(address.key, "%q: %w", address.value, err)
+			return keyErrorf(address.key, "%q: %w", address.value, err)
 		}
 	}
 	if err := c.checkLimits(); err != nil {
@@ -187,32 +190,32 @@
 		return err
 	}
 	if _, err := scheduler.New(c.Settings, 0); err != nil {
-		return fault("settings", "%w", err)
+		return keyErrorf("settings", "%w", err)
 	}
 	for i, h := range c.Known.Hosts {
 		if h.Host == "" || h.Dial == "" {
-			return fault(fmt.Sprintf("known.hosts[%d]", i), "has no host or no dial")
+			return keyErrorf(fmt.Sprintf("known.hosts[%d]", i), "has no host or no dial")
 		}
 	}
 	return nil
 }
 
-// checkLimits checks the limits of the machine, and those of the AMQP connections.
+// checkLimits checks the section [limits], and the limits of AMQP connections.
 func (c *Config) checkLimits() error {
 	limits := c.Limits
 	switch {
 	case !(limits.Cores > 0):
-		return fault("limits.cores", "%v is not above 0", limits.Cores)
+		return keyErrorf("limits.cores", "%v is not above 0", limits.Cores)
 	case !(limits.MemoryMB >= 16):
-		return fault("limits.memory_mb", "%v is under 16", limits.MemoryMB)
+		return keyErrorf("limits.memory_mb", "%v is under 16", limits.MemoryMB)
 	case limits.Sockets < 32:
-		return fault("limits.sockets", "%d is under 32", limits.Sockets)
+		return keyErrorf("limits.sockets", "%d is under 32", limits.Sockets)
 	case !(limits.DiskMB >= 0.05):
-		return fault("limits.disk_mb", "%v is under 0.05", limits.DiskMB)
+		return keyErrorf("limits.disk_mb", "%v is under 0.05", limits.DiskMB)
 	case c.AMQP.Serves() && (c.AMQP.Channels < 1 || c.AMQP.Channels > 2047):
-		return fault("amqp.channels", "%d is not from 1 to 2047", c.AMQP.Channels)
+		return keyErrorf("amqp.channels", "%d is not from 1 to 2047", c.AMQP.Channels)
 	case c.AMQP.HeartbeatS < 0 || c.AMQP.HeartbeatS > 3600:
-		return fault("amqp.heartbeat_s", "%d is not from 0 to 3600", c.AMQP.HeartbeatS)
+		return keyErrorf("amqp.heartbeat_s", "%d is not from 0 to 3600", c.AMQP.HeartbeatS)
 	}
 	return nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,11 +8,13 @@
 	"testing"
 )
 
-const good = `{"name":"n3","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",
+const validPlatform = `{"name":"n3","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",
  "limits":{"cores":0.5,"memory_mb":100,"sockets":200,"disk_mb":2},"known":{"seq":41,"whole":true,"hosts":
  [{"host":"s","dial":"127.0.0.1:3","block":3,"health":"active"}]},
  "settings":{"lanes":[{"name":"a","effect":"once","hardLimitUs":9}],"familyInfo":{"workers":2},"caps":{"openCap":5}}}`
 
+// load loads a configuration from the text of the platform's file, of an appliance's file (either may be empty: no such
+// file) and environment variables. The state folder is a new one, unless env names another.
 func load(t *testing.T, platform, appliance string, env map[string]string) (Config, error) {
 	t.Helper()
 	dir := t.TempDir()
@@ -38,8 +40,9 @@
 	return Load(func(k string) string { return all[k] }, file)
 }
 
+// The platform's file is read, and LB_NAME takes precedence over its name.
 func TestPlatform(t *testing.T) {
-	c, err := load(t, good, "", map[string]string{"LB_NAME": "n4"})
+	c, err := load(t, validPlatform, "", map[string]string{"LB_NAME": "n4"})
 	if err != nil || c.Name != "n4" || c.Limits.DiskMB != 2 || c.Settings.Limits.MaxMessages != 5 ||
 		c.Known.Hosts[0].Block != 3 ||
 		uint64(c.Seed) != 0x8c1f30d27a5be964 || c.AMQP.Listen != "" || c.Console.Socket != "" {
@@ -47,19 +50,20 @@
 	}
 }
 
-// The file's registry is newer than the environment's once it was replaced under a running sender.
+// The platform's file takes precedence over LB_DISCOVERY: when the registry moves while the sender runs, the file
+// changes and the environment keeps the old address.
 func TestDiscoveryOfTheFileCounts(t *testing.T) {
 	env := map[string]string{"LB_DISCOVERY": "127.0.0.1:9"}
-	if c, err := load(t, good, "", env); err != nil || c.Discovery != "127.0.0.1:2" {
+	if c, err := load(t, validPlatform, "", env); err != nil || c.Discovery != "127.0.0.1:2" {
 		t.Fatal(c.Discovery, err)
 	}
-	if c, err := load(t, strings.Replace(good, `"discovery":"127.0.0.1:2",`, "", 1), "", env); err != nil ||
+	if c, err := load(t, strings.Replace(validPlatform, `"discovery":"127.0.0.1:2",`, "", 1), "", env); err != nil ||
 		c.Discovery != "127.0.0.1:9" {
 		t.Fatal(c.Discovery, err)
 	}
 }
 
-// The appliance's file that is shipped is valid, and its front listens where it says.
+// The shipped appliance file is valid. On the platform, an appliance's file may configure the AMQP front alone.
 func TestShippedAppliance(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/appliance.toml")
 	if err != nil {
@@ -69,12 +73,13 @@
 	if err != nil || c.AMQP.Listen == "" || len(c.Settings.Classes) != 3 || len(c.Known.Hosts) != 2 {
 		t.Fatal(c, err)
 	}
-	if c, err = load(t, good, "[amqp]\nlisten = \"127.0.0.1:5\"\n", nil); err != nil || c.AMQP.Listen != "127.0.0.1:5" {
+	if c, err = load(t, validPlatform, "[amqp]\nlisten = \"127.0.0.1:5\"\n", nil); err != nil ||
+		c.AMQP.Listen != "127.0.0.1:5" {
 		t.Fatal(c, err)
 	}
 }
 
-// A bad configuration stops the start with the key named.
+// An invalid configuration is an error that names the key.
 func TestBadKeys(t *testing.T) {
 	const class = "[amqp]\nlisten=\"127.0.0.1:5\"\n[[class]]\nname=\"a\"\neffect=\"once\"\naim_ms=1\n" +
 		"deadline_ms=2\nworth=1\n"
@@ -83,25 +88,25 @@
 		t.Fatal(err)
 	}
 	swap := func(text, old, with string) string { return strings.Replace(text, old, with, 1) }
-	for _, c := range []struct {
+	for _, test := range []struct {
 		platform, file string
 		env            map[string]string
 		key            string
 	}{
-		{good, "", map[string]string{"LB_STATE": "/nowhere"}, "LB_STATE"},
-		{good, "", map[string]string{"LB_LISTEN": "x"}, "LB_LISTEN"},
-		{swap(good, `"discovery":"127.0.0.1:2"`, `"discovery":"x"`), "", nil, "discovery"},
-		{swap(good, `"discovery":"127.0.0.1:2",`, ""), "", map[string]string{"LB_DISCOVERY": "x"}, "LB_DISCOVERY"},
-		{good, "", map[string]string{"LB_CONFIG": "/nowhere"}, "LB_CONFIG"},
+		{validPlatform, "", map[string]string{"LB_STATE": "/nowhere"}, "LB_STATE"},
+		{validPlatform, "", map[string]string{"LB_LISTEN": "x"}, "LB_LISTEN"},
+		{swap(validPlatform, `"discovery":"127.0.0.1:2"`, `"discovery":"x"`), "", nil, "discovery"},
+		{swap(validPlatform, `"discovery":"127.0.0.1:2",`, ""), "", map[string]string{"LB_DISCOVERY": "x"}, "LB_DISCOVERY"},
+		{validPlatform, "", map[string]string{"LB_CONFIG": "/nowhere"}, "LB_CONFIG"},
 		{"{", "", nil, "LB_CONFIG"},
-		{swap(good, `"cores":0.5`, `"cores":"x"`), "", nil, "limits.cores"},
-		{swap(good, `"cores":0.5`, `"cores":0`), "", nil, "limits.cores"},
-		{swap(good, `"memory_mb":100`, `"memory_mb":1`), "", nil, "limits.memory_mb"},
-		{swap(good, `"sockets":200`, `"sockets":2`), "", nil, "limits.sockets"},
-		{swap(good, `"disk_mb":2`, `"disk_mb":0`), "", nil, "limits.disk_mb"},
-		{swap(good, `"effect":"once"`, `"effect":"x"`), "", nil, "settings"},
-		{swap(good, `"dial":"127.0.0.1:3"`, `"dial":""`), "", nil, "known.hosts[0]"},
-		{swap(good, "8c1f", "zz"), "", nil, "LB_CONFIG"},
+		{swap(validPlatform, `"cores":0.5`, `"cores":"x"`), "", nil, "limits.cores"},
+		{swap(validPlatform, `"cores":0.5`, `"cores":0`), "", nil, "limits.cores"},
+		{swap(validPlatform, `"memory_mb":100`, `"memory_mb":1`), "", nil, "limits.memory_mb"},
+		{swap(validPlatform, `"sockets":200`, `"sockets":2`), "", nil, "limits.sockets"},
+		{swap(validPlatform, `"disk_mb":2`, `"disk_mb":0`), "", nil, "limits.disk_mb"},
+		{swap(validPlatform, `"effect":"once"`, `"effect":"x"`), "", nil, "settings"},
+		{swap(validPlatform, `"dial":"127.0.0.1:3"`, `"dial":""`), "", nil, "known.hosts[0]"},
+		{swap(validPlatform, "8c1f", "zz"), "", nil, "LB_CONFIG"},
 		{"", "nonsense", nil, "appliance.toml"},
 		{"", class + route + "colour=1\n", nil, "route.colour"},
 		{"", swap(class, "once", "x") + route, nil, "class[0].effect"},
@@ -116,7 +121,7 @@
 		{"", class + swap(route, "dest", "kind=\"k\"\ndest"), nil, "route[0].kind"},
 		{"", "[sender]\nslots=0\n" + class + route, nil, "sender"},
 		{"", "[sender]\nsenders=0\n" + class + route, nil, "sender.senders"},
-		{good, class + route, nil, "class, kind, route, sender"},
+		{validPlatform, class + route, nil, "class, kind, route, sender"},
 		{
 			"", swap(class, "[[class", "user=\"u\"\n[[amqp.account]]\nname=\"a\"\ncertificate=\"c\"\n[[class") + route,
 			nil, "amqp.user",
@@ -139,18 +144,18 @@
 		{"", class + swap(swap(route, "http", "amqp"), "127.0.0.1:1", "amqps://h/?key=k") +
 			"[route.tls]\nca=\"nowhere\"\n", nil, "route[0].tls"},
 	} {
-		_, err := load(t, c.platform, c.file, c.env)
+		_, err := load(t, test.platform, test.file, test.env)
 		var ke *KeyError
-		if !errors.As(err, &ke) || !strings.Contains(ke.Key, c.key) {
-			t.Errorf("%s: %v", c.key, err)
+		if !errors.As(err, &ke) || !strings.Contains(ke.Key, test.key) {
+			t.Errorf("%s: %v", test.key, err)
 		}
 	}
 }
 
-// The number of senders is all that one of many knows of the others.
+// settings.replicasOfMe, the number of senders, may be any number that is not negative.
 func TestNumberOfSenders(t *testing.T) {
 	for n, ok := range map[string]bool{"0": true, "1": true, "3": true, "80": true, "10000": true, "-1": false} {
-		_, err := load(t, strings.Replace(good, `"settings":{`, `"settings":{"replicasOfMe":`+n+`,`, 1), "", nil)
+		_, err := load(t, strings.Replace(validPlatform, `"settings":{`, `"settings":{"replicasOfMe":`+n+`,`, 1), "", nil)
 		var key *KeyError
 		if ok != (err == nil) || !ok && (!errors.As(err, &key) || key.Key != "settings.replicasOfMe") {
 			t.Errorf("%s senders: %v", n, err)
@@ -158,8 +163,8 @@
 	}
 }
 
-// Each key of the settings that is out of its range, or of another type, stops the start and is
-// named; what is missing has its default.
+// A key of the settings that is out of its range or has the wrong type is an error that names the key. Missing and
+// unknown keys are no errors.
 func TestSettingsKeys(t *testing.T) {
 	const base = `"settings":{`
 	for _, c := range []struct{ more, key string }{
@@ -177,7 +182,7 @@
 		{`"caps":{},"rules":{},"report":{},`, ""},
 		{`"somethingNew":{"a":[1,2]},`, ""},
 	} {
-		_, err := load(t, strings.Replace(good, base, base+c.more, 1), "", nil)
+		_, err := load(t, strings.Replace(validPlatform, base, base+c.more, 1), "", nil)
 		var key *KeyError
 		if c.key == "" && err != nil || c.key != "" && (!errors.As(err, &key) || !strings.Contains(err.Error(), c.key)) {
 			t.Errorf("%s: %v", c.more, err)
@@ -194,10 +199,10 @@
 		{`{"name":"a","effect":"once","hardLimitUs":9}`, ``, "settings.lanes"},
 		{`"workers":`, `"workers":-`, "settings.familyInfo.workers"},
 	} {
-		if !strings.Contains(good, c.old) {
+		if !strings.Contains(validPlatform, c.old) {
 			t.Fatal(c.old)
 		}
-		_, err := load(t, strings.Replace(good, c.old, c.with, 1), "", nil)
+		_, err := load(t, strings.Replace(validPlatform, c.old, c.with, 1), "", nil)
 		var key *KeyError
 		if !errors.As(err, &key) || key.Key != c.key {
 			t.Errorf("%s: %v", c.with, err)
--- a/internal/config/duty.go
+++ b/internal/config/duty.go
@@ -8,30 +8,31 @@
 	"slices"
 )
 
-// Duty is a [[duty]] of the file.
+// Duty is a [[duty]] of an appliance's file: a task or a right that the group grants to one or a few members at a time,
+// or a limit that all members share.
 type Duty struct {
 	Name      string `toml:"name"`
 	Kind      string `toml:"kind"`
 	URL       string `toml:"url"`
-	EveryMs   int64  `toml:"every_ms"`
-	LongestMs int64  `toml:"longest_ms"`
+	EveryMs   int64  `toml:"every_ms"`   // the interval between two executions
+	LongestMs int64  `toml:"longest_ms"` // the maximum duration of one execution
 
-	Dest   int64   `toml:"dest"`    // of a limit
-	PerS   float64 `toml:"per_s"`   // calls a second of all members together
-	AtOnce int     `toml:"at_once"` // of a roll: members that may be out
-	OutMs  int64   `toml:"out_ms"`  // for so long at most
+	Dest   int64   `toml:"dest"`    // of a limit: its destination
+	PerS   float64 `toml:"per_s"`   // of a limit: calls per second of all members together
+	AtOnce int     `toml:"at_once"` // of a roll: the number of members that may restart at the same time
+	OutMs  int64   `toml:"out_ms"`  // of a roll: the maximum downtime of a restart
 }
 
 // The kinds of duty.
 const (
-	DutyCall   = "call"   // one POST to a URL of the operator's
-	DutyReturn = "return" // one member alone probes unavailable routes, and all respect a Retry-After
-	DutyLimit  = "limit"  // a limit is divided among the members that are present
-	DutyRoll   = "roll"   // the right to be out for a restart
-	DutyVerify = "verify" // reading back the journal's check sums, one member at a time
+	DutyCall   = "call"   // a periodic POST to a URL of the operator
+	DutyReturn = "return" // one member alone probes unavailable routes, and all members respect a Retry-After
+	DutyLimit  = "limit"  // a rate limit that is divided among the members that are present
+	DutyRoll   = "roll"   // the right to restart, for rolling restarts
+	DutyVerify = "verify" // a periodic check of the journal's checksums, by one member at a time
 )
 
-// dutyKeys are the keys that a kind needs or may have, beside name and kind.
+// dutyKeys are the keys that each kind of duty requires or allows, besides name and kind.
 var dutyKeys = map[string][]string{
 	DutyCall:   {"url", "every_ms", "longest_ms"},
 	DutyReturn: {},
@@ -42,42 +43,42 @@
 
 // The bounds of a duty's keys, and the defaults of a roll.
 const (
-	maxDuties     = 256
-	minEveryMs    = 10
-	maxEveryMs    = 24 * 3600 * 1000
-	minPerS       = 0.1 // calls a second
-	maxPerS       = 1000
-	maxAtOnce     = 100
-	maxOutMs      = 3600_000
-	defaultAtOnce = 1
-	defaultOutMs  = 60_000
+	maxDuties            = 256
+	minIntervalMs        = 10
+	maxIntervalMs        = 24 * 3600 * 1000
+	minPerSecond         = 0.1 // calls a second
+	maxPerSecond         = 1000
+	concurrentLimit      = 100
+	downtimeLimitMs      = 3600_000
+	defaultMaxConcurrent = 1
+	defaultMaxDowntimeMs = 60_000
 )
 
-// dutySet is what the duties that were read so far have used up.
+// dutySet records the names, kinds and limited destinations of the duties that were read so far, to find duplicates.
 type dutySet struct {
 	names  map[string]bool
 	kinds  map[string]bool
 	limits map[int64]bool // destinations that have a limit
 }
 
-// readDuties checks the duties, sets their defaults and takes them.
+// readDuties checks the duties, sets their defaults and adds them to the group.
 func (g *Group) readDuties(path string, duties []Duty) error {
 	seen := dutySet{names: map[string]bool{}, kinds: map[string]bool{}, limits: map[int64]bool{}}
 	for i := range duties {
 		duty := &duties[i]
-		key := func(name string) string { return listKey(path, "duty", i, name) }
-		if err := groupName(duty.Name); err != nil {
-			return fault(key("name"), "%w", err)
+		key := func(name string) string { return entryKey(path, "duty", i, name) }
+		if err := checkGroupName(duty.Name); err != nil {
+			return keyErrorf(key("name"), "%w", err)
 		}
 		if seen.names[duty.Name] {
-			return fault(key("name"), "%q is there twice", duty.Name)
+			return keyErrorf(key("name"), "%q is a duplicate", duty.Name)
 		}
 		seen.names[duty.Name] = true
 		if err := duty.checkKeys(key); err != nil {
 			return err
 		}
 		if duty.Kind == DutyRoll {
-			duty.AtOnce, duty.OutMs = cmp.Or(duty.AtOnce, defaultAtOnce), cmp.Or(duty.OutMs, defaultOutMs)
+			duty.AtOnce, duty.OutMs = cmp.Or(duty.AtOnce, defaultMaxConcurrent), cmp.Or(duty.OutMs, defaultMaxDowntimeMs)
 		}
 		if err := seen.add(duty, key); err != nil {
 			return err
@@ -90,13 +91,13 @@
 	return nil
 }
 
-// checkKeys checks the kind, and that each key that is set is one of the kind's.
+// checkKeys checks the kind, and that the kind allows each key that is set.
 func (d *Duty) checkKeys(key func(string) string) error {
 	allowed, ok := dutyKeys[d.Kind]
 	if !ok {
-		return fault(key("kind"), "%q is no kind of duty: call, return, limit, roll or verify", d.Kind)
+		return keyErrorf(key("kind"), "%q is not one of call, return, limit, roll, verify", d.Kind)
 	}
-	for _, k := range []struct { // in the order of the manual: the first of several is reported
+	for _, entry := range []struct { // in the order of the manual: the first key that is not allowed is reported
 		name string
 		set  bool
 	}{
@@ -108,24 +109,25 @@
 		{"at_once", d.AtOnce != 0},
 		{"out_ms", d.OutMs != 0},
 	} {
-		if k.set && !slices.Contains(allowed, k.name) {
-			return fault(key(k.name), "is no key of a duty of the kind %s", d.Kind)
+		if entry.set && !slices.Contains(allowed, entry.name) {
+			return keyErrorf(key(entry.name), "is not a key of a duty of the kind %s", d.Kind)
 		}
 	}
 	return nil
 }
 
-// add refuses a second duty of a kind that a group has once, and a second limit of a destination.
+// add records a duty. It refuses a second duty of a kind that a group may have only once, and a second limit of a
+// destination.
 func (s *dutySet) add(duty *Duty, key func(string) string) error {
 	if (duty.Kind == DutyReturn || duty.Kind == DutyRoll) && s.kinds[duty.Kind] {
-		return fault(key("kind"), "there is a duty of the kind %s already", duty.Kind)
+		return keyErrorf(key("kind"), "a group can have only one duty of the kind %s", duty.Kind)
 	}
 	s.kinds[duty.Kind] = true
 	if duty.Kind != DutyLimit {
 		return nil
 	}
 	if s.limits[duty.Dest] {
-		return fault(key("dest"), "destination %d has a limit already", duty.Dest)
+		return keyErrorf(key("dest"), "destination %d already has a limit", duty.Dest)
 	}
 	s.limits[duty.Dest] = true
 	return nil
@@ -135,43 +137,43 @@
 func (g *Group) checkDuty(duty *Duty, key func(string) string) error {
 	switch duty.Kind {
 	case DutyCall:
-		if err := dutyURL(duty.URL, g.Open); err != nil {
-			return fault(key("url"), "%w", err)
+		if err := checkDutyURL(duty.URL, g.BeyondLoopback); err != nil {
+			return keyErrorf(key("url"), "%w", err)
 		}
 		return g.checkPeriod(duty, key)
 	case DutyVerify:
 		return g.checkPeriod(duty, key)
 	case DutyLimit:
-		if !(duty.PerS >= minPerS && duty.PerS <= maxPerS) {
-			return fault(key("per_s"), "%v is not from %v to %d", duty.PerS, minPerS, maxPerS)
+		if !(duty.PerS >= minPerSecond && duty.PerS <= maxPerSecond) {
+			return keyErrorf(key("per_s"), "%v is not from %v to %d", duty.PerS, minPerSecond, maxPerSecond)
 		}
 	case DutyRoll:
-		if duty.AtOnce < 1 || duty.AtOnce > maxAtOnce {
-			return fault(key("at_once"), "%d is not from 1 to %d", duty.AtOnce, maxAtOnce)
+		if duty.AtOnce < 1 || duty.AtOnce > concurrentLimit {
+			return keyErrorf(key("at_once"), "%d is not from 1 to %d", duty.AtOnce, concurrentLimit)
 		}
-		if duty.OutMs < g.LeaseMs || duty.OutMs > maxOutMs {
-			return fault(key("out_ms"), "%d is not from %d to %d", duty.OutMs, g.LeaseMs, maxOutMs)
+		if duty.OutMs < g.LeaseMs || duty.OutMs > downtimeLimitMs {
+			return keyErrorf(key("out_ms"), "%d is not from %d to %d", duty.OutMs, g.LeaseMs, downtimeLimitMs)
 		}
 	}
 	return nil
 }
 
-// checkPeriod checks how often a duty acts, and for how long at most.
+// checkPeriod checks the interval and the maximum duration of a duty's executions.
 func (g *Group) checkPeriod(duty *Duty, key func(string) string) error {
-	// An act has to fit between two heartbeats of its lease holder, one of which may fail.
-	longest := int64(float64(g.LeaseMs)*(1-g.Drift)) - g.LeaseMs/2
+	// An execution has to fit between two heartbeats of its lease holder, one of which may fail.
+	maxDuration := int64(float64(g.LeaseMs)*(1-g.Drift)) - g.LeaseMs/2
 	switch {
-	case duty.EveryMs < minEveryMs || duty.EveryMs > maxEveryMs:
-		return fault(key("every_ms"), "%d is not from %d to %d", duty.EveryMs, minEveryMs, maxEveryMs)
-	case duty.LongestMs < 1 || duty.LongestMs > longest:
-		return fault(key("longest_ms"), "%d is not from 1 to %d: an act has to be over while its lease (lease_ms = "+
-			"%d) lasts", duty.LongestMs, longest, g.LeaseMs)
+	case duty.EveryMs < minIntervalMs || duty.EveryMs > maxIntervalMs:
+		return keyErrorf(key("every_ms"), "%d is not from %d to %d", duty.EveryMs, minIntervalMs, maxIntervalMs)
+	case duty.LongestMs < 1 || duty.LongestMs > maxDuration:
+		return keyErrorf(key("longest_ms"), "%d is not from 1 to %d: an execution has to end before its lease (lease_ms = "+
+			"%d) expires", duty.LongestMs, maxDuration, g.LeaseMs)
 	}
 	return nil
 }
 
-// dutyURL checks the URL of a call; it goes to an address that the group could use too.
-func dutyURL(text string, open bool) error {
+// checkDutyURL checks the URL of a call. Its address has to be one that the group itself may use.
+func checkDutyURL(text string, beyondLoopback bool) error {
 	u, err := url.Parse(text)
 	if err != nil {
 		return err
@@ -179,9 +181,9 @@
 	if u.Scheme != "http" || u.Host == "" || u.User != nil {
 		return fmt.Errorf("%q is not of the form http://ADDRESS:PORT/PATH", text)
 	}
-	at := u.Host
+	addr := u.Host
 	if u.Port() == "" {
-		at = net.JoinHostPort(u.Hostname(), "80")
+		addr = net.JoinHostPort(u.Hostname(), "80")
 	}
-	return groupAddr(at, open)
+	return checkGroupAddr(addr, beyondLoopback)
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -25,16 +25,16 @@
 	"github.com/BurntSushi/toml"
 )
 
-// The golden files hold the names that operators write: keys, variables and the texts of errors. After a change that is
-// meant, go test ./internal/config -run Golden -update-golden writes them anew.
+// The golden files hold the names that operators use: keys, environment variables and error messages. After an
+// intended change, go test ./internal/config -run Golden -update-golden rewrites them.
 
-// Every key of the platform's file and of the appliance's file.
+// Every key of the platform's file and of an appliance's file.
 func TestGoldenKeys(t *testing.T) {
 	golden.Check(t, "keys.json.txt", golden.Fields(reflect.TypeFor[platformFile](), "json"))
-	golden.Check(t, "keys.toml.txt", golden.Fields(reflect.TypeFor[file](), "toml"))
+	golden.Check(t, "keys.toml.txt", golden.Fields(reflect.TypeFor[applianceFile](), "toml"))
 }
 
-// Every environment variable that the repository's programs name.
+// Every environment variable that the repository's programs read.
 func TestGoldenEnvironment(t *testing.T) {
 	variable := regexp.MustCompile(`^(LB|BRACKENDALE)_[A-Z_]+$`)
 	found := map[string]bool{}
@@ -55,7 +55,7 @@
 	golden.Check(t, "environment.txt", strings.Join(slices.Sorted(maps.Keys(found)), "\n")+"\n")
 }
 
-// sources lists the repository's Go files but for tests.
+// sources returns the paths of the repository's Go files except tests.
 func sources(t *testing.T) (list []string) {
 	t.Helper()
 	root := filepath.Join("..", "..")
@@ -79,8 +79,8 @@
 	return list
 }
 
-// siteKeys makes the files of keys that the full file names.
-func siteKeys(t *testing.T, dir string) {
+// makeSiteKeys creates the key and certificate files that full.toml names.
+func makeSiteKeys(t *testing.T, dir string) {
 	t.Helper()
 	s, err := certs.Make(dir, "site", 100, time.Now)
 	if err != nil {
@@ -94,17 +94,17 @@
 	}
 }
 
-// Two files set every key of the appliance together (some exclude each other), and what they are read as stays the
-// same.
+// Two files, full.toml and platform-like.toml, together set every key of an appliance's file (some keys exclude each
+// other). The golden files hold the configurations that result.
 func TestGoldenFullFiles(t *testing.T) {
 	known := map[string]bool{}
-	for _, line := range strings.Split(strings.TrimSpace(golden.Fields(reflect.TypeFor[file](), "toml")), "\n") {
+	for _, line := range strings.Split(strings.TrimSpace(golden.Fields(reflect.TypeFor[applianceFile](), "toml")), "\n") {
 		name, _, _ := strings.Cut(line, " ")
 		known[strings.NewReplacer("(omitempty)", "", "[]", "").Replace(name)] = true
 	}
 	for _, name := range []string{"full", "platform-like"} {
 		dir := t.TempDir()
-		siteKeys(t, filepath.Join(dir, "keys"))
+		makeSiteKeys(t, filepath.Join(dir, "keys"))
 		raw, err := os.ReadFile(filepath.Join("testdata", name+".toml"))
 		if err != nil {
 			t.Fatal(err)
@@ -115,14 +115,14 @@
 		}
 		c, err := Load(func(string) string { return "" }, path)
 		if err == nil || !strings.Contains(err.Error(), "LB_STATE") {
-			t.Errorf("%s: its state is no folder, and %v", name, err)
+			t.Errorf("%s: the state folder does not exist, but the error is %v", name, err)
 		}
 		c, err = Load(func(key string) string { return map[string]string{"LB_STATE": dir}[key] }, path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		golden.Check(t, name+".config.txt", strings.ReplaceAll(dump(t, &c), dir, "DIR"))
-		var f file
+		golden.Check(t, name+".config.txt", strings.ReplaceAll(formatConfig(t, &c), dir, "DIR"))
+		var f applianceFile
 		md, err := toml.DecodeFile(path, &f)
 		if err != nil {
 			t.Fatal(err)
@@ -132,11 +132,11 @@
 		}
 	}
 	if len(known) > 0 {
-		t.Errorf("no full file sets %v", slices.Sorted(maps.Keys(known)))
+		t.Errorf("keys that neither file sets: %v", slices.Sorted(maps.Keys(known)))
 	}
 }
 
-// The platform's file with every key, as it is read.
+// The configuration that results from full.json, a platform's file with every key.
 func TestGoldenFullPlatform(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join("testdata", "full.json"))
 	if err != nil {
@@ -146,21 +146,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Check(t, "platform.config.txt", strings.ReplaceAll(dump(t, &c), c.State, "DIR"))
+	golden.Check(t, "platform.config.txt", strings.ReplaceAll(formatConfig(t, &c), c.State, "DIR"))
 	var text map[string]any
 	if err := json.Unmarshal(raw, &text); err != nil {
 		t.Fatal(err)
 	}
 	for _, line := range strings.Split(strings.TrimSpace(golden.Fields(reflect.TypeFor[platformFile](), "json")), "\n") {
 		name, _, _ := strings.Cut(line, " ")
-		if !has(text, strings.Split(name, ".")) {
-			t.Errorf("the full file does not set %s", name)
+		if !hasKey(text, strings.Split(name, ".")) {
+			t.Errorf("full.json does not set %s", name)
 		}
 	}
 }
 
-// has tells whether a decoded text has a key; a list counts by its first entry.
-func has(v any, path []string) bool {
+// hasKey reports whether a decoded JSON value has the key at path. Of a list only the first entry is checked.
+func hasKey(v any, path []string) bool {
 	if len(path) == 0 {
 		return true
 	}
@@ -171,18 +171,18 @@
 	name, isList := strings.CutSuffix(path[0], "[]")
 	next, ok := m[name]
 	if !ok || !isList {
-		return ok && has(next, path[1:])
+		return ok && hasKey(next, path[1:])
 	}
 	list, ok := next.([]any)
-	return ok && len(list) > 0 && has(list[0], path[1:])
+	return ok && len(list) > 0 && hasKey(list[0], path[1:])
 }
 
-// dump writes a configuration by the names that files use, not by those of the code. Parts that no file names have
-// words here.
-func dump(t *testing.T, c *Config) string {
+// formatConfig formats a configuration with the names of the files' keys, not those of the Go fields. Parts without a
+// key get names here.
+func formatConfig(t *testing.T, c *Config) string {
 	t.Helper()
 	var out strings.Builder
-	show(&out, "json", reflect.ValueOf(platformOf(c)), "json")
+	writeValue(&out, "json", reflect.ValueOf(toPlatformFile(c)), "json")
 	for _, part := range []struct {
 		name  string
 		value any
@@ -205,7 +205,7 @@
 		{"tls.server", c.Secure.Server != nil},
 		{"tls.targets", slices.Sorted(maps.Keys(c.Secure.Targets))},
 	} {
-		show(&out, part.name, reflect.ValueOf(part.value), "toml")
+		writeValue(&out, part.name, reflect.ValueOf(part.value), "toml")
 	}
 	for i, h := range c.Known.Hosts {
 		fmt.Fprintf(&out, "host[%d].proto = %q\n", i, h.Proto)
@@ -221,20 +221,20 @@
 	return out.String()
 }
 
-// show writes a value, a line for each part of it.
-func show(out *strings.Builder, path string, v reflect.Value, tag string) {
+// writeValue writes a value, one line for each field or entry.
+func writeValue(out *strings.Builder, path string, v reflect.Value, tag string) {
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
 			name, _, _ := strings.Cut(v.Type().Field(i).Tag.Get(tag), ",")
 			if name != "" && name != "-" {
-				show(out, path+"."+name, v.Field(i), tag)
+				writeValue(out, path+"."+name, v.Field(i), tag)
 			}
 		}
 	case reflect.Slice:
 		fmt.Fprintf(out, "%s has %d\n", path, v.Len())
 		for i := range v.Len() {
-			show(out, fmt.Sprintf("%s[%d]", path, i), v.Index(i), tag)
+			writeValue(out, fmt.Sprintf("%s[%d]", path, i), v.Index(i), tag)
 		}
 	case reflect.String:
 		fmt.Fprintf(out, "%s = %q\n", path, v)
@@ -243,32 +243,32 @@
 	}
 }
 
-// A value of another kind at each key of the platform's file: the error names the key.
+// A value of the wrong type at each key of the platform's file: the error names the key.
 func TestGoldenErrorsOfTypes(t *testing.T) {
 	var out strings.Builder
 	for _, line := range strings.Split(strings.TrimSpace(golden.Fields(reflect.TypeFor[platformFile](), "json")), "\n") {
 		name, _, _ := strings.Cut(line, " ")
-		text := wrong(strings.Split(name, "."))
+		text := objectAtKey(strings.Split(name, "."))
 		_, err := load(t, text, "", nil)
 		fmt.Fprintf(&out, "%s\n  %v\n", text, err)
 	}
 	golden.Check(t, "errors.json.txt", out.String())
 }
 
-// wrong is a text that has an object where a plain value belongs.
-func wrong(path []string) string {
+// objectAtKey returns a JSON text with an object at path, where a plain value belongs.
+func objectAtKey(path []string) string {
 	if len(path) == 0 {
 		return "{}"
 	}
 	name, list := strings.CutSuffix(path[0], "[]")
-	inner := wrong(path[1:])
+	inner := objectAtKey(path[1:])
 	if list {
 		inner = "[" + inner + "]"
 	}
 	return fmt.Sprintf("{%q:%s}", name, inner)
 }
 
-// Values out of range, in each file: the error's whole text.
+// The complete errors for invalid values in both files. Each line of bad.txt is one change of a valid file.
 func TestGoldenErrorsOfValues(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join("testdata", "full.toml"))
 	if err != nil {
@@ -279,11 +279,11 @@
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	siteKeys(t, filepath.Join(dir, "keys"))
+	makeSiteKeys(t, filepath.Join(dir, "keys"))
 	var out strings.Builder
 	try := func(file, old, with, text string) {
 		if strings.Count(text, old) == 0 {
-			t.Fatalf("%s has no %s", file, old)
+			t.Fatalf("%s does not contain %s", file, old)
 		}
 		path := filepath.Join(dir, file)
 		if err := os.WriteFile(path, []byte(strings.Replace(text, old, with, 1)), 0o600); err != nil {
@@ -305,15 +305,15 @@
 		old, with, ok := strings.Cut(strings.ReplaceAll(change, `\n`, "\n"), " -> ")
 		text := map[string]string{"full.toml": string(raw), "full.json": string(platform)}[file]
 		if !ok || text == "" {
-			t.Fatalf("not of the form FILE: OLD -> NEW: %s", line)
+			t.Fatalf("bad.txt: a line is not of the form FILE: OLD -> NEW: %s", line)
 		}
 		try(file, old, with, text)
 	}
 	golden.Check(t, "errors.values.txt", strings.ReplaceAll(out.String(), dir, "DIR"))
 }
 
-// platformOf is the configuration in the form of the platform's file.
-func platformOf(c *Config) platformFile {
+// toPlatformFile converts a configuration to the form of the platform's file.
+func toPlatformFile(c *Config) platformFile {
 	return platformFile{
 		Name: c.Name, Listen: c.Listen, Discovery: c.Discovery, Control: c.Control,
 		Seed: c.Seed, Limits: c.Limits, Known: c.Known, Settings: settings.Wire(&c.Settings),
--- a/internal/config/group.go
+++ b/internal/config/group.go
@@ -6,50 +6,52 @@
 	"strings"
 )
 
-// Group is the section [group]: senders that share duties. Without it there is no group.
+// Group is the section [group], which makes the sender a member of a group of senders that share duties. Without the
+// section there is no group.
 type Group struct {
-	Name    string   `toml:"name"`   // of this member, unique
-	Listen  string   `toml:"listen"` // its address of the group
-	Members []string `toml:"members"`
-	LeaseMs int64    `toml:"lease_ms"`
-	Drift   float64  `toml:"drift"`  // bound on how much too fast or too slow a member's clock runs
-	Weight  float64  `toml:"weight"` // of this member's part of the duties, relative to the others'
-	Open    bool     `toml:"beyond_loopback"`
+	Name           string   `toml:"name"`    // of this member, unique in the group
+	Listen         string   `toml:"listen"`  // the address for connections from other members
+	Members        []string `toml:"members"` // the voters, each as NAME=ADDRESS
+	LeaseMs        int64    `toml:"lease_ms"`
+	Drift          float64  `toml:"drift"`           // bound on the relative error of a member's clock rate
+	Weight         float64  `toml:"weight"`          // of this member's share of the duties, relative to the others'
+	BeyondLoopback bool     `toml:"beyond_loopback"` // allow addresses other than loopback
 
-	Voters map[string]string `toml:"-"` // of Members, by name
+	Voters map[string]string `toml:"-"` // the addresses of Members, by name
 	Duties []Duty            `toml:"-"`
 }
 
-// Is tells whether there is a group.
+// Is reports whether there is a group.
 func (g *Group) Is() bool { return g.Listen != "" }
 
 // The bounds of a group's settings.
 const (
 	minLeaseMs, maxLeaseMs = 200, 60_000
 	maxDrift               = 0.2
-	maxGroupName           = 64
+	maxNameBytes           = 64
 	maxWeight              = 1000
 )
 
-// groupDiskMB is the part of limits.disk_mb that a group's folder may take; the journal gets what remains.
+// groupDiskMB is the part of limits.disk_mb that is reserved for the group's folder; the rest is for the journal.
 const groupDiskMB = 2.0
 
-// readGroup checks the section [group] and the duties, and takes them. defined says that the file has the section, and
-// alone that there is no platform's file.
-func (c *Config) readGroup(path string, section Group, duties []Duty, defined, alone bool) error {
+// readGroup checks the section [group] and the duties, and sets c.Group. defined means that the file has the section,
+// and standalone that there is no platform's file.
+func (c *Config) readGroup(path string, section Group, duties []Duty, defined, standalone bool) error {
 	switch {
 	case !defined && len(duties) > 0:
-		return fault(path+": duty", "belongs to a group, and there is no section [group]")
+		return keyErrorf(path+": duty", "requires a section [group]")
 	case !defined:
 		return nil
-	case !alone:
-		return fault(path+": group", "belongs to appliances; the platform's senders share nothing (LB_CONFIG is set)")
+	case !standalone:
+		return keyErrorf(path+": group",
+			"is only for appliances: LB_CONFIG is set, and the platform's senders form no groups")
 	}
-	if err := groupName(section.Name); err != nil {
-		return fault(path+": group.name", "%w", err)
+	if err := checkGroupName(section.Name); err != nil {
+		return keyErrorf(path+": group.name", "%w", err)
 	}
-	if err := groupAddr(section.Listen, section.Open); err != nil {
-		return fault(path+": group.listen", "%w", err)
+	if err := checkGroupAddr(section.Listen, section.BeyondLoopback); err != nil {
+		return keyErrorf(path+": group.listen", "%w", err)
 	}
 	if err := section.readVoters(path); err != nil {
 		return err
@@ -58,10 +60,10 @@
 		return err
 	}
 	if len(duties) > maxDuties {
-		return fault(path+": duty", "%d duties: %d at most", len(duties), maxDuties)
+		return keyErrorf(path+": duty", "%d duties are more than %d", len(duties), maxDuties)
 	}
 	if c.Limits.DiskMB < 2*groupDiskMB {
-		return fault("limits.disk_mb", "%v is under %v: a group's folder takes %v of it", c.Limits.DiskMB,
+		return keyErrorf("limits.disk_mb", "%v is under %v: a group's folder takes %v of it", c.Limits.DiskMB,
 			2*groupDiskMB, groupDiskMB)
 	}
 	if err := section.readDuties(path, duties); err != nil {
@@ -78,17 +80,17 @@
 		key := fmt.Sprintf("%s: group.members[%d]", path, i)
 		name, addr, ok := strings.Cut(member, "=")
 		if !ok {
-			return fault(key, "%q is not of the form NAME=ADDRESS", member)
+			return keyErrorf(key, "%q is not of the form NAME=ADDRESS", member)
 		}
 		name, addr = strings.TrimSpace(name), strings.TrimSpace(addr)
-		if err := groupName(name); err != nil {
-			return fault(key, "%w", err)
+		if err := checkGroupName(name); err != nil {
+			return keyErrorf(key, "%w", err)
 		}
-		if err := groupAddr(addr, g.Open); err != nil {
-			return fault(key, "%w", err)
+		if err := checkGroupAddr(addr, g.BeyondLoopback); err != nil {
+			return keyErrorf(key, "%w", err)
 		}
 		if g.Voters[name] != "" {
-			return fault(key, "%s is there twice", name)
+			return keyErrorf(key, "%s is a duplicate", name)
 		}
 		g.Voters[name] = addr
 	}
@@ -98,36 +100,38 @@
 func (g *Group) checkBounds(path string) error {
 	switch n := len(g.Voters); {
 	case n != 1 && n != 3 && n != 5:
-		return fault(path+": group.members", "%d voters: 3 or 5 bear the loss of 1 or 2 (1 for a trial)", n)
+		return keyErrorf(path+": group.members",
+			"%d voters: there must be 3 or 5, which tolerate the loss of 1 or 2 (or 1, for a trial)", n)
 	case g.LeaseMs < minLeaseMs || g.LeaseMs > maxLeaseMs:
-		return fault(path+": group.lease_ms", "%d is not from %d to %d", g.LeaseMs, minLeaseMs, maxLeaseMs)
+		return keyErrorf(path+": group.lease_ms", "%d is not from %d to %d", g.LeaseMs, minLeaseMs, maxLeaseMs)
 	case !(g.Drift >= 0 && g.Drift <= maxDrift):
-		return fault(path+": group.drift", "%v is not from 0 to %v", g.Drift, maxDrift)
+		return keyErrorf(path+": group.drift", "%v is not from 0 to %v", g.Drift, maxDrift)
 	case !(g.Weight > 0 && g.Weight <= maxWeight):
-		return fault(path+": group.weight", "%v is not above 0 and up to %d", g.Weight, maxWeight)
+		return keyErrorf(path+": group.weight", "%v is not above 0 and up to %d", g.Weight, maxWeight)
 	}
 	return nil
 }
 
-// groupName checks a member's or a duty's name.
-func groupName(name string) error {
-	if name == "" || len(name) > maxGroupName || strings.ContainsAny(name, "= \t\r\n,+/#@\"") {
-		return fmt.Errorf("%q is no name: 1 to %d bytes without blanks, commas, quotes, slashes, =, +, # and @", name,
-			maxGroupName)
+// checkGroupName checks a member's or a duty's name.
+func checkGroupName(name string) error {
+	if name == "" || len(name) > maxNameBytes || strings.ContainsAny(name, "= \t\r\n,+/#@\"") {
+		return fmt.Errorf("%q is not a valid name: 1 to %d bytes without blanks, commas, quotes, slashes, =, +, # and @",
+			name, maxNameBytes)
 	}
 	return nil
 }
 
-// groupAddr checks an address; links between members are in the clear, so one beyond loopback needs beyond_loopback.
-func groupAddr(at string, open bool) error {
-	host, port, err := net.SplitHostPort(at)
+// checkGroupAddr checks an address. Links between members are not encrypted, so an address other than loopback needs
+// beyond_loopback.
+func checkGroupAddr(addr string, beyondLoopback bool) error {
+	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
 		return err
 	}
-	if ip := net.ParseIP(host); port == "" || port == "0" || !open && host != "localhost" &&
+	if ip := net.ParseIP(host); port == "" || port == "0" || !beyondLoopback && host != "localhost" &&
 		(ip == nil || !ip.IsLoopback()) {
-		return fmt.Errorf("%q is not an address of loopback; links are in the clear: beyond_loopback = true lets them "+
-			"go further", at)
+		return fmt.Errorf("%q is not a loopback address; links are not encrypted: beyond_loopback = true allows "+
+			"other addresses", addr)
 	}
 	return nil
 }
--- a/internal/config/group_test.go
+++ b/internal/config/group_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-const group = `[group]
+const groupSection = `[group]
 name = "a"
 listen = "127.0.0.1:7100"
 members = ["a=127.0.0.1:7100", "b=127.0.0.1:7101", "c=127.0.0.1:7102"]
 `
 
-const duties = `[[duty]]
+const dutySections = `[[duty]]
 name = "nightly"
 kind = "call"
 url = "http://127.0.0.1:9900/act"
@@ -35,10 +35,11 @@
 longest_ms = 200
 `
 
-// A group as an operator writes it, with its defaults; the journal leaves room for the group's
-// folder; without the section there is nothing of it.
+// The section [group] and its duties are read, with their defaults, and the journal's size leaves space for the group's
+// folder. Without the section there is no group.
 func TestGroupSection(t *testing.T) {
-	c, err := load(t, "", "[limits]\ndisk_mb = 16\n"+strings.TrimPrefix(small, "[limits]\n")+group+duties, nil)
+	c, err := load(t, "",
+		"[limits]\ndisk_mb = 16\n"+strings.TrimPrefix(smallAppliance, "[limits]\n")+groupSection+dutySections, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,14 +49,14 @@
 		g.Duties[3].OutMs != 60_000 || c.JournalMB() != 14 {
 		t.Errorf("%+v, journal %v", g, c.JournalMB())
 	}
-	if c, err := load(t, "", small, nil); err != nil || c.Group.Is() || c.JournalMB() != c.Limits.DiskMB {
+	if c, err := load(t, "", smallAppliance, nil); err != nil || c.Group.Is() || c.JournalMB() != c.Limits.DiskMB {
 		t.Errorf("%+v %v", c.Group, err)
 	}
 }
 
-// Every key is checked, and the faulty one named.
+// An invalid value of each key is an error that names the key.
 func TestGroupKeys(t *testing.T) {
-	swap := func(old, new string) string { return strings.Replace(group+duties, old, new, 1) }
+	swap := func(old, new string) string { return strings.Replace(groupSection+dutySections, old, new, 1) }
 	for text, key := range map[string]string{
 		swap(`name = "a"`, `name = "a b"`):                                               "group.name",
 		swap(`name = "a"`, ``):                                                           "group.name",
@@ -85,20 +86,22 @@
 		swap(`kind = "roll"`, "kind = \"roll\"\nout_ms = 5"):                             "duty[3].out_ms",
 		swap(`name = "restarts"`+"\nkind = \"roll\"", "name = \"r\"\nkind = \"return\""): "duty[3].kind",
 		swap(`name = "restarts"`+"\nkind = \"roll\"", "name = \"r\"\nkind = \"limit\"\ndest = 1\nper_s = 3"): "duty[3].dest",
-		duties:                       "duty",
+		dutySections:                 "duty",
 		swap("dest = 1", "dest = 9"): "duty[2].dest",
-		group + duties + "[[kind]]\nname = \"k\"\napart = true\n[[route]]\nname = \"r2\"\nkind = \"k\"\ndest = 1\n" +
+		groupSection + dutySections +
+			"[[kind]]\nname = \"k\"\napart = true\n[[route]]\nname = \"r2\"\nkind = \"k\"\ndest = 1\n" +
 			"proto = \"http\"\ndial = \"127.0.0.1:3\"\n": "duty[2].dest",
 	} {
-		file := "[limits]\ndisk_mb = 16\n" + strings.TrimPrefix(small, "[limits]\n") + text
+		file := "[limits]\ndisk_mb = 16\n" + strings.TrimPrefix(smallAppliance, "[limits]\n") + text
 		if _, err := load(t, "", file, nil); err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("%s: %v, want %s", text, err, key)
 		}
 	}
-	if _, err := load(t, "", small+group, nil); err == nil || !strings.Contains(err.Error(), "limits.disk_mb") {
-		t.Errorf("no room for the folder: %v", err)
+	if _, err := load(t, "", smallAppliance+groupSection, nil); err == nil ||
+		!strings.Contains(err.Error(), "limits.disk_mb") {
+		t.Errorf("too little disk space for the group's folder: %v", err)
 	}
-	if _, err := load(t, good, group, nil); err == nil || !strings.Contains(err.Error(), "group") {
-		t.Errorf("on the platform: %v", err)
+	if _, err := load(t, validPlatform, groupSection, nil); err == nil || !strings.Contains(err.Error(), "group") {
+		t.Errorf("a group on the platform: %v", err)
 	}
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -8,7 +8,7 @@
 	"brackendale/internal/settings"
 )
 
-// platformFile is the platform's configuration file, which LB_CONFIG names.
+// platformFile is the platform's configuration file, in JSON, which LB_CONFIG names.
 type platformFile struct {
 	Name      string            `json:"name"`
 	Listen    string            `json:"listen"`
@@ -20,19 +20,20 @@
 	Settings  settings.Settings `json:"settings"`
 }
 
-// platform reads the platform's file into the configuration. Keys that the file lacks keep their values.
-func (c *Config) platform(path string) error {
+// readPlatformFile reads the platform's file into the configuration. name and limits keep their values where the file
+// does not set them.
+func (c *Config) readPlatformFile(path string) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return fault(envConfig, "%w", err)
+		return keyErrorf(envConfig, "%w", err)
 	}
 	file := platformFile{Name: c.Name, Limits: c.Limits}
 	if err := json.Unmarshal(raw, &file); err != nil {
 		var wrongType *json.UnmarshalTypeError
 		if errors.As(err, &wrongType) {
-			return fault(envConfig+": "+wrongType.Field, "cannot be a %s", wrongType.Value)
+			return keyErrorf(envConfig+": "+wrongType.Field, "cannot be a %s", wrongType.Value)
 		}
-		return fault(envConfig, "%w", err)
+		return keyErrorf(envConfig, "%w", err)
 	}
 	c.Name, c.Listen, c.Discovery, c.Control = file.Name, file.Listen, file.Discovery, file.Control
 	c.Seed, c.Limits, c.Known = file.Seed, file.Limits, file.Known
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -7,20 +7,20 @@
 	"brackendale/scheduler"
 )
 
-// maxTimeUs bounds every time in the settings, in microseconds.
+// maxTimeUs is the maximum of every duration in the settings, in microseconds.
 const maxTimeUs = 1_000_000_000_000
 
 var idempotencies = []scheduler.Idempotency{scheduler.Idempotent, scheduler.IdempotentByKey, scheduler.NotIdempotent}
 
-// bound is the range of one key of the settings.
+// bound is the value of one key of the settings and its valid range.
 type bound struct {
-	key         string
-	value       float64
-	least, most float64
+	key              string
+	value            float64
+	minimum, maximum float64
 }
 
-// checkSettings returns the first key of the scheduler's settings that is out of its range. A missing key counts as 0,
-// which means no such limit or, for a time, the scheduler's own default.
+// checkSettings returns an error for the first key of the scheduler's settings that is out of its range. A missing key
+// has the value 0, which means that there is no such limit or, for a duration, the scheduler's default.
 func checkSettings(settings *scheduler.Settings) error {
 	list := senderBounds(settings)
 	seen := map[string]bool{}
@@ -28,24 +28,25 @@
 		key := fmt.Sprintf("lanes[%d].", i)
 		switch {
 		case class.Name == "" || seen[class.Name]:
-			return fault("settings."+key+"name", "%q is missing, or there twice", class.Name)
+			return keyErrorf("settings."+key+"name", "%q is missing or a duplicate", class.Name)
 		case !slices.Contains(idempotencies, class.Idempotency):
-			return fault("settings."+key+"effect", "%q is none of repeatable, by_key, once", class.Idempotency)
+			return keyErrorf("settings."+key+"effect", "%q is not one of repeatable, by_key, once", class.Idempotency)
 		}
 		seen[class.Name] = true
 		list = append(list, classBounds(key, class)...)
 	}
 	for _, b := range list {
-		if !(b.value >= b.least && b.value <= b.most) {
-			return fault("settings."+b.key, "%v is not from %v to %v", b.value, b.least, b.most)
+		if !(b.value >= b.minimum && b.value <= b.maximum) {
+			return keyErrorf("settings."+b.key, "%v is not from %v to %v", b.value, b.minimum, b.maximum)
 		}
 	}
 	if len(settings.Classes) == 0 {
-		return fault("settings.lanes", "there is no class")
+		return keyErrorf("settings.lanes", "is missing: at least one class is required")
 	}
 	return nil
 }
 
+// senderBounds returns the bounds of the settings other than those of classes.
 func senderBounds(settings *scheduler.Settings) []bound {
 	limits, rules := &settings.Limits, &settings.Rules
 	list := []bound{
@@ -77,13 +78,14 @@
 	return list
 }
 
-func classBounds(key string, class scheduler.Class) []bound {
+// classBounds returns the bounds of one class. prefix is the part of its keys before their names.
+func classBounds(prefix string, class scheduler.Class) []bound {
 	return []bound{
-		{key + "hardLimitUs", float64(class.DeadlineUs), 1, maxTimeUs},
-		{key + "aimUs", float64(class.LatencyObjectiveUs), 0, maxTimeUs},
-		{key + "aimStretch", class.ObjectivePerWork, 0, 1e9},
-		{key + "windowUs", float64(class.KeyWindowUs), 0, maxTimeUs},
-		{key + "worth", class.PriorityWeight, 0, 1e12},
-		{key + "lateValue", class.LateValue, 0, 1},
+		{prefix + "hardLimitUs", float64(class.DeadlineUs), 1, maxTimeUs},
+		{prefix + "aimUs", float64(class.LatencyObjectiveUs), 0, maxTimeUs},
+		{prefix + "aimStretch", class.ObjectivePerWork, 0, 1e9},
+		{prefix + "windowUs", float64(class.KeyWindowUs), 0, maxTimeUs},
+		{prefix + "worth", class.PriorityWeight, 0, 1e12},
+		{prefix + "lateValue", class.LateValue, 0, 1},
 	}
 }
