--- a/internal/app/idle_test.go
+++ b/internal/app/idle_test.go
@@ -297,10 +297,10 @@
 // A number of connections beyond the process's limit on open files is reported with the key and both numbers.
 func TestDescriptorsThatAreNotThere(t *testing.T) {
 	c := config.Config{Limits: config.Limits{Sockets: 5000}}
-	if err := c.Descriptors(5000); err != nil {
+	if err := c.CheckDescriptors(5000); err != nil {
 		t.Fatal(err)
 	}
-	err := c.Descriptors(1024)
+	err := c.CheckDescriptors(1024)
 	for _, want := range []string{"limits.sockets", "5000", "1024"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Fatal(err)
--- a/internal/app/incarnation.go
+++ b/internal/app/incarnation.go
@@ -131,7 +131,7 @@
 	go inc.shutDownOnSignal(ctx, leaveGroup)
 	warnOfExpiry(inc.log, inc.cfg)
 	inc.log.Info().Str("listen", inc.cfg.Listen).Str("amqp", inc.cfg.AMQP.Listen).
-		Str("amqps", inc.cfg.AMQP.TLS.Listen).Int("endpoints", len(inc.cfg.Known.Hosts)).Msg("serving")
+		Str("amqps", inc.cfg.AMQP.TLS.Listen).Int("endpoints", len(inc.cfg.Endpoints.Hosts)).Msg("serving")
 	return inc.serve(ctx)
 }
 
@@ -223,7 +223,7 @@
 
 // createPeers makes this sender a member of its group. It takes part once the peers are started.
 func (inc *incarnation) createPeers(context.Context) error {
-	if inc.cfg.Group.Is() {
+	if inc.cfg.Group.Enabled() {
 		inc.peers = newPeers(inc.core, inc.cfg, inc.log)
 		inc.options.Metrics.Include(inc.peers.group.CollectMetrics)
 	}
@@ -310,7 +310,7 @@
 
 // warnOfExpiry logs the certificates that expire soon.
 func warnOfExpiry(log zerolog.Logger, cfg config.Config) {
-	for name, expires := range cfg.Secure.Renew(time.Now()) {
+	for name, expires := range cfg.TLSConfigs.ExpiringCertificates(time.Now()) {
 		log.Warn().Str("of", name).Time("expires", expires).Msg("certificate expires soon: it is to be renewed")
 	}
 }
--- a/internal/app/limits.go
+++ b/internal/app/limits.go
@@ -27,7 +27,7 @@
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return fmt.Errorf("reading the limit on open files: %w", err)
 	}
-	err := cfg.Descriptors(limit.Cur)
+	err := cfg.CheckDescriptors(limit.Cur)
 	if err == nil || !onPlatform() {
 		return err
 	}
@@ -49,14 +49,14 @@
 	if ingress == platform.Front {
 		preset := platform.Limits(most)
 		limits.Patience, limits.Grace = preset.Patience, preset.Grace
-		limits.First = seconds(cfg.Resp.FirstS)
-		limits.Whole = seconds(cfg.Resp.CommandS)
-		limits.Unused = seconds(cfg.Resp.IdleS)
+		limits.First = seconds(cfg.Resp.FirstTimeoutS)
+		limits.Whole = seconds(cfg.Resp.CommandTimeoutS)
+		limits.Unused = seconds(cfg.Resp.IdleTimeoutS)
 		return limits
 	}
-	limits.First = seconds(cfg.AMQP.FirstS)
-	limits.Whole = seconds(cfg.AMQP.FrameS)
-	limits.Unused = seconds(cfg.AMQP.IdleS)
+	limits.First = seconds(cfg.AMQP.FirstTimeoutS)
+	limits.Whole = seconds(cfg.AMQP.FrameTimeoutS)
+	limits.Unused = seconds(cfg.AMQP.IdleTimeoutS)
 	return limits
 }
 
--- a/internal/app/office_test.go
+++ b/internal/app/office_test.go
@@ -87,7 +87,7 @@
 			<-r.Context().Done()
 			return
 		}
-		_ = json.NewEncoder(w).Encode(config.List{Seq: 1, Whole: true, Hosts: []config.Host{{
+		_ = json.NewEncoder(w).Encode(config.EndpointList{Seq: 1, Whole: true, Hosts: []config.Host{{
 			Host: "e1", Block: 7, Class: o.kind, Health: "active",
 			Dial: cmp.Or(o.dial, partner.Listener.Addr().String()),
 		}}})
--- a/internal/app/peers.go
+++ b/internal/app/peers.go
@@ -84,15 +84,15 @@
 	case config.DutyCall:
 		opt.Duties = append(opt.Duties, group.Duty{
 			Name:        duty.Name,
-			Every:       milliseconds(duty.EveryMs),
-			MaxDuration: milliseconds(duty.LongestMs),
+			Every:       milliseconds(duty.IntervalMs),
+			MaxDuration: milliseconds(duty.MaxDurationMs),
 			Execute:     group.HTTPExecutor(duty.URL),
 		})
 	case config.DutyVerify:
 		opt.Duties = append(opt.Duties, group.Duty{
 			Name:        duty.Name,
-			Every:       milliseconds(duty.EveryMs),
-			MaxDuration: milliseconds(duty.LongestMs),
+			Every:       milliseconds(duty.IntervalMs),
+			MaxDuration: milliseconds(duty.MaxDurationMs),
 			RoundRobin:  true,
 			Execute:     verifyJournal(cfg, p.log),
 		})
@@ -106,8 +106,8 @@
 	case config.DutyRoll:
 		opt.Rollouts = append(opt.Rollouts, group.Rollout{
 			Name:          duty.Name,
-			MaxConcurrent: duty.AtOnce,
-			MaxDowntime:   milliseconds(duty.OutMs),
+			MaxConcurrent: duty.ConcurrentRestarts,
+			MaxDowntime:   milliseconds(duty.MaxDowntimeMs),
 		})
 		opt.Notes[duty.Name] = "nobody is out, or see " + duty.Name + "#1"
 	}
@@ -118,7 +118,7 @@
 func (p *peers) sharedLimit(duty config.Duty, index int) group.Limit {
 	return group.Limit{
 		Name:   duty.Name,
-		Rate:   int64(duty.PerS * milliPerUnit),
+		Rate:   int64(duty.PerSecond * milliPerUnit),
 		Demand: func() int64 { return p.demand[index].Load() },
 		Apply: func(quota int64, until time.Duration, even int64) {
 			p.core.Inject(scheduler.Event{
--- a/internal/app/reload.go
+++ b/internal/app/reload.go
@@ -55,7 +55,7 @@
 			return
 		}
 		warnOfExpiry(inc.log, cfg)
-		inc.log.Info().Str("discovery", cfg.Discovery).Int("endpoints", len(cfg.Known.Hosts)).Msg("reloaded")
+		inc.log.Info().Str("discovery", cfg.Discovery).Int("endpoints", len(cfg.Endpoints.Hosts)).Msg("reloaded")
 	})
 }
 
--- a/internal/app/transport.go
+++ b/internal/app/transport.go
@@ -144,7 +144,7 @@
 		return &config.KeyError{Key: "discovery", Err: errDiscoveryFixed}
 	}
 	if t.registry == nil {
-		core.UpdateRoutes(scheduler.UpdateFull, platform.Routes(cfg.Known))
+		core.UpdateRoutes(scheduler.UpdateFull, platform.Routes(cfg.Endpoints))
 	} else {
 		t.registry.Move(cfg.Discovery)
 	}
@@ -153,9 +153,9 @@
 	}
 	if t.amqpIngress != nil {
 		t.amqpIngress.Follow(cfg.Policy)
-		t.serverTLS.Store(cfg.Secure.Server)
+		t.serverTLS.Store(cfg.TLSConfigs.Server)
 	}
-	t.amqpEgress.Secure(cfg.Secure.Targets)
+	t.amqpEgress.Secure(cfg.TLSConfigs.Targets)
 	t.clientRoom.SetMost(cfg.ClientSockets())
 	t.targetRoom.SetMost(cfg.TargetSockets())
 	for ingress, table := range t.tables {
@@ -168,4 +168,4 @@
 }
 
 // finalsAddr is where the final answers of RESP2 clients' messages are sent.
-func finalsAddr(cfg config.Config) string { return cmp.Or(cfg.Resp.Finals, cfg.Discovery) }
+func finalsAddr(cfg config.Config) string { return cmp.Or(cfg.Resp.FinalsAddr, cfg.Discovery) }
--- a/internal/app/transport_start.go
+++ b/internal/app/transport_start.go
@@ -62,7 +62,7 @@
 	params.core.AddEgress(platform.Proto, t.platformEgress)
 	connectTimeout := microseconds(params.cfg.Settings.Limits.ConnectTimeoutUs)
 	t.amqpEgress = amqpfront.NewEgress(params.core, params.reactor, connectTimeout, t.targetRoom)
-	t.amqpEgress.Secure(params.cfg.Secure.Targets)
+	t.amqpEgress.Secure(params.cfg.TLSConfigs.Targets)
 	t.amqpEgress.Gate = t.platformEgress.Gate // a destination may have endpoints of both protocols
 	t.stops = append(t.stops, params.reactor.AllowAllGracefulCloses, t.platformEgress.Stop, t.amqpEgress.Stop)
 	params.core.AddEgress(amqpfront.Proto, t.amqpEgress)
@@ -71,7 +71,7 @@
 // startRoutes takes the routes from the configuration or watches the registry for them.
 func (t *transport) startRoutes(params transportParams) {
 	if params.cfg.Discovery == "" {
-		params.core.UpdateRoutes(scheduler.UpdateFull, platform.Routes(params.cfg.Known))
+		params.core.UpdateRoutes(scheduler.UpdateFull, platform.Routes(params.cfg.Endpoints))
 		return
 	}
 	watched := platform.WatchOptions{
@@ -84,7 +84,7 @@
 		watched.Age = downtime
 	}
 	if params.handover == nil {
-		t.registry = platform.Watch(params.core, params.reactor, params.cfg.Discovery, params.cfg.Known, watched)
+		t.registry = platform.Watch(params.core, params.reactor, params.cfg.Discovery, params.cfg.Endpoints, watched)
 		return
 	}
 	routes, version := params.handover.Core.Routes, params.handover.ListVersion
@@ -134,7 +134,7 @@
 			return err
 		}
 	}
-	t.serverTLS.Store(params.cfg.Secure.Server)
+	t.serverTLS.Store(params.cfg.TLSConfigs.Server)
 	if addr := params.cfg.AMQP.TLS.Listen; addr != "" {
 		if err := t.listenTLS(params, addr, t.amqpIngress.Accept); err != nil {
 			return err
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -21,9 +21,9 @@
 			}
 			_, err = fmt.Fprintf(c.Root().Writer,
 				"ok: %s, %d classes, %d endpoints; of %d descriptors %d for clients, %d for targets\n",
-				cfg.Name, len(cfg.Settings.Classes), len(cfg.Known.Hosts), cfg.Limits.Sockets, cfg.ClientSockets(),
+				cfg.Name, len(cfg.Settings.Classes), len(cfg.Endpoints.Hosts), cfg.Limits.Sockets, cfg.ClientSockets(),
 				cfg.TargetSockets())
-			for name, expires := range cfg.Secure.Renew(time.Now()) {
+			for name, expires := range cfg.TLSConfigs.ExpiringCertificates(time.Now()) {
 				if err == nil {
 					_, err = fmt.Fprintf(c.Root().Writer, "renew the certificate of %s: it expires on %s\n", name,
 						expires.Format(time.DateOnly))
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -30,7 +30,7 @@
 	}
 	env := func(k string) string { return map[string]string{"LB_STATE": dir}[k] }
 	c, err := config.Load(env, out)
-	if err != nil || len(c.Known.Hosts) != 1 {
+	if err != nil || len(c.Endpoints.Hosts) != 1 {
 		t.Fatal(c, err)
 	}
 	before, err := os.ReadFile(out)
--- a/internal/cli/group.go
+++ b/internal/cli/group.go
@@ -66,7 +66,7 @@
 // groupConfig loads the configuration and requires the section [group].
 func groupConfig(c *cli.Command) (config.Config, error) {
 	cfg, err := config.Load(os.Getenv, c.String("config"))
-	if err == nil && !cfg.Group.Is() {
+	if err == nil && !cfg.Group.Enabled() {
 		err = errors.New("the file has no section [group]")
 	}
 	return cfg, err
--- a/internal/config/amqp.go
+++ b/internal/config/amqp.go
@@ -23,9 +23,9 @@
 	HeartbeatS int    `toml:"heartbeat_s"`
 	Channels   int    `toml:"channels"` // the maximum for one connection
 
-	FirstS float64 `toml:"first_s"` // timeout for the handshake; 0: none
-	FrameS float64 `toml:"frame_s"` // timeout for one frame, from its first byte to its last; 0: none
-	IdleS  float64 `toml:"idle_s"`  // a client without messages and final answers is disconnected after it; 0: never
+	FirstTimeoutS float64 `toml:"first_s"` // timeout for the handshake; 0: none
+	FrameTimeoutS float64 `toml:"frame_s"` // timeout for one frame, from its first byte to its last; 0: none
+	IdleTimeoutS  float64 `toml:"idle_s"`  // maximum time without messages and final answers; 0: none
 
 	TLS      AMQPTLS       `toml:"tls"`
 	Accounts []AMQPAccount `toml:"account"`
@@ -73,8 +73,8 @@
 	Revoked string `toml:"revoked,omitempty"`
 }
 
-// Secure holds the TLS configurations, with the certificates and keys read from their files.
-type Secure struct {
+// TLSConfigs holds the TLS configurations, with the certificates and keys read from their files.
+type TLSConfigs struct {
 	Server  *tls.Config            // of the AMQP listener; nil: it has no TLS
 	Targets map[string]*tls.Config // of the routes with TLS, by route name
 }
@@ -82,9 +82,9 @@
 // RenewBefore is how long before its expiry a certificate should be renewed.
 const RenewBefore = 30 * 24 * time.Hour
 
-// Renew returns the certificates of this sender that should be renewed by now, and when they expire. The keys are
-// "amqp" for the listener's and "route NAME" for a route's.
-func (s *Secure) Renew(now time.Time) map[string]time.Time {
+// ExpiringCertificates returns the certificates of this sender that should be renewed by now, and when they expire. The
+// keys are "amqp" for the listener's and "route NAME" for a route's.
+func (s *TLSConfigs) ExpiringCertificates(now time.Time) map[string]time.Time {
 	due := map[string]time.Time{}
 	add := func(name string, cfg *tls.Config) {
 		if expires := certs.Expires(cfg); !expires.IsZero() && expires.Sub(now) < RenewBefore {
@@ -181,9 +181,9 @@
 		if err != nil {
 			return keyErrorf(path+": amqp.tls", "%w", err)
 		}
-		c.Secure.Server = cfg
+		c.TLSConfigs.Server = cfg
 	}
-	c.Secure.Targets = map[string]*tls.Config{}
+	c.TLSConfigs.Targets = map[string]*tls.Config{}
 	for i, route := range routes {
 		key := fmt.Sprintf("%s: route[%d].tls", path, i)
 		target, err := amqp.ParseURL(route.Dial)
@@ -197,7 +197,7 @@
 		if err != nil {
 			return keyErrorf(key, "%w", err)
 		}
-		c.Secure.Targets[route.Name] = cfg
+		c.TLSConfigs.Targets[route.Name] = cfg
 	}
 	return nil
 }
--- a/internal/config/appliance.go
+++ b/internal/config/appliance.go
@@ -77,8 +77,8 @@
 		Name: c.Name, State: c.State, Listen: c.Listen, Discovery: c.Discovery, Control: c.Control,
 		Limits: c.Limits,
 	}
-	file.AMQP = AMQP{HeartbeatS: 10, Channels: 64, FirstS: 10, FrameS: 10}
-	file.Resp = Resp{FirstS: 10, CommandS: 2}
+	file.AMQP = AMQP{HeartbeatS: 10, Channels: 64, FirstTimeoutS: 10, FrameTimeoutS: 10}
+	file.Resp = Resp{FirstTimeoutS: 10, CommandTimeoutS: 2}
 	file.Group = Group{LeaseMs: 1000, Drift: 0.01, Weight: 1}
 	if file.Clients = platformClients; standalone {
 		file.Clients = applianceClients
--- a/internal/config/appliance_settings.go
+++ b/internal/config/appliance_settings.go
@@ -150,7 +150,7 @@
 		if route.Drain {
 			health = healthLeaving
 		}
-		c.Known.Hosts = append(c.Known.Hosts, Host{
+		c.Endpoints.Hosts = append(c.Endpoints.Hosts, Host{
 			Host:   route.Name,
 			Dial:   route.Dial,
 			Class:  route.Kind,
--- a/internal/config/clients.go
+++ b/internal/config/clients.go
@@ -15,11 +15,11 @@
 
 // Resp configures the RESP2 front of an appliance. Without an address to listen on there is none.
 type Resp struct {
-	Listen   string  `toml:"listen"`
-	Finals   string  `toml:"finals"`    // the address that receives final answers other than delivered: POST /v2/finals
-	FirstS   float64 `toml:"first_s"`   // timeout for a client's first complete command; 0: none
-	CommandS float64 `toml:"command_s"` // timeout for one command, from its first byte to its last; 0: none
-	IdleS    float64 `toml:"idle_s"`    // an idle client is disconnected after it; 0: never
+	Listen          string  `toml:"listen"`
+	FinalsAddr      string  `toml:"finals"`    // the address for final answers other than delivered, as POST /v2/finals
+	FirstTimeoutS   float64 `toml:"first_s"`   // timeout for a client's first complete command; 0: none
+	CommandTimeoutS float64 `toml:"command_s"` // timeout for one command, from its first byte to its last; 0: none
+	IdleTimeoutS    float64 `toml:"idle_s"`    // idle time after which a client is disconnected; 0: none
 }
 
 // reservedDescriptors is the minimum number of descriptors for everything except the connections of clients and to
@@ -41,8 +41,8 @@
 	return max(1, min(int(c.Clients.TargetShare*float64(c.Limits.Sockets)), remaining))
 }
 
-// Descriptors checks limits.sockets against available, the process's limit on open files.
-func (c *Config) Descriptors(available uint64) error {
+// CheckDescriptors checks limits.sockets against available, the process's limit on open files.
+func (c *Config) CheckDescriptors(available uint64) error {
 	if available < uint64(c.Limits.Sockets) {
 		return keyErrorf("limits.sockets", "%d descriptors are configured, and this process may open %d: raise its limit "+
 			"on open files, or lower the key",
@@ -72,8 +72,8 @@
 		return keyErrorf("clients.per_address", "%d is under 0", clients.PerAddress)
 	}
 	for key, seconds := range map[string]float64{
-		"resp.first_s": resp.FirstS, "resp.command_s": resp.CommandS, "resp.idle_s": resp.IdleS,
-		"amqp.first_s": c.AMQP.FirstS, "amqp.frame_s": c.AMQP.FrameS, "amqp.idle_s": c.AMQP.IdleS,
+		"resp.first_s": resp.FirstTimeoutS, "resp.command_s": resp.CommandTimeoutS, "resp.idle_s": resp.IdleTimeoutS,
+		"amqp.first_s": c.AMQP.FirstTimeoutS, "amqp.frame_s": c.AMQP.FrameTimeoutS, "amqp.idle_s": c.AMQP.IdleTimeoutS,
 	} {
 		if !(seconds >= 0 && seconds <= 1e6) {
 			return keyErrorf(key, "%v is not from 0 to 1000000", seconds)
@@ -85,8 +85,8 @@
 	if _, _, err := net.SplitHostPort(resp.Listen); err != nil {
 		return keyErrorf("resp.listen", "%q: %w", resp.Listen, err)
 	}
-	if _, _, err := net.SplitHostPort(resp.Finals); err != nil {
-		return keyErrorf("resp.finals", "%q: %w: it receives the final answers of RESP clients", resp.Finals, err)
+	if _, _, err := net.SplitHostPort(resp.FinalsAddr); err != nil {
+		return keyErrorf("resp.finals", "%q: %w: it receives the final answers of RESP clients", resp.FinalsAddr, err)
 	}
 	if strings.TrimSpace(c.Listen) != "" {
 		return keyErrorf("resp.listen", "cannot be combined with the platform's front, which listens at %s", c.Listen)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -39,8 +39,8 @@
 	DiskMB   float64 `json:"disk_mb" toml:"disk_mb"`
 }
 
-// List is the registry's endpoint list, or an update of it.
-type List struct {
+// EndpointList is the registry's endpoint list, or an update of it.
+type EndpointList struct {
 	Seq   int64  `json:"seq"`   // the version of the list
 	Whole bool   `json:"whole"` // Hosts is the complete list, not an update
 	Hosts []Host `json:"hosts"`
@@ -60,7 +60,7 @@
 
 // JournalMB returns the maximum size of the journal in the state folder, in megabytes.
 func (c *Config) JournalMB() float64 {
-	if c.Group.Is() {
+	if c.Group.Enabled() {
 		return c.Limits.DiskMB - groupDiskMB
 	}
 	return c.Limits.DiskMB
@@ -82,16 +82,16 @@
 	AcceptFD  int    // an inherited listening socket for clients; 0: this process opens its own
 	Upgrade   bool   // hot restart: a new process may take over from this one while it serves
 
-	Seed     Seed
-	Limits   Limits
-	Known    List // the endpoint list at the start
-	Settings scheduler.Settings
+	Seed      Seed
+	Limits    Limits
+	Endpoints EndpointList // the endpoint list at the start
+	Settings  scheduler.Settings
 
-	AMQP    AMQP
-	Policy  *access.Policy // the access policy of the AMQP ingress
-	Secure  Secure
-	Clients Clients
-	Resp    Resp
+	AMQP       AMQP
+	Policy     *access.Policy // the access policy of the AMQP ingress
+	TLSConfigs TLSConfigs
+	Clients    Clients
+	Resp       Resp
 
 	Console Console
 	Group   Group
@@ -192,7 +192,7 @@
 	if _, err := scheduler.New(c.Settings, 0); err != nil {
 		return keyErrorf("settings", "%w", err)
 	}
-	for i, h := range c.Known.Hosts {
+	for i, h := range c.Endpoints.Hosts {
 		if h.Host == "" || h.Dial == "" {
 			return keyErrorf(fmt.Sprintf("known.hosts[%d]", i), "has no host or no dial")
 		}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -44,7 +44,7 @@
 func TestPlatform(t *testing.T) {
 	c, err := load(t, validPlatform, "", map[string]string{"LB_NAME": "n4"})
 	if err != nil || c.Name != "n4" || c.Limits.DiskMB != 2 || c.Settings.Limits.MaxMessages != 5 ||
-		c.Known.Hosts[0].Block != 3 ||
+		c.Endpoints.Hosts[0].Block != 3 ||
 		uint64(c.Seed) != 0x8c1f30d27a5be964 || c.AMQP.Listen != "" || c.Console.Socket != "" {
 		t.Fatal(c, err)
 	}
@@ -70,7 +70,7 @@
 		t.Fatal(err)
 	}
 	c, err := load(t, "", string(raw), nil)
-	if err != nil || c.AMQP.Listen == "" || len(c.Settings.Classes) != 3 || len(c.Known.Hosts) != 2 {
+	if err != nil || c.AMQP.Listen == "" || len(c.Settings.Classes) != 3 || len(c.Endpoints.Hosts) != 2 {
 		t.Fatal(c, err)
 	}
 	if c, err = load(t, validPlatform, "[amqp]\nlisten = \"127.0.0.1:5\"\n", nil); err != nil ||
--- a/internal/config/duty.go
+++ b/internal/config/duty.go
@@ -11,16 +11,16 @@
 // Duty is a [[duty]] of an appliance's file: a task or a right that the group grants to one or a few members at a time,
 // or a limit that all members share.
 type Duty struct {
-	Name      string `toml:"name"`
-	Kind      string `toml:"kind"`
-	URL       string `toml:"url"`
-	EveryMs   int64  `toml:"every_ms"`   // the interval between two executions
-	LongestMs int64  `toml:"longest_ms"` // the maximum duration of one execution
+	Name          string `toml:"name"`
+	Kind          string `toml:"kind"`
+	URL           string `toml:"url"`
+	IntervalMs    int64  `toml:"every_ms"`   // the interval between two executions
+	MaxDurationMs int64  `toml:"longest_ms"` // the maximum duration of one execution
 
-	Dest   int64   `toml:"dest"`    // of a limit: its destination
-	PerS   float64 `toml:"per_s"`   // of a limit: calls per second of all members together
-	AtOnce int     `toml:"at_once"` // of a roll: the number of members that may restart at the same time
-	OutMs  int64   `toml:"out_ms"`  // of a roll: the maximum downtime of a restart
+	Dest               int64   `toml:"dest"`    // of a limit: its destination
+	PerSecond          float64 `toml:"per_s"`   // of a limit: calls per second of all members together
+	ConcurrentRestarts int     `toml:"at_once"` // of a roll: the number of members that may restart at the same time
+	MaxDowntimeMs      int64   `toml:"out_ms"`  // of a roll: the maximum downtime of a restart
 }
 
 // The kinds of duty.
@@ -43,15 +43,15 @@
 
 // The bounds of a duty's keys, and the defaults of a roll.
 const (
-	maxDuties            = 256
-	minIntervalMs        = 10
-	maxIntervalMs        = 24 * 3600 * 1000
-	minPerSecond         = 0.1 // calls per second
-	maxPerSecond         = 1000
-	concurrentLimit      = 100
-	downtimeLimitMs      = 3600_000
-	defaultMaxConcurrent = 1
-	defaultMaxDowntimeMs = 60_000
+	maxDuties                 = 256
+	minIntervalMs             = 10
+	maxIntervalMs             = 24 * 3600 * 1000
+	minPerSecond              = 0.1 // calls per second
+	maxPerSecond              = 1000
+	maxConcurrentRestarts     = 100
+	downtimeLimitMs           = 3600_000
+	defaultConcurrentRestarts = 1
+	defaultMaxDowntimeMs      = 60_000
 )
 
 // dutySet records the names, kinds and limited destinations of the duties that were read so far, to find duplicates.
@@ -78,7 +78,8 @@
 			return err
 		}
 		if duty.Kind == DutyRoll {
-			duty.AtOnce, duty.OutMs = cmp.Or(duty.AtOnce, defaultMaxConcurrent), cmp.Or(duty.OutMs, defaultMaxDowntimeMs)
+			duty.ConcurrentRestarts, duty.MaxDowntimeMs = cmp.Or(duty.ConcurrentRestarts, defaultConcurrentRestarts),
+				cmp.Or(duty.MaxDowntimeMs, defaultMaxDowntimeMs)
 		}
 		if err := seen.add(duty, key); err != nil {
 			return err
@@ -102,12 +103,12 @@
 		set  bool
 	}{
 		{"url", d.URL != ""},
-		{"every_ms", d.EveryMs != 0},
-		{"longest_ms", d.LongestMs != 0},
+		{"every_ms", d.IntervalMs != 0},
+		{"longest_ms", d.MaxDurationMs != 0},
 		{"dest", d.Dest != 0},
-		{"per_s", d.PerS != 0},
-		{"at_once", d.AtOnce != 0},
-		{"out_ms", d.OutMs != 0},
+		{"per_s", d.PerSecond != 0},
+		{"at_once", d.ConcurrentRestarts != 0},
+		{"out_ms", d.MaxDowntimeMs != 0},
 	} {
 		if entry.set && !slices.Contains(allowed, entry.name) {
 			return keyErrorf(key(entry.name), "is not a key of a duty of the kind %s", d.Kind)
@@ -144,15 +145,15 @@
 	case DutyVerify:
 		return g.checkPeriod(duty, key)
 	case DutyLimit:
-		if !(duty.PerS >= minPerSecond && duty.PerS <= maxPerSecond) {
-			return keyErrorf(key("per_s"), "%v is not from %v to %d", duty.PerS, minPerSecond, maxPerSecond)
+		if !(duty.PerSecond >= minPerSecond && duty.PerSecond <= maxPerSecond) {
+			return keyErrorf(key("per_s"), "%v is not from %v to %d", duty.PerSecond, minPerSecond, maxPerSecond)
 		}
 	case DutyRoll:
-		if duty.AtOnce < 1 || duty.AtOnce > concurrentLimit {
-			return keyErrorf(key("at_once"), "%d is not from 1 to %d", duty.AtOnce, concurrentLimit)
+		if duty.ConcurrentRestarts < 1 || duty.ConcurrentRestarts > maxConcurrentRestarts {
+			return keyErrorf(key("at_once"), "%d is not from 1 to %d", duty.ConcurrentRestarts, maxConcurrentRestarts)
 		}
-		if duty.OutMs < g.LeaseMs || duty.OutMs > downtimeLimitMs {
-			return keyErrorf(key("out_ms"), "%d is not from %d to %d", duty.OutMs, g.LeaseMs, downtimeLimitMs)
+		if duty.MaxDowntimeMs < g.LeaseMs || duty.MaxDowntimeMs > downtimeLimitMs {
+			return keyErrorf(key("out_ms"), "%d is not from %d to %d", duty.MaxDowntimeMs, g.LeaseMs, downtimeLimitMs)
 		}
 	}
 	return nil
@@ -163,11 +164,11 @@
 	// An execution has to fit between two heartbeats of its lease holder, one of which may fail.
 	maxDuration := int64(float64(g.LeaseMs)*(1-g.Drift)) - g.LeaseMs/2
 	switch {
-	case duty.EveryMs < minIntervalMs || duty.EveryMs > maxIntervalMs:
-		return keyErrorf(key("every_ms"), "%d is not from %d to %d", duty.EveryMs, minIntervalMs, maxIntervalMs)
-	case duty.LongestMs < 1 || duty.LongestMs > maxDuration:
+	case duty.IntervalMs < minIntervalMs || duty.IntervalMs > maxIntervalMs:
+		return keyErrorf(key("every_ms"), "%d is not from %d to %d", duty.IntervalMs, minIntervalMs, maxIntervalMs)
+	case duty.MaxDurationMs < 1 || duty.MaxDurationMs > maxDuration:
 		return keyErrorf(key("longest_ms"), "%d is not from 1 to %d: an execution has to end before its lease (lease_ms = "+
-			"%d) expires", duty.LongestMs, maxDuration, g.LeaseMs)
+			"%d) expires", duty.MaxDurationMs, maxDuration, g.LeaseMs)
 	}
 	return nil
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -197,17 +197,17 @@
 		{"group", c.Group},
 		{"group.voters", c.Group.Voters},
 		{"group.duties", c.Group.Duties},
-		{"group.there", c.Group.Is()},
+		{"group.there", c.Group.Enabled()},
 		{"client_sockets", c.ClientSockets()},
 		{"target_sockets", c.TargetSockets()},
 		{"journal_mb", c.JournalMB()},
 		{"amqp.serves", c.AMQP.Serves()},
-		{"tls.server", c.Secure.Server != nil},
-		{"tls.targets", slices.Sorted(maps.Keys(c.Secure.Targets))},
+		{"tls.server", c.TLSConfigs.Server != nil},
+		{"tls.targets", slices.Sorted(maps.Keys(c.TLSConfigs.Targets))},
 	} {
 		writeValue(&out, part.name, reflect.ValueOf(part.value), "toml")
 	}
-	for i, h := range c.Known.Hosts {
+	for i, h := range c.Endpoints.Hosts {
 		fmt.Fprintf(&out, "host[%d].proto = %q\n", i, h.Proto)
 	}
 	if c.Policy == nil {
@@ -316,6 +316,6 @@
 func toPlatformFile(c *Config) platformFile {
 	return platformFile{
 		Name: c.Name, Listen: c.Listen, Discovery: c.Discovery, Control: c.Control,
-		Seed: c.Seed, Limits: c.Limits, Known: c.Known, Settings: settings.Wire(&c.Settings),
+		Seed: c.Seed, Limits: c.Limits, Endpoints: c.Endpoints, Settings: settings.Wire(&c.Settings),
 	}
 }
--- a/internal/config/group.go
+++ b/internal/config/group.go
@@ -21,8 +21,8 @@
 	Duties []Duty            `toml:"-"`
 }
 
-// Is reports whether there is a group.
-func (g *Group) Is() bool { return g.Listen != "" }
+// Enabled reports whether there is a group.
+func (g *Group) Enabled() bool { return g.Listen != "" }
 
 // The bounds of a group's settings.
 const (
--- a/internal/config/group_test.go
+++ b/internal/config/group_test.go
@@ -44,12 +44,12 @@
 		t.Fatal(err)
 	}
 	g := c.Group
-	if !g.Is() || g.LeaseMs != 1000 || g.Drift != 0.01 || g.Voters["b"] != "127.0.0.1:7101" ||
-		len(g.Duties) != 5 || g.Duties[3].AtOnce != 1 ||
-		g.Duties[3].OutMs != 60_000 || c.JournalMB() != 14 {
+	if !g.Enabled() || g.LeaseMs != 1000 || g.Drift != 0.01 || g.Voters["b"] != "127.0.0.1:7101" ||
+		len(g.Duties) != 5 || g.Duties[3].ConcurrentRestarts != 1 ||
+		g.Duties[3].MaxDowntimeMs != 60_000 || c.JournalMB() != 14 {
 		t.Errorf("%+v, journal %v", g, c.JournalMB())
 	}
-	if c, err := load(t, "", smallAppliance, nil); err != nil || c.Group.Is() || c.JournalMB() != c.Limits.DiskMB {
+	if c, err := load(t, "", smallAppliance, nil); err != nil || c.Group.Enabled() || c.JournalMB() != c.Limits.DiskMB {
 		t.Errorf("%+v %v", c.Group, err)
 	}
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -16,7 +16,7 @@
 	Control   string            `json:"control"`
 	Seed      Seed              `json:"seed"`
 	Limits    Limits            `json:"limits"`
-	Known     List              `json:"known"`
+	Endpoints EndpointList      `json:"known"`
 	Settings  settings.Settings `json:"settings"`
 }
 
@@ -36,7 +36,7 @@
 		return keyErrorf(envConfig, "%w", err)
 	}
 	c.Name, c.Listen, c.Discovery, c.Control = file.Name, file.Listen, file.Discovery, file.Control
-	c.Seed, c.Limits, c.Known = file.Seed, file.Limits, file.Known
+	c.Seed, c.Limits, c.Endpoints = file.Seed, file.Limits, file.Endpoints
 	c.Settings = file.Settings.Scheduler()
 	return nil
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -36,7 +36,7 @@
 		func(core *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
 			room := conntable.NewRoom(most)
 			core.AddEgress(platform.Proto, platform.NewEgress(core, r, standin.Settings(), conntable.NewRoom(50)))
-			core.UpdateRoutes("whole", platform.Routes(config.List{Hosts: []config.Host{{
+			core.UpdateRoutes("whole", platform.Routes(config.EndpointList{Hosts: []config.Host{{
 				Host: "p", Dial: partner.Addr().String(), Class: "k",
 				Block: 7, Health: "active",
 			}}}))
--- a/internal/net/platform/platform_test.go
+++ b/internal/net/platform/platform_test.go
@@ -84,8 +84,8 @@
 	return w
 }
 
-func (w *world) hosts(health string) config.List {
-	return config.List{Seq: w.seq, Whole: true, Hosts: []config.Host{{
+func (w *world) hosts(health string) config.EndpointList {
+	return config.EndpointList{Seq: w.seq, Whole: true, Hosts: []config.Host{{
 		Host: "e1", Block: 7, Class: "k", Health: health,
 		Dial: w.dial,
 	}}}
--- a/internal/net/platform/registry.go
+++ b/internal/net/platform/registry.go
@@ -105,7 +105,7 @@
 // the grace, since changes count as known from the start. A list older than the grace is suspended
 // until there is news or the agent turns out not to respond.
 func Watch(
-	core *sender.Sender, eventLoop *reactor.Reactor, addr string, known config.List, by WatchOptions,
+	core *sender.Sender, eventLoop *reactor.Reactor, addr string, known config.EndpointList, by WatchOptions,
 ) *Registry {
 	g := newRegistry(core, eventLoop, addr, known.Seq, by)
 	if known.Seq < 0 || known.Seq == 0 && len(known.Hosts) == 0 {
@@ -261,7 +261,7 @@
 		return fmt.Errorf("registry: status %d", response.Status)
 	}
 	var list struct {
-		config.List
+		config.EndpointList
 		Seq *int64 `json:"seq"`
 	}
 	if err := json.Unmarshal(response.Body, &list); err != nil {
@@ -274,7 +274,7 @@
 	}
 	g.confirm()
 	if list.Whole || len(list.Hosts) > 0 {
-		g.core.UpdateRoutes(kind, Routes(list.List))
+		g.core.UpdateRoutes(kind, Routes(list.EndpointList))
 	}
 	if list.Seq == nil || *list.Seq < 0 { // there is no version to watch from
 		g.version = noVersion
--- a/internal/net/platform/routes.go
+++ b/internal/net/platform/routes.go
@@ -9,7 +9,7 @@
 )
 
 // Routes translates a list of the registry into routes.
-func Routes(list config.List) []sender.Route {
+func Routes(list config.EndpointList) []sender.Route {
 	var routes []sender.Route
 	for _, host := range list.Hosts {
 		protocol := host.Proto
--- a/internal/net/platform/watch_test.go
+++ b/internal/net/platform/watch_test.go
@@ -64,7 +64,7 @@
 			t.Parallel()
 			b := newBench(t)
 			agent := newScript(t)
-			known := config.List{
+			known := config.EndpointList{
 				Seq: 1, Whole: true,
 				Hosts: []config.Host{{Host: "e1", Block: 7, Class: "k", Health: "active", Dial: "127.0.0.1:1"}},
 			}
--- a/internal/testing/soak/discovery.go
+++ b/internal/testing/soak/discovery.go
@@ -194,14 +194,14 @@
 	}
 }
 
-func (d *discovery) known() config.List {
+func (d *discovery) known() config.EndpointList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.whole()
 }
 
-func (d *discovery) whole() config.List {
-	l := config.List{Seq: d.seq, Whole: true}
+func (d *discovery) whole() config.EndpointList {
+	l := config.EndpointList{Seq: d.seq, Whole: true}
 	for _, h := range d.hosts {
 		l.Hosts = append(l.Hosts, h)
 	}
@@ -250,7 +250,7 @@
 
 // answer is a whole list, or what has changed since a version; some come indented.
 func (d *discovery) answer(watch bool, index int64) []byte {
-	l := config.List{Seq: d.seq}
+	l := config.EndpointList{Seq: d.seq}
 	if watch && (d.changesOnly || d.rng.Intn(4) > 0) && index <= d.seq {
 		for _, c := range d.changes {
 			if c.seq > index {
