--- a/internal/app/incarnation.go
+++ b/internal/app/incarnation.go
@@ -225,7 +225,7 @@
 func (inc *incarnation) createPeers(context.Context) error {
 	if inc.cfg.Group.Enabled() {
 		inc.peers = newPeers(inc.core, inc.cfg, inc.log)
-		inc.options.Metrics.Include(inc.peers.group.CollectMetrics)
+		inc.options.Metrics.AddMetrics(inc.peers.group.CollectMetrics)
 	}
 	return nil
 }
--- a/internal/app/transport.go
+++ b/internal/app/transport.go
@@ -120,11 +120,11 @@
 
 // consoleView is what the console shows of the transport. It waits for the loop and may be called on any other
 // goroutine.
-func (t *transport) consoleView(loop *loop.Loop) console.Wire {
-	done := make(chan console.Wire, 1)
+func (t *transport) consoleView(loop *loop.Loop) console.TransportStats {
+	done := make(chan console.TransportStats, 1)
 	loop.Post(func() {
 		stats := loop.Stats()
-		view := console.Wire{Fronts: map[string]conntable.Stats{}, Timers: stats.Timers, Fired: stats.Fired}
+		view := console.TransportStats{Fronts: map[string]conntable.Stats{}, Timers: stats.Timers, Fired: stats.Fired}
 		for ingress, table := range t.tables {
 			view.Fronts[ingress] = table.Stats()
 		}
@@ -134,7 +134,7 @@
 	case view := <-done:
 		return view
 	case <-time.After(consoleTimeout): // the loop has ended
-		return console.Wire{}
+		return console.TransportStats{}
 	}
 }
 
--- a/internal/app/transport_start.go
+++ b/internal/app/transport_start.go
@@ -153,7 +153,7 @@
 		path = filepath.Join(params.cfg.State, path)
 	}
 	loop := params.reactor.Loop
-	params.console.Wire = func() console.Wire { return t.consoleView(loop) }
+	params.console.TransportStats = func() console.TransportStats { return t.consoleView(loop) }
 	var listener net.Listener
 	if err := params.retry(func() (err error) {
 		listener, err = console.Listen(path, params.core, params.console)
--- a/internal/cli/drain.go
+++ b/internal/cli/drain.go
@@ -39,7 +39,7 @@
 		if err != nil {
 			return err
 		}
-		reply, err := terminal.Ask("drain")
+		reply, err := terminal.Send("drain")
 		_ = terminal.Close()
 		var netErr net.Error
 		switch {
--- a/internal/cli/duties.go
+++ b/internal/cli/duties.go
@@ -57,7 +57,7 @@
 		return err
 	}
 	defer func() { _ = terminal.Close() }()
-	reply, err := terminal.Ask(command)
+	reply, err := terminal.Send(command)
 	if err != nil {
 		return err
 	}
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -27,10 +27,10 @@
 
 // Reply is the reply to one command.
 type Reply struct {
-	Error string        `json:"error,omitempty"`
-	State *sender.State `json:"state,omitempty"`
-	Text  string        `json:"text,omitempty"`
-	Wire  *Wire         `json:"wire,omitempty"`
+	Error          string          `json:"error,omitempty"`
+	State          *sender.State   `json:"state,omitempty"`
+	Text           string          `json:"text,omitempty"`
+	TransportStats *TransportStats `json:"wire,omitempty"`
 
 	Duties  []group.DutyView   `json:"duties,omitempty"`
 	Members []group.MemberView `json:"members,omitempty"`
@@ -38,15 +38,15 @@
 
 // Sources are what the console reads and controls besides the core.
 type Sources struct {
-	Wire  func() Wire  // reads the state of the connections on their own goroutine, and waits for it
-	Group *group.Group // nil: the sender is in no group
+	TransportStats func() TransportStats // reads the state of the connections on their own goroutine, and waits for it
+	Group          *group.Group          // nil: the sender is in no group
 	// Drain starts a graceful shutdown. Its error is the reason why the group does not allow it yet. nil: the command
 	// drain does not exist.
 	Drain func(context.Context) error
 }
 
-// Wire is the state of the client connections of each ingress, and of the event loop's timers.
-type Wire struct {
+// TransportStats is the state of the client connections of each ingress, and of the event loop's timers.
+type TransportStats struct {
 	Fronts map[string]conntable.Stats `json:"fronts"`
 	Timers int                        `json:"timers"` // pending
 	Fired  uint64                     `json:"fired"`  // since the start
@@ -127,8 +127,8 @@
 		return reply, false
 	}
 	if reply.State != nil {
-		wire := s.Wire()
-		reply.Wire = &wire
+		stats := s.TransportStats()
+		reply.TransportStats = &stats
 		if s.Group != nil {
 			reply.Duties, reply.Members = s.Group.Views()
 		}
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -40,7 +40,7 @@
 	}
 	golden.Check(t, "reply.json", string(text)+"\n")
 	empty, err := json.Marshal(Reply{
-		State: &sender.State{}, Wire: &Wire{}, Duties: []group.DutyView{{}},
+		State: &sender.State{}, TransportStats: &TransportStats{}, Duties: []group.DutyView{{}},
 		Members: []group.MemberView{{}},
 	})
 	if err != nil {
@@ -57,7 +57,7 @@
 	next.Now, next.Paused = next.Now.Add(10*time.Second), false
 	var out bytes.Buffer
 	for _, err := range []error{
-		writeState(&out, full.State, nil, full.Wire), writeState(&out, &next, full.State, nil),
+		writeState(&out, full.State, nil, full.TransportStats), writeState(&out, &next, full.State, nil),
 		Table(&out, full.Duties, full.Members),
 		Table(&out, []group.DutyView{{}}, []group.MemberView{{HeartbeatAgeMs: -1}}),
 		Table(&out, nil, []group.MemberView{{Present: true, Voter: true}}),
@@ -82,7 +82,7 @@
 	}
 	e1 := scheduler.Endpoint{Addr: "e1", MachineType: "k", Destination: 7, State: "live"}
 	core.UpdateRoutes("whole", []sender.Route{{Endpoint: e1, Protocol: "p", Dial: "127.0.0.1:1"}})
-	sources.Wire = func() Wire { return Wire{Timers: 3, Fired: 4} }
+	sources.TransportStats = func() TransportStats { return TransportStats{Timers: 3, Fired: 4} }
 	path := filepath.Join(dir, "c.sock")
 	ln, err := Listen(path, core, sources)
 	if err != nil {
--- a/internal/console/tables.go
+++ b/internal/console/tables.go
@@ -73,11 +73,11 @@
 }
 
 // writeState writes a state as tables. Rates are relative to the previous state, if there is one.
-func writeState(out io.Writer, state, previous *sender.State, wire *Wire) error {
+func writeState(out io.Writer, state, previous *sender.State, stats *TransportStats) error {
 	w := tabwriter.NewWriter(out, 2, 0, 2, ' ', 0)
 	writeMessages(w, state, cmp.Or(previous, state))
-	if wire != nil {
-		writeConnections(w, wire)
+	if stats != nil {
+		writeConnections(w, stats)
 	}
 	fmt.Fprintln(w, "dest\ttarget\tproto\tdial\thealth\tout\tgood\tlost\tlast")
 	for _, route := range state.Routes {
@@ -120,12 +120,12 @@
 }
 
 // writeConnections writes the client connections of each ingress and the timers.
-func writeConnections(out io.Writer, wire *Wire) {
+func writeConnections(out io.Writer, stats *TransportStats) {
 	fmt.Fprintf(out, "clients\topen\tof\tcame\tdoing\tgone\n")
-	for _, name := range slices.Sorted(maps.Keys(wire.Fronts)) {
-		front := wire.Fronts[name]
+	for _, name := range slices.Sorted(maps.Keys(stats.Fronts)) {
+		front := stats.Fronts[name]
 		fmt.Fprintf(out, "%s\t%d\t%d\t%d\t%s\t%s\n", name, front.Open, front.Most, front.Came, formatCounts(front.Doing),
 			formatCounts(front.Gone))
 	}
-	fmt.Fprintf(out, "timers\t%d set\t%d fired\n\n", wire.Timers, wire.Fired)
+	fmt.Fprintf(out, "timers\t%d set\t%d fired\n\n", stats.Timers, stats.Fired)
 }
--- a/internal/console/terminal.go
+++ b/internal/console/terminal.go
@@ -41,8 +41,8 @@
 // Close closes the connection.
 func (t *Terminal) Close() error { return t.conn.Close() }
 
-// Ask sends one command and returns the reply. A refused command is an error with the sender's reason.
-func (t *Terminal) Ask(command string) (reply Reply, err error) {
+// Send sends one command and returns the reply. A refused command is an error with the sender's reason.
+func (t *Terminal) Send(command string) (reply Reply, err error) {
 	if strings.ContainsAny(command, "\r\n") {
 		return reply, errors.New("console: a command must be a single line")
 	}
@@ -61,12 +61,12 @@
 
 // Do sends one command and writes the reply: the sender's state, its group's tables, or a text.
 func (t *Terminal) Do(command string, out io.Writer) error {
-	reply, err := t.Ask(command)
+	reply, err := t.Send(command)
 	if err != nil {
 		return err
 	}
 	if reply.State != nil {
-		if err := writeState(out, reply.State, t.previous, reply.Wire); err != nil {
+		if err := writeState(out, reply.State, t.previous, reply.TransportStats); err != nil {
 			return err
 		}
 		if t.previous = reply.State; reply.Duties != nil || reply.Members != nil {
--- a/internal/load/process.go
+++ b/internal/load/process.go
@@ -20,11 +20,11 @@
 		return 0, err
 	}
 	defer func() { _ = client.Close() }()
-	reply, err := client.Ask("state")
-	if err != nil || reply.Wire == nil {
+	reply, err := client.Send("state")
+	if err != nil || reply.TransportStats == nil {
 		return 0, err
 	}
-	return reply.Wire.Fired, nil
+	return reply.TransportStats.Fired, nil
 }
 
 // rss is a process's resident memory in bytes.
--- a/internal/metrics/registry.go
+++ b/internal/metrics/registry.go
@@ -77,9 +77,9 @@
 	}
 }
 
-// SetLevels sets the gauges: accepted messages without a final answer, endpoints in the list, and endpoints that are
+// SetGauges sets the gauges: accepted messages without a final answer, endpoints in the list, and endpoints that are
 // excluded, draining or unavailable.
-func (r *Registry) SetLevels(inProgress, known, skipped int) {
+func (r *Registry) SetGauges(inProgress, known, skipped int) {
 	if r != nil {
 		r.inProgress.Store(int64(inProgress))
 		r.knownEndpoints.Store(int64(known))
@@ -87,8 +87,9 @@
 	}
 }
 
-// Include adds the metrics of a component that not every sender has. metrics is called at each Write, on any goroutine.
-func (r *Registry) Include(metrics func() []Metric) {
+// AddMetrics adds the metrics of a component that not every sender has. metrics is called at each Write, on any
+// goroutine.
+func (r *Registry) AddMetrics(metrics func() []Metric) {
 	if r != nil {
 		r.registry.MustRegister(metricsCollector(metrics))
 	}
--- a/internal/metrics/registry_test.go
+++ b/internal/metrics/registry_test.go
@@ -13,7 +13,7 @@
 	registry.CountFinal("charge", ResultRejected)
 	registry.CountFinal("nobody's", ResultRejected)
 	registry.CountAttempts(3)
-	registry.SetLevels(14, 9, 2)
+	registry.SetGauges(14, 9, 2)
 	var out strings.Builder
 	if err := registry.Write(&out); err != nil {
 		t.Fatal(err)
@@ -34,14 +34,14 @@
 	var nilRegistry *Registry // must not panic
 	nilRegistry.CountFinal("notice", ResultDelivered)
 	nilRegistry.CountAttempts(1)
-	nilRegistry.SetLevels(1, 1, 1)
+	nilRegistry.SetGauges(1, 1, 1)
 }
 
 // The metrics of a component are written with the others, with and without a label. A nil registry ignores them.
-func TestInclude(t *testing.T) {
-	(*Registry)(nil).Include(nil)
+func TestAddMetrics(t *testing.T) {
+	(*Registry)(nil).AddMetrics(nil)
 	registry := New([]string{"a"})
-	registry.Include(func() []Metric {
+	registry.AddMetrics(func() []Metric {
 		return []Metric{
 			{Name: "x_total", Help: "X.", Counter: true, Value: 3},
 			{Name: "y", Help: "Y.", Label: []string{"duty", "n"}, Value: 1},
--- a/sender/sender.go
+++ b/sender/sender.go
@@ -154,7 +154,7 @@
 	s := newSender(options, sched, opened)
 	s.recovery.journalReadTime = journalReadTime
 	s.restoreFolder()
-	s.metrics.Include(s.RecoveryMetrics)
+	s.metrics.AddMetrics(s.RecoveryMetrics)
 	return s, nil
 }
 
--- a/sender/state.go
+++ b/sender/state.go
@@ -128,5 +128,5 @@
 			}
 		}
 	}
-	s.metrics.SetLevels(s.pending, len(s.routes), gauge.count)
+	s.metrics.SetGauges(s.pending, len(s.routes), gauge.count)
 }
