--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -48,10 +48,10 @@
 
 // Host is one endpoint of the list.
 type Host struct {
-	Host   string  `json:"host"`
+	Host   string  `json:"host"` // the endpoint's id
 	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Class  string  `json:"class"`
+	Site   string  `json:"site"`  // the zone
+	Class  string  `json:"class"` // the machine type, or the kind of an appliance's route
 	Block  int64   `json:"block"` // the destination
 	Health string  `json:"health"`
 	Share  float64 `json:"share"` // the capacity hint
@@ -123,6 +123,7 @@
 // Unwrap returns the cause.
 func (e *KeyError) Unwrap() error { return e.Err }
 
+// keyErrorf returns a KeyError with a formatted cause.
 func keyErrorf(key, format string, args ...any) error {
 	return &KeyError{key, fmt.Errorf(format, args...)}
 }
