--- a/internal/app/idle_test.go
+++ b/internal/app/idle_test.go
@@ -306,10 +306,10 @@
 // A number of connections beyond the process's limit on open files is reported with the key and both numbers.
 func TestConnectionLimitAboveDescriptorLimit(t *testing.T) {
 	cfg := config.Config{Limits: config.Limits{Sockets: 5000}}
-	if err := cfg.Descriptors(5000); err != nil {
+	if err := cfg.CheckDescriptors(5000); err != nil {
 		t.Fatal(err)
 	}
-	err := cfg.Descriptors(1024)
+	err := cfg.CheckDescriptors(1024)
 	for _, want := range []string{"limits.sockets", "5000", "1024"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Fatal(err)
--- a/internal/app/office_test.go
+++ b/internal/app/office_test.go
@@ -88,7 +88,7 @@
 			<-r.Context().Done()
 			return
 		}
-		_ = json.NewEncoder(w).Encode(config.List{Seq: 1, Whole: true, Hosts: []config.Host{{
+		_ = json.NewEncoder(w).Encode(config.EndpointList{Seq: 1, Whole: true, Hosts: []config.Host{{
 			Host: "e1", Block: 7, Class: env.partnerKind, Health: "active",
 			Dial: cmp.Or(env.partnerDial, partner.Listener.Addr().String()),
 		}}})
--- a/internal/app/transport.go
+++ b/internal/app/transport.go
@@ -120,11 +120,11 @@
 
 // consoleView returns the state of the transport that the console shows. It waits for the event loop and may be called
 // on any other goroutine.
-func (t *transport) consoleView(loop *loop.Loop) console.Wire {
-	done := make(chan console.Wire, 1)
+func (t *transport) consoleView(loop *loop.Loop) console.TransportStats {
+	done := make(chan console.TransportStats, 1)
 	loop.Post(func() {
 		stats := loop.Stats()
-		view := console.Wire{Fronts: map[string]conntable.Stats{}, Timers: stats.Timers, Fired: stats.Fired}
+		view := console.TransportStats{Fronts: map[string]conntable.Stats{}, Timers: stats.Timers, Fired: stats.Fired}
 		for ingress, table := range t.tables {
 			view.Fronts[ingress] = table.Stats()
 		}
@@ -134,7 +134,7 @@
 	case view := <-done:
 		return view
 	case <-time.After(consoleTimeout): // the event loop has stopped
-		return console.Wire{}
+		return console.TransportStats{}
 	}
 }
 
@@ -144,7 +144,7 @@
 		return &config.KeyError{Key: "discovery", Err: errDiscoveryFixed}
 	}
 	if t.registry == nil {
-		core.UpdateRoutes(scheduler.UpdateFull, platform.Routes(cfg.Known))
+		core.UpdateRoutes(scheduler.UpdateFull, platform.Routes(cfg.Endpoints))
 	} else {
 		t.registry.SetAgent(cfg.Discovery)
 	}
@@ -153,9 +153,9 @@
 	}
 	if t.amqpIngress != nil {
 		t.amqpIngress.SetPolicy(cfg.Policy)
-		t.serverTLS.Store(cfg.Secure.Server)
+		t.serverTLS.Store(cfg.TLSConfigs.Server)
 	}
-	t.amqpEgress.SetTLSConfigs(cfg.Secure.Targets)
+	t.amqpEgress.SetTLSConfigs(cfg.TLSConfigs.Targets)
 	t.clientBudget.SetMost(cfg.ClientSockets())
 	t.endpointBudget.SetMost(cfg.TargetSockets())
 	for ingress, table := range t.tables {
@@ -168,4 +168,4 @@
 }
 
 // finalsAddr returns the address to which the final answers of RESP2 clients' messages are sent.
-func finalsAddr(cfg config.Config) string { return cmp.Or(cfg.Resp.Finals, cfg.Discovery) }
+func finalsAddr(cfg config.Config) string { return cmp.Or(cfg.Resp.FinalsAddr, cfg.Discovery) }
--- a/internal/app/transport_start.go
+++ b/internal/app/transport_start.go
@@ -63,7 +63,7 @@
 	params.core.AddEgress(platform.Proto, t.platformEgress)
 	connectTimeout := microseconds(params.cfg.Settings.Limits.ConnectTimeoutUs)
 	t.amqpEgress = amqpfront.NewEgress(params.core, params.reactor, connectTimeout, t.endpointBudget)
-	t.amqpEgress.SetTLSConfigs(params.cfg.Secure.Targets)
+	t.amqpEgress.SetTLSConfigs(params.cfg.TLSConfigs.Targets)
 	t.amqpEgress.Gate = t.platformEgress.Gate // a destination may have endpoints of both protocols
 	t.stops = append(t.stops, params.reactor.AllowAllGracefulCloses, t.platformEgress.Stop, t.amqpEgress.Stop)
 	params.core.AddEgress(amqpfront.Proto, t.amqpEgress)
@@ -72,7 +72,7 @@
 // startRoutes gets the routes from the configuration or from a watch of the registry.
 func (t *transport) startRoutes(params transportParams) {
 	if params.cfg.Discovery == "" {
-		params.core.UpdateRoutes(scheduler.UpdateFull, platform.Routes(params.cfg.Known))
+		params.core.UpdateRoutes(scheduler.UpdateFull, platform.Routes(params.cfg.Endpoints))
 		return
 	}
 	watched := platform.WatchOptions{
@@ -85,7 +85,7 @@
 		watched.ListAge = downtime
 	}
 	if params.handover == nil {
-		t.registry = platform.Watch(params.core, params.reactor, params.cfg.Discovery, params.cfg.Known, watched)
+		t.registry = platform.Watch(params.core, params.reactor, params.cfg.Discovery, params.cfg.Endpoints, watched)
 		return
 	}
 	routes, version := params.handover.Core.Routes, params.handover.ListVersion
@@ -135,7 +135,7 @@
 			return err
 		}
 	}
-	t.serverTLS.Store(params.cfg.Secure.Server)
+	t.serverTLS.Store(params.cfg.TLSConfigs.Server)
 	if addr := params.cfg.AMQP.TLS.Listen; addr != "" {
 		if err := t.listenTLS(params, addr, t.amqpIngress.Accept); err != nil {
 			return err
@@ -154,7 +154,7 @@
 		path = filepath.Join(params.cfg.State, path)
 	}
 	loop := params.reactor.Loop
-	params.console.Wire = func() console.Wire { return t.consoleView(loop) }
+	params.console.TransportStats = func() console.TransportStats { return t.consoleView(loop) }
 	var listener net.Listener
 	if err := params.retry(func() (err error) {
 		listener, err = console.Listen(path, params.core, params.console)
--- a/internal/cli/duties.go
+++ b/internal/cli/duties.go
@@ -50,14 +50,14 @@
 	}
 }
 
-// groupQuery sends one command about the group to a running sender, and prints the answer.
+// groupQuery sends one group command to a running sender and prints the reply.
 func groupQuery(cmd *cli.Command, command string) error {
 	terminal, err := console.Dial(cmd.String("socket"))
 	if err != nil {
 		return err
 	}
 	defer func() { _ = terminal.Close() }()
-	reply, err := terminal.Ask(command)
+	reply, err := terminal.Send(command)
 	if err != nil {
 		return err
 	}
--- a/internal/net/platform/platform_test.go
+++ b/internal/net/platform/platform_test.go
@@ -85,8 +85,8 @@
 	return env
 }
 
-func (env *testEnv) endpointList(health string) config.List {
-	return config.List{Seq: env.listVersion, Whole: true, Hosts: []config.Host{{
+func (env *testEnv) endpointList(health string) config.EndpointList {
+	return config.EndpointList{Seq: env.listVersion, Whole: true, Hosts: []config.Host{{
 		Host: "e1", Block: 7, Class: "k", Health: health,
 		Dial: env.endpointAddr,
 	}}}
--- a/internal/net/platform/registry.go
+++ b/internal/net/platform/registry.go
@@ -106,7 +106,7 @@
 // the start. A list older than the drain grace is suspended until the agent responds or is considered
 // unresponsive.
 func Watch(
-	core *sender.Sender, eventLoop *reactor.Reactor, addr string, lastList config.List, options WatchOptions,
+	core *sender.Sender, eventLoop *reactor.Reactor, addr string, lastList config.EndpointList, options WatchOptions,
 ) *Registry {
 	g := newRegistry(core, eventLoop, addr, lastList.Seq, options)
 	if lastList.Seq < 0 || lastList.Seq == 0 && len(lastList.Hosts) == 0 {
@@ -263,7 +263,7 @@
 		return fmt.Errorf("registry: unexpected status %d", response.Status)
 	}
 	var list struct {
-		config.List
+		config.EndpointList
 		Seq *int64 `json:"seq"`
 	}
 	if err := json.Unmarshal(response.Body, &list); err != nil {
@@ -276,7 +276,7 @@
 	}
 	g.confirm()
 	if list.Whole || len(list.Hosts) > 0 {
-		g.core.UpdateRoutes(kind, Routes(list.List))
+		g.core.UpdateRoutes(kind, Routes(list.EndpointList))
 	}
 	if list.Seq == nil || *list.Seq < 0 { // the next poll cannot wait for a change
 		g.version = noVersion
--- a/internal/net/platform/watch_test.go
+++ b/internal/net/platform/watch_test.go
@@ -63,7 +63,7 @@
 			t.Parallel()
 			h := newEgressHarness(t)
 			agent := newScriptedServer(t)
-			known := config.List{
+			known := config.EndpointList{
 				Seq: 1, Whole: true,
 				Hosts: []config.Host{{Host: "e1", Block: 7, Class: "k", Health: "active", Dial: "127.0.0.1:1"}},
 			}
