--- a/internal/app/back_test.go
+++ b/internal/app/back_test.go
@@ -46,7 +46,7 @@
 		case "lost":
 			err = os.Remove(memory)
 		case "torn":
-			_, err = fleet.Tear(memory, rng)
+			_, err = fleet.Corrupt(memory, rng)
 		case "earlier":
 			if old, rerr := os.ReadFile(earlier); rerr == nil {
 				err = os.WriteFile(memory, old, 0o600)
@@ -87,8 +87,8 @@
 	rep, err := fleet.ConnectionFlood{
 		Program: os.Args[0], Dir: dir, Clients: 1000, LimitPerS: 400, WarmUp: time.Second,
 		MaxRetryAfter: 5 * time.Second, Seed: 1,
-	}.Play()
-	if err != nil || rep.Taken != 1000 || rep.Lost != 0 || rep.Tries <= 1 {
+	}.Run()
+	if err != nil || rep.Accepted != 1000 || rep.Lost != 0 || rep.MeanSubmits <= 1 {
 		t.Fatalf("%+v %v", rep, err)
 	}
 }
--- a/internal/app/faults_test.go
+++ b/internal/app/faults_test.go
@@ -197,12 +197,12 @@
 	if err := os.WriteFile(o.site(), changed, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := fleet.NoDescriptors(p.Process.Pid, true); err != nil {
+	if err := fleet.ExhaustDescriptors(p.Process.Pid, true); err != nil {
 		t.Fatal(err)
 	}
 	_ = p.Process.Signal(syscall.SIGHUP)
 	time.Sleep(200 * time.Millisecond)
-	if err := fleet.NoDescriptors(p.Process.Pid, false); err != nil {
+	if err := fleet.ExhaustDescriptors(p.Process.Pid, false); err != nil {
 		t.Fatal(err)
 	}
 	select {
--- a/internal/app/group_test.go
+++ b/internal/app/group_test.go
@@ -22,7 +22,9 @@
 func TestGroupThroughFaults(t *testing.T) {
 	t.Parallel()
 	const lease = 500 * time.Millisecond
-	step := func(do string, whom ...string) fleet.Step { return fleet.Step{Do: do, Whom: whom, For: 2 * lease} }
+	step := func(do string, whom ...string) fleet.Step {
+		return fleet.Step{Fault: do, Targets: whom, Length: 2 * lease}
+	}
 	plan := []fleet.Step{
 		step("stop", "holder:duty1"), step("kill", "leader"), step("cut", "holder:duty1"), step("mute", "holder:duty2"),
 		step("deaf", "leader"), step("part", "a", "b"), step("bridge", "a", "c"), step("slow", "b"),
@@ -39,13 +41,13 @@
 	}
 	defer os.RemoveAll(dir)
 	rep, _, err := fleet.Scenario{
-		Program: os.Args[0], Dir: dir, Members: 5, Duties: 2, Lease: lease, Every: lease / 10, Longest: lease / 4,
-		Takes: 5 * time.Millisecond, Seed: 1, Plan: plan,
-	}.Play()
+		Program: os.Args[0], Dir: dir, Members: 5, Duties: 2, Lease: lease, Interval: lease / 10, MaxDuration: lease / 4,
+		ExecutionTime: 5 * time.Millisecond, Seed: 1, Plan: plan,
+	}.Run()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v := rep.Verdict; !v.Right() || v.Acts < 50 || len(rep.Handovers) < 3 {
+	if v := rep.Verdict; !v.Passed() || v.Executions < 50 || len(rep.Handovers) < 3 {
 		t.Errorf("%+v, %d hand-overs", v, len(rep.Handovers))
 	}
 	logs, err := filepath.Glob(filepath.Join(dir, "*.log"))
@@ -58,7 +60,8 @@
 		t.Errorf("%v: no member's log was failed by its disk", err)
 	}
 	t.Logf("%d times the disk failed a log", failed)
-	t.Logf("%d acts, %d refused, %d hand-overs, %v", rep.Verdict.Acts, rep.Verdict.Refused, len(rep.Handovers), rep.Pauses)
+	t.Logf("%d acts, %d refused, %d hand-overs, %v", rep.Verdict.Executions, rep.Verdict.Refused,
+		len(rep.Handovers), rep.Pauses)
 }
 
 // A partner that was unavailable comes back in slow start, just when the member that probes it for all is stopped for
@@ -76,14 +79,15 @@
 			out, err := fleet.LimitScenario{
 				Program: os.Args[0], Dir: dir, Senders: 4, LimitPerS: 60, Demand: 0.6, Group: true,
 				ColdReturn: true, ProbeFault: fault,
-				WarmUp: 2 * time.Second, Each: 8 * time.Second, PartnerDowntime: 2 * time.Second,
-			}.Play()
+				WarmUp: 2 * time.Second, PhaseLength: 8 * time.Second, EndpointDowntime: 2 * time.Second,
+			}.Run()
 			if err != nil {
 				t.Fatal(err)
 			}
 			// Probes by all members, as without a group, are several calls a second. Where the group
 			// has lost its leader too each member may probe for itself.
-			if back := out[1]; back.Falls != 0 || back.SoleProbes < 2 && !back.WasLeader || back.Lost > 1.5 || back.Used < 0.1 {
+			if back := out[1]; back.Collapses != 0 || back.SoleProbes < 2 && !back.WasLeader ||
+				back.Lost > 1.5 || back.Used < 0.1 {
 				t.Errorf("%+v", back)
 			}
 		})
@@ -100,7 +104,7 @@
 	}
 	defer os.RemoveAll(dir)
 	names := []string{"a", "b", "c"}
-	w, err := fleet.NewWorld(os.Args[0], dir, names, nil, 1, fleet.NewTimeline(), func(m *fleet.Member) string {
+	w, err := fleet.NewCluster(os.Args[0], dir, names, nil, 1, fleet.NewTimeline(), func(m *fleet.Member) string {
 		at, err := fleet.FreePort()
 		if err != nil {
 			t.Error(err)
@@ -111,7 +115,7 @@
 			"\"127.0.0.1:1\"\n"+
 			"[group]\nname = %q\nlisten = %q\nlease_ms = 500\nmembers = [", m.Name, at, m.Name, m.Listen)
 		for _, n := range names {
-			text += fmt.Sprintf("%q, ", n+"="+m.Reach[n])
+			text += fmt.Sprintf("%q, ", n+"="+m.Addrs[n])
 		}
 		return text + "]\n[[duty]]\nname = \"restarts\"\nkind = \"roll\"\n"
 	})
@@ -119,7 +123,7 @@
 		t.Fatal(err)
 	}
 	defer w.Close()
-	if err := w.Up(); err != nil {
+	if err := w.StartMembers(); err != nil {
 		t.Fatal(err)
 	}
 	out, last := map[string]int{}, []string(nil)
@@ -164,7 +168,7 @@
 				break
 			}
 		}
-		if err := w.Up(gone); err != nil {
+		if err := w.StartMembers(gone); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/app/versions_test.go
+++ b/internal/app/versions_test.go
@@ -441,7 +441,7 @@
 // rolled is a group of three senders whose members change their program one by one.
 type rolled struct {
 	t       *testing.T
-	world   *fleet.World
+	world   *fleet.Cluster
 	line    *fleet.Timeline
 	program string            // a symbolic link to the program of the next start
 	clients map[string]string // address for clients, by member
@@ -507,12 +507,12 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(receiver.Close)
-	receiver.Behave(5*time.Millisecond, 0, false)
+	receiver.SetBehavior(5*time.Millisecond, 0, false)
 	partner := httptest.NewServer(http.HandlerFunc(r.serveCall))
 	finals := httptest.NewServer(http.HandlerFunc(r.serveFinals))
 	t.Cleanup(func() { partner.CloseClientConnections(); finals.CloseClientConnections() })
 	r.use(program)
-	r.world, err = fleet.NewWorld(r.program, dir, rolledNames, nil, 1, r.line, func(m *fleet.Member) string {
+	r.world, err = fleet.NewCluster(r.program, dir, rolledNames, nil, 1, r.line, func(m *fleet.Member) string {
 		at, err := fleet.FreePort()
 		if err != nil {
 			t.Error(err)
@@ -520,7 +520,7 @@
 		r.clients[m.Name] = at
 		var members []string
 		for _, n := range rolledNames {
-			members = append(members, fmt.Sprintf("%q", n+"="+m.Reach[n]))
+			members = append(members, fmt.Sprintf("%q", n+"="+m.Addrs[n]))
 		}
 		return fmt.Sprintf(rolledSite, m.Name, at, finals.Listener.Addr(), partner.Listener.Addr(), m.Listen,
 			strings.Join(members, ", "), receiver.Addr())
@@ -615,7 +615,7 @@
 	for until := time.Now().Add(standin.Long); !holds(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(until) {
 			for _, m := range r.world.Members {
-				text, _ := os.ReadFile(m.Log)
+				text, _ := os.ReadFile(m.LogFile)
 				r.t.Logf("%s:\n%s", m.Name, text[max(0, len(text)-4000):])
 			}
 			r.t.Fatalf("not in time: %s", what)
@@ -628,7 +628,7 @@
 	r.t.Helper()
 	from := r.line.Now()
 	r.await("an act of the duty", func() bool {
-		return slices.ContainsFunc(r.line.Events(), func(e fleet.Event) bool { return e.What == "act" && e.At > from })
+		return slices.ContainsFunc(r.line.Events(), func(e fleet.Event) bool { return e.Kind == "act" && e.At > from })
 	})
 }
 
@@ -658,7 +658,7 @@
 	if _, err := p.Ended(); err != nil {
 		r.t.Fatal(name, err)
 	}
-	if err := r.world.Up(name); err != nil {
+	if err := r.world.StartMembers(name); err != nil {
 		r.t.Fatal(err)
 	}
 	r.serves(name)
@@ -704,7 +704,7 @@
 // lets each go, its duty goes on without overlaps after each step, and every charge ends once.
 func playRoll(t *testing.T, x order) {
 	r := newRolled(t, x.from)
-	if err := r.world.Up(); err != nil {
+	if err := r.world.StartMembers(); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range rolledNames {
@@ -718,7 +718,7 @@
 	}
 	end()
 	r.checkEnds()
-	if verdict := fleet.Check(r.line.Events()); !verdict.Right() {
+	if verdict := fleet.Check(r.line.Events()); !verdict.Passed() {
 		t.Errorf("%+v", verdict)
 	}
 }
--- a/internal/group/folders_test.go
+++ b/internal/group/folders_test.go
@@ -119,7 +119,7 @@
 		cluster.stop(name)
 	}
 	for _, e := range cluster.timeline.Events() {
-		if e.What == "act" && e.At > restartedAt {
+		if e.Kind == "act" && e.At > restartedAt {
 			t.Fatalf("a duty was executed while a majority of the folders was empty: %+v", e)
 		}
 	}
--- a/internal/group/group_test.go
+++ b/internal/group/group_test.go
@@ -45,7 +45,7 @@
 		func() bool { return cluster.running[otherThan(recipient)].HandOver(ctx, "x", recipient) == nil })
 	cluster.waitFor("the recipient executes the duty", func() bool { return cluster.awaitExecutions() == recipient })
 	// No execution ends in time now: each one is aborted, its error is shown, and the duty stays held.
-	cluster.receiver.Behave(leaseLength, 0, false)
+	cluster.receiver.SetBehavior(leaseLength, 0, false)
 	cluster.waitFor("the holder shows the error of an execution", func() bool {
 		for _, duty := range cluster.running[recipient].Duties() {
 			if duty.Holder == recipient && strings.Contains(duty.Reason, "deadline") {
@@ -54,7 +54,7 @@
 		}
 		return false
 	})
-	cluster.receiver.Behave(0, 0, false)
+	cluster.receiver.SetBehavior(0, 0, false)
 	cluster.stop(recipient)
 	cluster.waitFor("a member other than the stopped one executes the duty",
 		func() bool { return cluster.awaitExecutions() != recipient })
@@ -68,7 +68,7 @@
 // allowed drift uses its lease for too long, and the receiver accepts executions of any epoch.
 func TestSlowClockIsDetected(t *testing.T) {
 	cluster := newTestGroup(t, threeMembers, "x")
-	cluster.receiver.Behave(leaseLength/8, 0, true)
+	cluster.receiver.SetBehavior(leaseLength/8, 0, true)
 	slowed := map[string]*atomic.Int64{}
 	for _, name := range threeMembers {
 		slowedAt := &atomic.Int64{}
@@ -86,7 +86,7 @@
 	cluster.setIsolated(holder, true)
 	cluster.waitFor("the check finds the overlap in the timeline", func() bool {
 		verdict := fleet.Check(cluster.timeline.Events())
-		return verdict.Overlaps+verdict.Old > 0
+		return verdict.Overlaps+verdict.StaleExecutions > 0
 	})
 }
 
@@ -207,11 +207,11 @@
 	cluster.waitFor("the member votes again after Join",
 		func() bool { _ = cluster.running["d"].Join(); return hasVote(true)() })
 	since := cluster.timeline.Now()
-	cluster.receiver.Behave(0, 409, false)
+	cluster.receiver.SetBehavior(0, 409, false)
 	cluster.waitFor("the duty is released and granted again under newer epochs", func() bool {
 		epochs := map[uint64]bool{}
 		for _, event := range cluster.timeline.Events() {
-			if event.What == "act" && event.At > since && event.Duty == "x" {
+			if event.Kind == "act" && event.At > since && event.Duty == "x" {
 				epochs[event.Epoch] = true
 			}
 		}
--- a/internal/group/testgroup_test.go
+++ b/internal/group/testgroup_test.go
@@ -155,8 +155,8 @@
 	c.waitFor("each duty is executed", func() bool {
 		executors := map[string]string{}
 		for _, event := range c.timeline.Events() {
-			if event.What == "act" && event.At > start {
-				executors[event.Duty] = event.Who
+			if event.Kind == "act" && event.At > start {
+				executors[event.Duty] = event.Member
 			}
 		}
 		executor = executors[c.duties[0]]
@@ -168,9 +168,9 @@
 // requireOneHolder fails the test if two members held a duty at once.
 func (c *testGroup) requireOneHolder() {
 	c.t.Helper()
-	if verdict := fleet.Check(c.timeline.Events()); !verdict.Right() {
+	if verdict := fleet.Check(c.timeline.Events()); !verdict.Passed() {
 		c.t.Errorf("%d overlapping executions, %d of an old epoch, %d epochs of two members: %s",
-			verdict.Overlaps, verdict.Old, verdict.Shared, strings.Join(verdict.Broken, "\n"))
+			verdict.Overlaps, verdict.StaleExecutions, verdict.SharedEpochs, strings.Join(verdict.Violations, "\n"))
 	}
 }
 
--- a/internal/load/command/flood.go
+++ b/internal/load/command/flood.go
@@ -52,7 +52,7 @@
 				Program: prog, Dir: dir, Clients: cmd.Int("clients"), LimitPerS: cmd.Float("per-s"), WarmUp: cmd.Duration("warm"),
 				MaxRetryAfter: cmd.Duration("most"),
 				Seed:          cmd.Int64("seed"),
-			}.Play()
+			}.Run()
 			return err
 		}); err != nil {
 			return err
@@ -61,8 +61,8 @@
 		if _, err := fmt.Fprintf(cmd.Root().Writer,
 			"%s: %d of %d taken on within %.1f s (by the limit alone %.1f), %.1f tries each, at most %d in a tenth of a "+
 				"second after the first second\n",
-			[]string{"this", "against"}[i], rep.Taken, cmd.Int("clients"), rep.Until.Seconds(),
-			float64(cmd.Int("clients"))/cmd.Float("per-s"), rep.Tries, rep.Most); err != nil {
+			[]string{"this", "against"}[i], rep.Accepted, cmd.Int("clients"), rep.LastAccepted.Seconds(),
+			float64(cmd.Int("clients"))/cmd.Float("per-s"), rep.MeanSubmits, rep.PeakSubmits); err != nil {
 			return err
 		}
 	}
--- a/internal/load/command/group.go
+++ b/internal/load/command/group.go
@@ -64,7 +64,7 @@
 	}
 	kinds := strings.Split(cmd.String("kinds"), ",")
 	for _, kind := range kinds {
-		if _, ok := fleet.Do[kind]; !ok {
+		if _, ok := fleet.FaultTargets[kind]; !ok {
 			return fmt.Errorf("load group: --kinds: %q is none of the faults", kind)
 		}
 	}
@@ -88,8 +88,8 @@
 		total.Verdict.Add(rep.Verdict)
 		total.Handovers = append(total.Handovers, rep.Handovers...)
 		fmt.Fprintf(cmd.Root().Writer, "seed %d: %d faults, %d acts, %d refused, %d hand-overs; overlaps %d, "+
-			"old epochs taken %d, epochs of two %d\n", game.Seed, len(game.Plan), rep.Verdict.Acts, rep.Verdict.Refused,
-			len(rep.Handovers), rep.Verdict.Overlaps, rep.Verdict.Old, rep.Verdict.Shared)
+			"old epochs taken %d, epochs of two %d\n", game.Seed, len(game.Plan), rep.Verdict.Executions, rep.Verdict.Refused,
+			len(rep.Handovers), rep.Verdict.Overlaps, rep.Verdict.StaleExecutions, rep.Verdict.SharedEpochs)
 	}
 	if err := showTotal(cmd.Root().Writer, total); err != nil {
 		return err
@@ -100,7 +100,7 @@
 	if err := writeTimeline(cmd, line); err != nil {
 		return err
 	}
-	if !total.Verdict.Right() {
+	if !total.Verdict.Passed() {
 		return errors.New("load group: two held one duty at once")
 	}
 	return nil
@@ -110,14 +110,14 @@
 func newGame(cmd *cli.Command, program string, index int64) fleet.Scenario {
 	lease := cmd.Duration("lease")
 	return fleet.Scenario{
-		Program: program,
-		Members: cmd.Int("members"),
-		Duties:  cmd.Int("duties"),
-		Lease:   lease,
-		Every:   lease / 10,
-		Longest: lease / 4,
-		Takes:   lease / 100,
-		Seed:    cmd.Int64("seed") + index,
+		Program:       program,
+		Members:       cmd.Int("members"),
+		Duties:        cmd.Int("duties"),
+		Lease:         lease,
+		Interval:      lease / 10,
+		MaxDuration:   lease / 4,
+		ExecutionTime: lease / 100,
+		Seed:          cmd.Int64("seed") + index,
 	}
 }
 
@@ -162,15 +162,15 @@
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 	game.Dir = dir
-	return game.Play()
+	return game.Run()
 }
 
 // showTotal writes the sums over all games.
 func showTotal(out io.Writer, total fleet.Report) error {
 	fmt.Fprintf(out, "in all: %d acts, %d of older epochs refused; overlaps %d, old epochs taken %d, epochs of two "+
-		"%d\n", total.Verdict.Acts, total.Verdict.Refused,
-		total.Verdict.Overlaps, total.Verdict.Old, total.Verdict.Shared)
-	for _, b := range total.Verdict.Broken {
+		"%d\n", total.Verdict.Executions, total.Verdict.Refused,
+		total.Verdict.Overlaps, total.Verdict.StaleExecutions, total.Verdict.SharedEpochs)
+	for _, b := range total.Verdict.Violations {
 		fmt.Fprintln(out, "  ", b)
 	}
 	_, err := fmt.Fprintln(out, "from the fault to the next holder's first act, ms:")
@@ -197,8 +197,8 @@
 		}
 		lease := cmd.Duration("lease")
 		game := fleet.Scenario{
-			Program: program, Dir: dir, Members: max(n, 3), Duties: 1, Lease: lease, Every: lease,
-			Longest: lease / 4, Seed: 1,
+			Program: program, Dir: dir, Members: max(n, 3), Duties: 1, Lease: lease, Interval: lease,
+			MaxDuration: lease / 4, Seed: 1,
 		}
 		each, err := game.MeasureCost(costDuration, n == 0)
 		_ = os.RemoveAll(dir)
--- a/internal/load/command/limit.go
+++ b/internal/load/command/limit.go
@@ -44,16 +44,17 @@
 		!(cmd.Float("per-s") > 0) || !(cmd.Float("demand") > 0) {
 		return errors.New("load limit: --senders from 3, --kill under that, --per-s and --demand above 0")
 	}
-	if m := cmd.String("meet"); m != "" && (fleet.Do[m] != 1 || cmd.Duration("down") == 0) {
+	if m := cmd.String("meet"); m != "" && (fleet.FaultTargets[m] != 1 || cmd.Duration("down") == 0) {
 		return fmt.Errorf("load limit: --meet: %q is no fault that names one member, or there is no --down", m)
 	}
 	out := make([][]fleet.Phase, 2)
 	if err := sideBySide(2, func(i int, dir string) (err error) {
 		out[i], err = fleet.LimitScenario{
 			Program: program, Dir: dir, Senders: cmd.Int("senders"), LimitPerS: cmd.Float("per-s"), Demand: cmd.Float("demand"),
-			Group: i == 0, WarmUp: cmd.Duration("warm"), Each: cmd.Duration("each"), PartnerDowntime: cmd.Duration("down"),
-			ColdReturn: cmd.Bool("cold"), ProbeFault: cmd.String("meet"), Kill: cmd.Int("kill"),
-		}.Play()
+			Group: i == 0, WarmUp: cmd.Duration("warm"), PhaseLength: cmd.Duration("each"),
+			EndpointDowntime: cmd.Duration("down"),
+			ColdReturn:       cmd.Bool("cold"), ProbeFault: cmd.String("meet"), Kill: cmd.Int("kill"),
+		}.Run()
 		return err
 	}); err != nil {
 		return err
@@ -62,8 +63,8 @@
 		if _, err := fmt.Fprintf(cmd.Root().Writer,
 			"%-18s as a group: %.3f of the limit used, %.1f%% of calls refused, %.2f/s while down, %d falls, tried by "+
 				"one alone %d times; without: %.3f, %.1f%%, %.2f/s, %d\n",
-			p.Name, p.Used, 100*p.Refused, p.Lost, p.Falls, p.SoleProbes, out[1][i].Used, 100*out[1][i].Refused,
-			out[1][i].Lost, out[1][i].Falls); err != nil {
+			p.Name, p.Used, 100*p.Refused, p.Lost, p.Collapses, p.SoleProbes, out[1][i].Used, 100*out[1][i].Refused,
+			out[1][i].Lost, out[1][i].Collapses); err != nil {
 			return err
 		}
 	}
--- a/internal/load/command/massrestart.go
+++ b/internal/load/command/massrestart.go
@@ -63,8 +63,8 @@
 	if x := cmd.String("against"); x != "" {
 		programs = append(programs, x)
 	}
-	if !slices.Contains(fleet.Folders, cmd.String("folders")) || cmd.Int("games") < 1 || cmd.Int("waves") < 1 {
-		return fmt.Errorf("load herd: --folders is one of %v, --games and --waves from 1", fleet.Folders)
+	if !slices.Contains(fleet.FolderStates, cmd.String("folders")) || cmd.Int("games") < 1 || cmd.Int("waves") < 1 {
+		return fmt.Errorf("load herd: --folders is one of %v, --games and --waves from 1", fleet.FolderStates)
 	}
 	all := make([][]fleet.MassRestartReport, len(programs)) // by program, then game
 	for n := range cmd.Int("games") {
@@ -72,7 +72,7 @@
 		if err := sideBySide(len(programs), func(i int, dir string) (err error) {
 			game := newMassRestart(cmd, programs[i], int64(n))
 			game.Dir = dir
-			reps[i], err = game.Play()
+			reps[i], err = game.Run()
 			return err
 		}); err != nil {
 			return err
@@ -111,20 +111,20 @@
 // newMassRestart is the mass restart of a command with the index-th seed.
 func newMassRestart(cmd *cli.Command, program string, index int64) fleet.MassRestart {
 	return fleet.MassRestart{
-		Program:         program,
-		Senders:         cmd.Int("senders"),
-		Kill:            cmd.Int("kill"),
-		LimitPerS:       cmd.Float("per-s"),
-		MessagesPerS:    cmd.Float("come"),
-		WarmUp:          cmd.Duration("warm"),
-		Downtime:        cmd.Duration("out"),
-		PartnerDowntime: cmd.Duration("down"),
-		Folders:         cmd.String("folders"),
-		Waves:           cmd.Int("waves"),
-		Group:           cmd.Bool("group"),
-		KnownCount:      cmd.Bool("known"),
-		Seed:            cmd.Int64("seed") + index,
-		WatchFor:        cmd.Duration("watch"),
+		Program:          program,
+		Senders:          cmd.Int("senders"),
+		Kill:             cmd.Int("kill"),
+		LimitPerS:        cmd.Float("per-s"),
+		MessagesPerS:     cmd.Float("come"),
+		WarmUp:           cmd.Duration("warm"),
+		Downtime:         cmd.Duration("out"),
+		EndpointDowntime: cmd.Duration("down"),
+		Folders:          cmd.String("folders"),
+		Waves:            cmd.Int("waves"),
+		Group:            cmd.Bool("group"),
+		KnownCount:       cmd.Bool("known"),
+		Seed:             cmd.Int64("seed") + index,
+		ObservationTime:  cmd.Duration("watch"),
 	}
 }
 
@@ -133,13 +133,13 @@
 	var most, refused, behind []float64
 	never := 0
 	for _, r := range list {
-		most = append(most, float64(r.Most))
+		most = append(most, float64(r.PeakCalls))
 		refused = append(refused, 100*float64(r.Refused)/float64(max(1, r.Calls)))
-		if r.Behind == 0 {
+		if r.CaughtUpAfter == 0 {
 			never++
 			continue
 		}
-		behind = append(behind, r.Behind.Seconds())
+		behind = append(behind, r.CaughtUpAfter.Seconds())
 	}
 	late := "never while it was watched"
 	if len(behind) > 0 {
--- a/internal/load/groupplot.go
+++ b/internal/load/groupplot.go
@@ -52,7 +52,7 @@
 func dutyRows(list []fleet.Event) ([]string, map[string]int) {
 	var duties []string
 	for _, e := range list {
-		if e.What == fleet.EventAct && !slices.Contains(duties, e.Duty) {
+		if e.Kind == fleet.EventExecution && !slices.Contains(duties, e.Duty) {
 			duties = append(duties, e.Duty)
 		}
 	}
@@ -70,14 +70,14 @@
 	open := map[string]fleet.Event{}
 	for _, e := range list {
 		x := e.At.Seconds()
-		if _, ok := fleet.Do[e.What]; ok {
-			open[e.Who+e.What] = e
+		if _, ok := fleet.FaultTargets[e.Kind]; ok {
+			open[e.Member+e.Kind] = e
 		}
-		switch e.What {
-		case fleet.EventAct:
-			acts[e.Who] = append(acts[e.Who], plotter.XY{X: x, Y: float64(rows[e.Duty])})
-		case fleet.EventOver:
-			if f, ok := open[e.Who+e.Text]; ok {
+		switch e.Kind {
+		case fleet.EventExecution:
+			acts[e.Member] = append(acts[e.Member], plotter.XY{X: x, Y: float64(rows[e.Duty])})
+		case fleet.EventFaultEnded:
+			if f, ok := open[e.Member+e.Text]; ok {
 				if err := drawFault(chart, f, x, float64(len(rows))); err != nil {
 					return nil, err
 				}
@@ -102,7 +102,7 @@
 	field.Color, field.Width = color.Gray{Y: 225}, 0
 	text, err := plotter.NewLabels(plotter.XYLabels{
 		XYs:    plotter.XYs{{X: from, Y: top - 0.2}},
-		Labels: []string{fault.What + " " + fault.Who},
+		Labels: []string{fault.Kind + " " + fault.Member},
 	})
 	if err != nil {
 		return fmt.Errorf("drawing: %w", err)
--- a/internal/testing/fleet/cost.go
+++ b/internal/testing/fleet/cost.go
@@ -10,100 +10,102 @@
 	"time"
 )
 
-// Cost is what a member costs while nothing happens: the median over all, and the leader's.
+// Cost is the resource use of an idle member: the median over all members, and the leader's.
 type Cost struct {
 	Members         int
-	CPU, LeaderCPU  float64 // of a core
+	CPU, LeaderCPU  float64 // share of a core
 	RSSMB, LeaderMB float64
-	BytesPerS       float64 // over the links, both ways, of all members together by their number
-	Alone           bool    // senders with no group, for comparison
+	BytesPerS       float64 // over the links, both ways, per member
+	WithoutGroup    bool    // the senders ran without a group, for comparison
 }
 
-// MeasureCost runs the members without faults and measures for the time each; alone: without a group.
-func (g Scenario) MeasureCost(each time.Duration, alone bool) (c Cost, err error) {
-	line := NewTimeline()
-	recv, err := NewReceiver(line)
+// MeasureCost runs the members without faults and measures their resource use over duration, as a group or as
+// senders without one.
+func (g Scenario) MeasureCost(duration time.Duration, withoutGroup bool) (cost Cost, err error) {
+	timeline := NewTimeline()
+	receiver, err := NewReceiver(timeline)
 	if err != nil {
-		return c, err
+		return cost, err
 	}
-	defer recv.Close()
+	defer receiver.Close()
 	members, duties := g.Names()
-	w, err := NewWorld(g.Program, g.Dir, members, members[:voters(len(members))], g.Seed, line, func(m *Member) string {
-		text := g.config(m, members, duties, recv.Addr())
-		if alone {
-			text, _, _ = strings.Cut(text, "[group]")
-		}
-		return text
-	})
+	cluster, err := NewCluster(g.Program, g.Dir, members, members[:voters(len(members))], g.Seed, timeline,
+		func(m *Member) string {
+			text := g.config(m, members, duties, receiver.Addr())
+			if withoutGroup {
+				text, _, _ = strings.Cut(text, "[group]")
+			}
+			return text
+		})
 	if err != nil {
-		return c, err
+		return cost, err
 	}
-	defer w.Close()
-	if err := w.Up(); err != nil {
-		return c, err
+	defer cluster.Close()
+	if err := cluster.StartMembers(); err != nil {
+		return cost, err
 	}
-	if alone {
+	if withoutGroup {
 		time.Sleep(3 * time.Second)
-	} else if err := waitForActs(line, duties, 0); err != nil {
-		return c, err
+	} else if err := waitForExecutions(timeline, duties, 0); err != nil {
+		return cost, err
 	}
-	time.Sleep(5 * time.Second) // the start is over
-	leader := w.resolve("leader")
-	before, crossed := map[string]float64{}, w.bytesCarried()
-	for _, m := range w.Members {
-		before[m.Name] = cpuSeconds(w.Proc(m.Name).Pid())
+	time.Sleep(5 * time.Second) // leaves out the cost of the start
+	leader := cluster.resolve("leader")
+	before, bytesBefore := map[string]float64{}, cluster.bytesCarried()
+	for _, m := range cluster.Members {
+		before[m.Name] = cpuSeconds(cluster.Proc(m.Name).Pid())
 	}
-	time.Sleep(each)
-	c.Members, c.Alone = len(members), alone
-	c.BytesPerS = float64(w.bytesCarried()-crossed) / each.Seconds() / float64(len(members))
+	time.Sleep(duration)
+	cost.Members, cost.WithoutGroup = len(members), withoutGroup
+	cost.BytesPerS = float64(cluster.bytesCarried()-bytesBefore) / duration.Seconds() / float64(len(members))
 	var cpu, rss []float64
-	for _, m := range w.Members {
-		pid := w.Proc(m.Name).Pid()
-		used, mb := (cpuSeconds(pid)-before[m.Name])/each.Seconds(), rssMB(pid)
+	for _, m := range cluster.Members {
+		pid := cluster.Proc(m.Name).Pid()
+		used, mb := (cpuSeconds(pid)-before[m.Name])/duration.Seconds(), rssMB(pid)
 		if m.Name == leader {
-			c.LeaderCPU, c.LeaderMB = used, mb
+			cost.LeaderCPU, cost.LeaderMB = used, mb
 		}
 		cpu, rss = append(cpu, used), append(rss, mb)
 	}
 	slices.Sort(cpu)
 	slices.Sort(rss)
-	c.CPU, c.RSSMB = cpu[len(cpu)/2], rss[len(rss)/2]
-	return c, nil
+	cost.CPU, cost.RSSMB = cpu[len(cpu)/2], rss[len(rss)/2]
+	return cost, nil
 }
 
-// bytesCarried is the number of bytes of streams that the links have carried.
-func (w *World) bytesCarried() (n int64) {
-	for _, l := range w.links {
-		n += l.Bytes()
+// bytesCarried returns the number of stream bytes that all links have forwarded.
+func (c *Cluster) bytesCarried() (n int64) {
+	for _, link := range c.links {
+		n += link.Bytes()
 	}
 	return n
 }
 
-// clockTick is the unit of processor time in /proc, in seconds; Linux shows it in hundredths on all machines.
+// clockTick is the unit of CPU time in /proc, in seconds; Linux reports hundredths on all machines.
 const clockTick = 0.01
 
-// cpuSeconds is the processor time that a process has used.
+// cpuSeconds returns the CPU time that a process has used; 0 if it cannot be read.
 func cpuSeconds(pid int) float64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
 	}
-	words := bytes.Fields(raw[bytes.LastIndexByte(raw, ')')+1:])
-	if len(words) < 13 {
+	fields := bytes.Fields(raw[bytes.LastIndexByte(raw, ')')+1:])
+	if len(fields) < 13 {
 		return 0
 	}
-	u, _ := strconv.ParseFloat(string(words[11]), 64)
-	s, _ := strconv.ParseFloat(string(words[12]), 64)
-	return (u + s) * clockTick
+	user, _ := strconv.ParseFloat(string(fields[11]), 64)
+	system, _ := strconv.ParseFloat(string(fields[12]), 64)
+	return (user + system) * clockTick
 }
 
-// rssMB is the memory that a process has.
+// rssMB returns the resident memory of a process; 0 if it cannot be read.
 func rssMB(pid int) float64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
-	words := bytes.Fields(raw)
-	if err != nil || len(words) < 2 {
+	fields := bytes.Fields(raw)
+	if err != nil || len(fields) < 2 {
 		return 0
 	}
-	n, _ := strconv.ParseFloat(string(words[1]), 64)
-	return n * float64(os.Getpagesize()) / (1 << 20)
+	pages, _ := strconv.ParseFloat(string(fields[1]), 64)
+	return pages * float64(os.Getpagesize()) / (1 << 20)
 }
--- a/internal/testing/fleet/flood.go
+++ b/internal/testing/fleet/flood.go
@@ -16,31 +16,31 @@
 	"time"
 )
 
-// ConnectionFlood is a scenario in which the clients of dead senders submit one message each to a
-// sender that has just started, all at the same time, and again after the wait that it answers.
+// ConnectionFlood is a scenario in which the clients of failed senders submit one message each to a
+// sender that has just started, all at the same time, and again after the wait that its rejection names.
 type ConnectionFlood struct {
 	Program       string
 	Dir           string
 	Clients       int
-	LimitPerS     float64       // calls a second that the partner takes
+	LimitPerS     float64       // calls per second that the endpoint accepts
 	WarmUp        time.Duration // before the sender is killed
-	MaxRetryAfter time.Duration // that the sender may tell a client to wait
+	MaxRetryAfter time.Duration // maximum wait that the sender may request from a client
 	Seed          int64
 }
 
-// ConnectionFloodReport is the result, counted from the moment at which they all came.
+// ConnectionFloodReport is the result of a ConnectionFlood; times count from the start of the flood.
 type ConnectionFloodReport struct {
-	Bins  []int         `json:"bins"`     // submits, by tenths of a second
-	Most  int           `json:"most"`     // in one of them, the first second left out
-	Tries float64       `json:"tries"`    // of a client, in the mean
-	Taken int           `json:"taken"`    // messages accepted
-	Lost  int           `json:"lost"`     // clients whose message was not accepted
-	Until time.Duration `json:"until_ns"` // the last one was accepted
+	Bins         []int         `json:"bins"`     // submits, in bins of binLength
+	PeakSubmits  int           `json:"most"`     // maximum of one bin, without the first second
+	MeanSubmits  float64       `json:"tries"`    // mean number of submits per client
+	Accepted     int           `json:"taken"`    // messages accepted
+	Lost         int           `json:"lost"`     // clients whose message was not accepted
+	LastAccepted time.Duration `json:"until_ns"` // when the last message was accepted
 }
 
 const (
-	floodConnections = 50              // of all clients: each is a message, not a connection
-	floodTimeout     = 2 * time.Minute // at the latest
+	floodConnections = 50              // shared by all clients: a client is one message, not one connection
+	floodTimeout     = 2 * time.Minute // limit of the whole flood
 	listenTimeout    = 10 * time.Second
 )
 
@@ -52,7 +52,7 @@
 	report ConnectionFloodReport
 }
 
-// count adds submits that were sent at a time since the start, of which so many were accepted.
+// count adds submits that were sent at a time since the start, and how many of them were accepted.
 func (r *floodRun) count(at time.Duration, submits, accepted int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -60,52 +60,52 @@
 		r.report.Bins = append(r.report.Bins, 0)
 	}
 	r.report.Bins[at/binLength] += submits
-	if r.report.Taken += accepted; accepted > 0 {
-		r.report.Until = max(r.report.Until, time.Since(r.start))
+	if r.report.Accepted += accepted; accepted > 0 {
+		r.report.LastAccepted = max(r.report.LastAccepted, time.Since(r.start))
 	}
 }
 
-// Play kills a sender under ordinary traffic, starts it again and lets all clients submit at once.
-func (g ConnectionFlood) Play() (rep ConnectionFloodReport, err error) {
-	partner, world, names, ports, err := LimitScenario{
-		Program: g.Program, Dir: g.Dir, Senders: 1, LimitPerS: g.LimitPerS,
-		MaxRetryAfter: g.MaxRetryAfter,
+// Run kills a sender under ordinary traffic, starts it again and lets all clients submit at once.
+func (f ConnectionFlood) Run() (result ConnectionFloodReport, err error) {
+	endpoint, cluster, names, ports, err := LimitScenario{
+		Program: f.Program, Dir: f.Dir, Senders: 1, LimitPerS: f.LimitPerS,
+		MaxRetryAfter: f.MaxRetryAfter,
 	}.start()
 	if err != nil {
-		return rep, err
+		return result, err
 	}
-	defer partner.Close()
-	defer world.Close()
+	defer endpoint.Close()
+	defer cluster.Close()
 	addr := ports[names[0]]
-	if err := g.restart(world, names[0], addr); err != nil {
-		return rep, err
+	if err := f.restart(cluster, names[0], addr); err != nil {
+		return result, err
 	}
 	run := &floodRun{start: time.Now()}
-	err = errors.Join(g.flood(run, addr), world.crashed())
-	rep = run.report
-	rep.Lost = g.Clients - rep.Taken
+	err = errors.Join(f.flood(run, addr), cluster.crashed())
+	result = run.report
+	result.Lost = f.Clients - result.Accepted
 	total := 0
-	for i, submits := range rep.Bins {
+	for i, submits := range result.Bins {
 		if total += submits; i >= int(time.Second/binLength) {
-			rep.Most = max(rep.Most, submits)
+			result.PeakSubmits = max(result.PeakSubmits, submits)
 		}
 	}
-	rep.Tries = float64(total) / float64(g.Clients)
-	return rep, err
+	result.MeanSubmits = float64(total) / float64(f.Clients)
+	return result, err
 }
 
-// restart runs ordinary traffic for WarmUp, kills the sender, and starts it again until it listens.
-func (g ConnectionFlood) restart(world *World, name, addr string) error {
+// restart runs ordinary traffic for WarmUp, kills the sender, starts it again and waits until it listens.
+func (f ConnectionFlood) restart(cluster *Cluster, name, addr string) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var rate atomic.Int64 // in thousandths of a message a second
-	rate.Store(int64(800 * g.LimitPerS))
+	var rate atomic.Int64 // in thousandths of a message per second
+	rate.Store(int64(800 * f.LimitPerS))
 	go Load(ctx, addr, "before", &rate)
-	time.Sleep(g.WarmUp)
+	time.Sleep(f.WarmUp)
 	cancel()
-	world.Proc(name).Kill()
-	<-world.Proc(name).done
-	if err := world.Up(name); err != nil {
+	cluster.Proc(name).Kill()
+	<-cluster.Proc(name).done
+	if err := cluster.StartMembers(name); err != nil {
 		return err
 	}
 	for end := time.Now().Add(listenTimeout); ; time.Sleep(time.Millisecond) {
@@ -115,20 +115,20 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return errors.Join(err, world.logTails())
+			return errors.Join(err, cluster.logTails())
 		}
 	}
 }
 
-// flood submits the messages of all clients, each first at a drawn time in the first binLength, and
-// returns when all are accepted or floodTimeout is over.
-func (g ConnectionFlood) flood(run *floodRun, addr string) error {
-	rng := rand.New(rand.NewSource(g.Seed))
+// flood submits the messages of all clients, each first at a random time in the first binLength, and
+// returns when all are accepted or floodTimeout has passed.
+func (f ConnectionFlood) flood(run *floodRun, addr string) error {
+	rng := rand.New(rand.NewSource(f.Seed))
 	var connections sync.WaitGroup
 	errs := make([]error, floodConnections)
 	for i := range floodConnections {
 		var due dueQueue
-		for client := i; client < g.Clients; client += floodConnections {
+		for client := i; client < f.Clients; client += floodConnections {
 			heap.Push(&due, dueClient{time.Duration(rng.Int63n(int64(binLength))), client})
 		}
 		connections.Add(1)
@@ -142,14 +142,14 @@
 }
 
 // submitUntilAccepted submits the messages of some clients over one connection, each when it is due,
-// until all are accepted.
+// until all are accepted or floodTimeout has passed.
 func submitUntilAccepted(addr string, run *floodRun, due dueQueue) error {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
-		return fmt.Errorf("fleet: crowd: %w", err)
+		return fmt.Errorf("fleet: connection flood: %w", err)
 	}
 	defer conn.Close()
-	in := bufio.NewReader(conn)
+	replies := bufio.NewReader(conn)
 	for len(due) > 0 && time.Since(run.start) < floodTimeout {
 		time.Sleep(due[0].at - time.Since(run.start))
 		now := time.Since(run.start)
@@ -162,20 +162,20 @@
 		}
 		_ = conn.SetDeadline(time.Now().Add(10 * time.Second))
 		if _, err := io.WriteString(conn, submitCommands(ids...)); err != nil {
-			return fmt.Errorf("fleet: crowd: %w", err)
+			return fmt.Errorf("fleet: connection flood: %w", err)
 		}
 		accepted := 0
 		for _, submitted := range batch {
-			line, err := in.ReadString('\n')
+			line, err := replies.ReadString('\n')
 			if err != nil {
-				return fmt.Errorf("fleet: crowd: %w", err)
+				return fmt.Errorf("fleet: connection flood: %w", err)
 			}
 			if strings.HasPrefix(line, "+OK") {
 				accepted++
 				continue
 			}
-			ms, _ := strconv.Atoi(strings.TrimSpace(strings.TrimPrefix(line, "-BUSY")))
-			wait := time.Duration(max(ms, 10)) * time.Millisecond
+			retryAfterMs, _ := strconv.Atoi(strings.TrimSpace(strings.TrimPrefix(line, "-BUSY")))
+			wait := time.Duration(max(retryAfterMs, 10)) * time.Millisecond
 			heap.Push(&due, dueClient{time.Since(run.start) + wait, submitted.client})
 		}
 		run.count(now, len(batch), accepted)
@@ -183,13 +183,13 @@
 	return nil
 }
 
-// dueClient is a client and when it submits next, since the start.
+// dueClient is a client with the time of its next submit, counted from the start of the flood.
 type dueClient struct {
 	at     time.Duration
 	client int
 }
 
-// dueQueue is a heap of clients, the earliest first.
+// dueQueue is a heap of clients, the earliest submit first.
 type dueQueue []dueClient
 
 func (d dueQueue) Len() int           { return len(d) }
--- a/internal/testing/fleet/folder.go
+++ b/internal/testing/fleet/folder.go
@@ -9,53 +9,53 @@
 	"path/filepath"
 )
 
-// Empty removes all that lies in a folder, as a lost disk would.
+// Empty removes the contents of a folder, as the loss of a disk would.
 func Empty(dir string) error {
-	list, err := os.ReadDir(dir)
+	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
-	for _, e := range list {
-		err = errors.Join(err, os.RemoveAll(filepath.Join(dir, e.Name())))
+	for _, entry := range entries {
+		err = errors.Join(err, os.RemoveAll(filepath.Join(dir, entry.Name())))
 	}
 	return err
 }
 
-// Backup copies a folder's files to another that is made anew. Sockets are left out.
-func Backup(dir, to string) error {
-	if err := os.RemoveAll(to); err != nil {
+// Backup replaces the folder target by a copy of the files in dir. Sockets are left out.
+func Backup(dir, target string) error {
+	if err := os.RemoveAll(target); err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
-	return filepath.WalkDir(dir, func(path string, d fs.DirEntry, err error) error {
+	return filepath.WalkDir(dir, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
-		rel, err := filepath.Rel(dir, path)
+		relative, err := filepath.Rel(dir, path)
 		if err != nil {
 			return err
 		}
 		switch {
-		case d.IsDir():
-			return os.MkdirAll(filepath.Join(to, rel), 0o700)
-		case d.Type().IsRegular():
+		case entry.IsDir():
+			return os.MkdirAll(filepath.Join(target, relative), 0o700)
+		case entry.Type().IsRegular():
 			raw, err := os.ReadFile(path)
 			if err != nil {
 				return err
 			}
-			return os.WriteFile(filepath.Join(to, rel), raw, 0o600)
+			return os.WriteFile(filepath.Join(target, relative), raw, 0o600)
 		}
 		return nil
 	})
 }
 
-// Restore puts a backup in the place of what lies in a folder.
+// Restore replaces the contents of a folder by a backup.
 func Restore(backup, dir string) error {
 	return errors.Join(Empty(dir), Backup(backup, dir))
 }
 
-// Tear cuts a file at a drawn place and, one time in two, turns over a byte before it, as a crash
-// of the machine may leave it. It tells how long the file is now.
-func Tear(path string, rng *rand.Rand) (int64, error) {
+// Corrupt truncates a file at a random offset and, one time in two, flips a bit before it, as a crash
+// of the machine may leave it. It returns the file's new length.
+func Corrupt(path string, rng *rand.Rand) (int64, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return 0, fmt.Errorf("fleet: %w", err)
--- a/internal/testing/fleet/limitscenario.go
+++ b/internal/testing/fleet/limitscenario.go
@@ -12,112 +12,115 @@
 	"time"
 )
 
-// LimitScenario is a scenario of senders on one limit, of which one has half of the traffic.
+// LimitScenario is a scenario in which several senders share the limit of one endpoint and the first of them
+// receives half of the traffic.
 type LimitScenario struct {
 	Program    string
 	Dir        string
 	Senders    int     // the first three vote
 	LimitPerS  float64 // the limit
-	Demand     float64 // of all, in limits
-	Group      bool    // they are a group with a duty of the kind limit
-	KnownCount bool    // each one's file says how many they are
-	// MaxRetryAfter is the longest wait that a sender may answer to a client; 0: three seconds.
+	Demand     float64 // of all clients, as a multiple of the limit
+	Group      bool    // the senders form a group with a duty of the kind "limit"
+	KnownCount bool    // each configuration file states the number of senders
+	// MaxRetryAfter is the maximum wait that a sender may request from a client; 0: three seconds.
 	MaxRetryAfter time.Duration
 	WarmUp        time.Duration
-	Each          time.Duration // of each phase
-	ColdReturn    bool          // the partner returns at a part of its rate
-	// a fault (of Do, naming one member) that hits the member which alone probes, just before the
-	// partner is back; empty: none
-	ProbeFault      string
-	PartnerDowntime time.Duration // for so long the partner is down before anything is killed; 0: never
-	Kill            int           // senders that are killed after the first phase; what they had comes to the others
+	PhaseLength   time.Duration // measured time of each phase
+	ColdReturn    bool          // the endpoint recovers at a fraction of its rate, see Endpoint.SetColdReturn
+	// a fault (of FaultTargets, with one target) of the member that alone probes the endpoint, just before
+	// the endpoint recovers; empty: none
+	ProbeFault       string
+	EndpointDowntime time.Duration // how long the endpoint is unavailable before any sender is killed; 0: never
+	Kill             int           // senders that are killed after the first phase; the others receive their traffic
 }
 
 // Phase is the result of one phase.
 type Phase struct {
 	Name       string  `json:"name"`
-	Used       float64 `json:"used"`    // of the limit
-	Refused    float64 `json:"refused"` // calls refused, of all calls
-	Lost       float64 `json:"lost"`    // calls a second that the partner ended while it was down
-	Falls      int64   `json:"falls"`   // of the partner while it came back
-	SoleProbes int     `json:"hands"`   // how often a member became the only one to probe
-	WasLeader  bool    `json:"led"`     // the member with the fault was also the leader
+	Used       float64 `json:"used"`    // share of the limit
+	Refused    float64 `json:"refused"` // share of all calls that the endpoint refused
+	Lost       float64 `json:"lost"`    // calls per second that failed while the endpoint was unavailable
+	Collapses  int64   `json:"falls"`   // failures of the recovering endpoint under too many calls
+	SoleProbes int     `json:"hands"`   // times that a member became the only one to probe
+	WasLeader  bool    `json:"led"`     // the member with ProbeFault was also the leader
 }
 
-// settleTime is the time in which all senders have noticed that a partner is down.
+// settleTime is the time within which all senders have detected that an endpoint is unavailable.
 const settleTime = 6 * time.Second
 
-// start starts the senders and their partner. ports are where their clients find them; the first
-// three vote where they are a group.
-func (g LimitScenario) start() (p *Partner, w *World, names []string, ports map[string]string, err error) {
-	if p, err = NewPartner(g.LimitPerS); err != nil {
+// start starts the senders and their endpoint. ports has the client address of each sender by name; in a
+// group the first three senders are voters.
+func (g LimitScenario) start() (endpoint *Endpoint, cluster *Cluster, names []string, ports map[string]string,
+	err error,
+) {
+	if endpoint, err = NewEndpoint(g.LimitPerS); err != nil {
 		return nil, nil, nil, nil, err
 	}
 	names, _ = Scenario{Members: g.Senders}.Names()
 	ports = map[string]string{}
 	voting := names[:min(3, len(names))]
-	w, err = NewWorld(g.Program, g.Dir, names, voting, 1, NewTimeline(), func(m *Member) string {
-		ports[m.Name] = "127.0.0.1:" + m.port()
-		return g.config(m, voting, ports[m.Name], p.Addr())
+	cluster, err = NewCluster(g.Program, g.Dir, names, voting, 1, NewTimeline(), func(m *Member) string {
+		ports[m.Name] = "127.0.0.1:" + m.freeClientPort()
+		return g.config(m, voting, ports[m.Name], endpoint.Addr())
 	})
 	if err == nil {
-		if err = w.Up(); err != nil {
-			w.Close()
+		if err = cluster.StartMembers(); err != nil {
+			cluster.Close()
 		}
 	}
 	if err != nil {
-		p.Close()
+		endpoint.Close()
 	}
-	return p, w, names, ports, err
+	return endpoint, cluster, names, ports, err
 }
 
-// probeLease is the lease on the probe attempts, by the name of the duty in config.
+// probeLease is the lease on the probe attempts at destination 1, named after the duty in config.
 const probeLease = "back@1"
 
-// probeFaultTime is the length of ProbeFault: longer than the lease.
+// probeFaultTime is the length of ProbeFault. It is longer than the lease, so that the duty changes its holder.
 const probeFaultTime = 2500 * time.Millisecond
 
-// probeFaultLead is how long before the partner's return ProbeFault begins.
+// probeFaultLead is how long before the endpoint's recovery ProbeFault begins.
 const probeFaultLead = 20 * time.Millisecond
 
-// soleProbes counts in the logs of all members how often one became the only one to probe a partner.
-func (w *World) soleProbes() (n int) {
-	for _, m := range w.Members {
-		raw, _ := os.ReadFile(m.Log)
+// soleProbes counts in the logs of all members how often one became the only one to probe an endpoint.
+func (c *Cluster) soleProbes() (count int) {
+	for _, m := range c.Members {
+		raw, _ := os.ReadFile(m.LogFile)
 		for line := range strings.Lines(string(raw)) {
 			if strings.Contains(line, "tried by one member") && strings.Contains(line, `"mine":true`) {
-				n++
+				count++
 			}
 		}
 	}
-	return n
+	return count
 }
 
-// limitRun is a LimitScenario under way. One goroutine uses it.
+// limitRun is one run of a LimitScenario. It is not safe for concurrent use.
 type limitRun struct {
 	LimitScenario
 
-	partner *Partner
-	world   *World
-	names   []string                 // of the members
-	rates   map[string]*atomic.Int64 // of their clients, in thousandths of a message a second
-	phases  []Phase
+	endpoint *Endpoint
+	cluster  *Cluster
+	names    []string                 // of the members
+	rates    map[string]*atomic.Int64 // of their clients, in thousandths of a message per second
+	phases   []Phase
 }
 
-// Play plays the scenario and returns its phases, also those before an error.
-func (g LimitScenario) Play() (phases []Phase, err error) {
-	partner, world, names, ports, err := g.start()
+// Run runs the scenario and returns its phases, also those before an error.
+func (g LimitScenario) Run() (phases []Phase, err error) {
+	endpoint, cluster, names, ports, err := g.start()
 	if err != nil {
 		return nil, err
 	}
-	defer partner.Close()
-	defer world.Close()
+	defer endpoint.Close()
+	defer cluster.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	var clients sync.WaitGroup
 	defer clients.Wait()
 	defer cancel()
 	run := &limitRun{
-		LimitScenario: g, partner: partner, world: world, names: names,
+		LimitScenario: g, endpoint: endpoint, cluster: cluster, names: names,
 		rates: map[string]*atomic.Int64{},
 	}
 	for _, name := range names {
@@ -129,28 +132,28 @@
 		go func() { defer clients.Done(); Load(ctx, ports[name], name, run.rates[name]) }()
 	}
 	run.measure("all", g.WarmUp)
-	if g.PartnerDowntime > 0 {
+	if g.EndpointDowntime > 0 {
 		var fatal bool
-		if fatal, err = run.partnerReturn(); fatal {
+		if fatal, err = run.endpointReturn(); fatal {
 			return run.phases, err
 		}
 	}
 	if g.Kill > 0 {
 		for _, name := range names[g.Senders-g.Kill:] {
-			world.Proc(name).Kill()
+			cluster.Proc(name).Kill()
 		}
 		run.setRates(g.Senders - g.Kill)
 		run.measure(fmt.Sprintf("%d of %d killed", g.Kill, g.Senders), g.WarmUp)
 	} else {
-		err = errors.Join(err, world.crashed())
+		err = errors.Join(err, cluster.crashed())
 	}
 	if err != nil {
-		err = errors.Join(err, world.logTails())
+		err = errors.Join(err, cluster.logTails())
 	}
 	return run.phases, err
 }
 
-// setRates divides the demand among the first alive members: the first has half of it.
+// setRates divides the demand among the first alive members; the first one receives half of it.
 func (r *limitRun) setRates(alive int) {
 	total := r.LimitPerS * r.Demand * 1000
 	for i, name := range r.names {
@@ -168,54 +171,54 @@
 // measure adds a phase of length Each that begins after warmUp.
 func (r *limitRun) measure(name string, warmUp time.Duration) {
 	time.Sleep(warmUp)
-	taken, refused := r.partner.Taken.Load(), r.partner.Refused.Load()
-	time.Sleep(r.Each)
-	taken, refused = r.partner.Taken.Load()-taken, r.partner.Refused.Load()-refused
+	accepted, refused := r.endpoint.Accepted.Load(), r.endpoint.Refused.Load()
+	time.Sleep(r.PhaseLength)
+	accepted, refused = r.endpoint.Accepted.Load()-accepted, r.endpoint.Refused.Load()-refused
 	r.phases = append(r.phases, Phase{
-		Name: name, Used: float64(taken) / (r.LimitPerS * r.Each.Seconds()),
-		Refused: float64(refused) / float64(max(1, taken+refused)),
+		Name: name, Used: float64(accepted) / (r.LimitPerS * r.PhaseLength.Seconds()),
+		Refused: float64(refused) / float64(max(1, accepted+refused)),
 	})
 }
 
-// partnerReturn takes the partner down for PartnerDowntime and measures its return. After a fatal
-// error the scenario cannot go on.
-func (r *limitRun) partnerReturn() (fatal bool, err error) {
-	r.partner.Down(true)
+// endpointReturn makes the endpoint unavailable for EndpointDowntime and measures its recovery. After a fatal
+// error the scenario cannot continue.
+func (r *limitRun) endpointReturn() (fatal bool, err error) {
+	r.endpoint.SetDown(true)
 	time.Sleep(settleTime)
-	lost := r.partner.Lost.Load()
-	time.Sleep(r.PartnerDowntime)
-	lostPerS := float64(r.partner.Lost.Load()-lost) / r.PartnerDowntime.Seconds()
+	lost := r.endpoint.Lost.Load()
+	time.Sleep(r.EndpointDowntime)
+	lostPerS := float64(r.endpoint.Lost.Load()-lost) / r.EndpointDowntime.Seconds()
 	if r.ColdReturn {
-		r.partner.Cold()
+		r.endpoint.SetColdReturn()
 	}
-	var faultOver chan error
+	var faultEnded chan error
 	wasLeader := false
 	if r.ProbeFault != "" && r.Group {
-		holder := r.world.holder(probeLease)
+		holder := r.cluster.holder(probeLease)
 		if holder == "" {
-			return true, errors.Join(errors.New("fleet: nobody tries the partner that is down"), r.world.logTails())
+			return true, errors.Join(errors.New("fleet: no member probes the unavailable endpoint"), r.cluster.logTails())
 		}
-		wasLeader = r.world.resolve("leader") == holder
-		faultOver = make(chan error, 1)
+		wasLeader = r.cluster.resolve("leader") == holder
+		faultEnded = make(chan error, 1)
 		go func() {
-			faultOver <- r.world.Play([]Step{{Do: r.ProbeFault, Whom: []string{holder}, For: probeFaultTime}})
+			faultEnded <- r.cluster.Run([]Step{{Fault: r.ProbeFault, Targets: []string{holder}, Length: probeFaultTime}})
 		}()
 		time.Sleep(probeFaultLead)
 	}
-	r.partner.Down(false)
+	r.endpoint.SetDown(false)
 	r.measure("back", 0)
 	last := &r.phases[len(r.phases)-1]
-	last.Lost, last.Falls = lostPerS, r.partner.Falls.Load()
-	last.SoleProbes, last.WasLeader = r.world.soleProbes(), wasLeader
-	if faultOver != nil {
-		err = <-faultOver
+	last.Lost, last.Collapses = lostPerS, r.endpoint.Collapses.Load()
+	last.SoleProbes, last.WasLeader = r.cluster.soleProbes(), wasLeader
+	if faultEnded != nil {
+		err = <-faultEnded
 	}
 	return false, err
 }
 
-// config is a member's configuration file.
-func (g LimitScenario) config(member *Member, voters []string, listen, partner string) string {
-	senders := "" // an older program does not know the key
+// config returns the text of a member's configuration file.
+func (g LimitScenario) config(member *Member, voters []string, listen, endpoint string) string {
+	senders := "" // without KnownCount the key is left out, as older versions of the program reject it
 	if g.KnownCount {
 		senders = fmt.Sprintf("senders = %d\n", g.Senders)
 	}
@@ -242,13 +245,13 @@
 dest = 1
 proto = "http"
 dial = %q
-`, member.Name, listen, senders, cmp.Or(g.MaxRetryAfter, 3*time.Second).Milliseconds(), partner)
+`, member.Name, listen, senders, cmp.Or(g.MaxRetryAfter, 3*time.Second).Milliseconds(), endpoint)
 	if !g.Group {
 		return text
 	}
 	text += fmt.Sprintf("[group]\nname = %q\nlisten = %q\nlease_ms = 1000\nmembers = [", member.Name, member.Listen)
-	for _, v := range voters {
-		text += fmt.Sprintf("%q, ", v+"="+member.Reach[v])
+	for _, voter := range voters {
+		text += fmt.Sprintf("%q, ", voter+"="+member.Addrs[voter])
 	}
 	return text + fmt.Sprintf("]\n[[duty]]\nname = \"sum\"\nkind = \"limit\"\ndest = 1\nper_s = %g\n[[duty]]\nname "+
 		"= \"back\"\nkind = \"return\"\n", g.LimitPerS)
--- a/internal/testing/fleet/link.go
+++ b/internal/testing/fleet/link.go
@@ -1,8 +1,7 @@
-// Package fleet is the stand-in world of several processes of the program and the faults between
-// them: each link from one to another is a relay of its own, processes are killed, stopped and
-// continued by pid, folders are emptied, put back and torn, and what happened stands in one time
-// line. All of it is on loopback and needs no privileges. Faults come from a plan, and a plan from
-// a seed.
+// Package fleet runs several processes of the program and injects faults into them: each process reaches
+// each other one over a relay of its own, processes are killed, suspended and resumed by pid, folders are
+// emptied, restored and corrupted, and all events are recorded in one timeline. Everything runs on loopback
+// and needs no privileges. Faults come from a plan, which can be drawn from a seed.
 package fleet
 
 import (
@@ -14,45 +13,46 @@
 	"time"
 )
 
-// LinkConditions are what a link does to the traffic of one direction. The zero value passes all.
+// LinkConditions are the impairments of a link in one direction. The zero value has none.
 type LinkConditions struct {
-	// a stream is held back until the cut is over, a datagram is lost
+	// Stream data is kept back until the cut ends, a datagram is lost.
 	Cut   bool          `json:"cut,omitempty"`
-	Delay time.Duration `json:"delay,omitempty"` // how late all is
-	// and up to so much more, drawn: datagrams overtake each other, a stream does not
+	Delay time.Duration `json:"delay,omitempty"` // of stream data and datagrams
+	// Maximum random delay on top of Delay. Datagrams may be reordered, a stream keeps its order.
 	Jitter    time.Duration `json:"jitter,omitempty"`
-	BytesPerS int           `json:"bytes_per_s,omitempty"` // 0: any number
+	BytesPerS int           `json:"bytes_per_s,omitempty"` // of streams; 0: unlimited
 	Drop      float64       `json:"drop,omitempty"`        // share of datagrams lost
-	// share of datagrams that come twice, the second as late as DoubleBy
-	Double   float64       `json:"double,omitempty"`
-	DoubleBy time.Duration `json:"double_by,omitempty"`
+	// Share of datagrams that arrive twice, the copy DuplicateDelay later.
+	Duplicate      float64       `json:"double,omitempty"`
+	DuplicateDelay time.Duration `json:"double_by,omitempty"`
 }
 
-// Link is a relay: whoever calls Addr reaches the target under the link's conditions. A link belongs to one pair of
-// members in one direction of calling; there applies to what the caller sends, back to what it receives.
+// Link is a relay for TCP and UDP: a process that connects to Addr reaches the target under the link's conditions.
+// A link serves one member as the caller and one as the target; outbound applies to what the caller sends, inbound
+// to what it receives.
 type Link struct {
 	target string
 	ln     *net.TCPListener
 	udp    *net.UDPConn
 
-	mu          sync.Mutex
-	rng         *rand.Rand
-	there, back LinkConditions
-	changed     chan struct{} // closed when the conditions change
-	conns       map[net.Conn]bool
-	peers       map[string]*net.UDPConn // by the caller's address
-	closed      bool
+	mu                sync.Mutex
+	rng               *rand.Rand
+	outbound, inbound LinkConditions
+	changed           chan struct{} // closed when the conditions change
+	conns             map[net.Conn]bool
+	peers             map[string]*net.UDPConn // by the caller's address
+	closed            bool
 
 	bytes atomic.Int64
 }
 
-// Bytes is how many bytes of streams have crossed it, both ways.
+// Bytes returns the number of stream bytes that the link has forwarded, both ways.
 func (l *Link) Bytes() int64 { return l.bytes.Load() }
 
-// maxHeld bounds what a link holds of one stream; it stops reading above that, as a full socket would.
-const maxHeld = 256 << 10
+// maxBuffered is the maximum number of bytes that a link buffers of one stream before it stops reading.
+const maxBuffered = 256 << 10
 
-// NewLink listens for TCP and UDP on one free port of 127.0.0.1. Random conditions are drawn from the seed.
+// NewLink listens for TCP and UDP on one free port of 127.0.0.1. The seed determines all random choices.
 func NewLink(target string, seed int64) (*Link, error) {
 	for try := 0; ; try++ {
 		ln, err := net.ListenTCP("tcp4", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -60,7 +60,7 @@
 			return nil, fmt.Errorf("fleet: link: %w", err)
 		}
 		udp, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: ln.Addr().(*net.TCPAddr).Port})
-		if err != nil { // somebody has the port for datagrams
+		if err != nil { // another process uses the UDP port
 			_ = ln.Close()
 			if try < 20 {
 				continue
@@ -71,42 +71,42 @@
 			target: target, ln: ln, udp: udp, rng: rand.New(rand.NewSource(seed)), changed: make(chan struct{}),
 			conns: map[net.Conn]bool{}, peers: map[string]*net.UDPConn{},
 		}
-		go l.streams()
-		go l.datagrams()
+		go l.acceptStreams()
+		go l.relayDatagrams()
 		return l, nil
 	}
 }
 
-// Addr is where the caller finds the link.
+// Addr returns the address to which the caller connects.
 func (l *Link) Addr() string { return l.ln.Addr().String() }
 
-// Set changes the conditions from now on. Streams that a cut has held back continue when it is over.
-func (l *Link) Set(there, back LinkConditions) {
+// Set changes the conditions from now on. Streams continue when a cut ends.
+func (l *Link) Set(outbound, inbound LinkConditions) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.there, l.back = there, back
+	l.outbound, l.inbound = outbound, inbound
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// Reset ends all streams that cross the link just now; both sides see a reset.
+// Reset resets all open streams, towards both sides.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for c := range l.conns {
-		end(c)
+	for conn := range l.conns {
+		abort(conn)
 	}
 }
 
-// end closes a stream so that the other side sees a reset.
-func end(c net.Conn) {
-	if t, ok := c.(*net.TCPConn); ok {
-		_ = t.SetLinger(0)
+// abort closes a connection with a reset.
+func abort(conn net.Conn) {
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0)
 	}
-	_ = c.Close()
+	_ = conn.Close()
 }
 
-// Close ends the link with all that crosses it.
+// Close stops the link and resets all its streams.
 func (l *Link) Close() {
 	l.mu.Lock()
 	if l.closed {
@@ -116,8 +116,8 @@
 	l.closed = true
 	close(l.changed)
 	l.changed = make(chan struct{})
-	for _, u := range l.peers {
-		_ = u.Close()
+	for _, socket := range l.peers {
+		_ = socket.Close()
 	}
 	l.mu.Unlock()
 	_ = l.ln.Close()
@@ -125,96 +125,97 @@
 	l.Reset()
 }
 
-// conditions are those of now, and a channel that is closed at their next change.
-func (l *Link) conditions(back bool) (w LinkConditions, changed <-chan struct{}, closed bool) {
+// conditions returns the current conditions of one direction, and a channel that is closed at their next change.
+func (l *Link) conditions(inbound bool) (current LinkConditions, changed <-chan struct{}, closed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if w = l.there; back {
-		w = l.back
+	if current = l.outbound; inbound {
+		current = l.inbound
 	}
-	return w, l.changed, l.closed
+	return current, l.changed, l.closed
 }
 
-// drawDelay draws the delay of a chunk or a datagram.
-func (l *Link) drawDelay(w LinkConditions) time.Duration {
-	if w.Jitter <= 0 {
-		return w.Delay
+// drawDelay draws the delay of a chunk or of a datagram.
+func (l *Link) drawDelay(conditions LinkConditions) time.Duration {
+	if conditions.Jitter <= 0 {
+		return conditions.Delay
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return w.Delay + time.Duration(l.rng.Int63n(int64(w.Jitter)))
+	return conditions.Delay + time.Duration(l.rng.Int63n(int64(conditions.Jitter)))
 }
 
-func (l *Link) draw() float64 {
+// drawShare draws a number in [0, 1).
+func (l *Link) drawShare() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rng.Float64()
 }
 
-// register adds a stream; false where the link is closed.
+// register adds a connection. It aborts it and returns false if the link is closed.
 func (l *Link) register(conn net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
-		end(conn)
+		abort(conn)
 		return false
 	}
 	l.conns[conn] = true
 	return true
 }
 
-func (l *Link) remove(c net.Conn) {
-	end(c)
+func (l *Link) remove(conn net.Conn) {
+	abort(conn)
 	l.mu.Lock()
-	delete(l.conns, c)
+	delete(l.conns, conn)
 	l.mu.Unlock()
 }
 
-func (l *Link) streams() {
+func (l *Link) acceptStreams() {
 	for {
-		in, err := l.ln.Accept()
+		conn, err := l.ln.Accept()
 		if err != nil {
 			return
 		}
-		if l.register(in) {
-			go l.join(in)
+		if l.register(conn) {
+			go l.relayStream(conn)
 		}
 	}
 }
 
-// join carries one stream. A target that is not there ends it, as a refusal would.
-func (l *Link) join(in net.Conn) {
-	defer l.remove(in)
-	out, err := net.DialTimeout("tcp", l.target, time.Second)
-	if err != nil || !l.register(out) {
+// relayStream relays one stream until either side closes it. It resets the stream if the target refuses.
+func (l *Link) relayStream(caller net.Conn) {
+	defer l.remove(caller)
+	server, err := net.DialTimeout("tcp", l.target, time.Second)
+	if err != nil || !l.register(server) {
 		return
 	}
-	defer l.remove(out)
+	defer l.remove(server)
 	done := make(chan struct{}, 2)
-	go func() { l.pump(in, out, false); done <- struct{}{} }()
-	go func() { l.pump(out, in, true); done <- struct{}{} }()
+	go func() { l.copyStream(caller, server, false); done <- struct{}{} }()
+	go func() { l.copyStream(server, caller, true); done <- struct{}{} }()
 	<-done
 }
 
-// chunk is what was read at once; an empty one is the end of the stream.
+// chunk is the data of one read and the time at which it may be forwarded.
 type chunk struct {
 	due  time.Time
 	data []byte
 }
 
-// pump carries one direction until it ends. What was under way when the source ended still arrives.
-func (l *Link) pump(from, to net.Conn, back bool) {
-	queue := make(chan chunk, maxHeld/(16<<10))
-	gone := make(chan struct{})
-	defer close(gone)
+// copyStream forwards one direction until the source ends it. Data read before that is still forwarded.
+func (l *Link) copyStream(from, to net.Conn, inbound bool) {
+	queue := make(chan chunk, maxBuffered/(16<<10))
+	stopped := make(chan struct{})
+	defer close(stopped)
 	go func() {
 		defer close(queue)
 		buf := make([]byte, 16<<10)
 		var last time.Time
 		for {
 			n, err := from.Read(buf)
-			w, _, _ := l.conditions(back)
-			due := time.Now().Add(l.drawDelay(w))
+			current, _, _ := l.conditions(inbound)
+			due := time.Now().Add(l.drawDelay(current))
 			if due.Before(last) {
 				due = last // a stream keeps its order
 			}
@@ -222,7 +223,7 @@
 			if n > 0 {
 				select {
 				case queue <- chunk{due, append([]byte(nil), buf[:n]...)}:
-				case <-gone:
+				case <-stopped:
 					return
 				}
 			}
@@ -231,98 +232,101 @@
 			}
 		}
 	}()
-	for c := range queue {
-		if !l.waitDue(c, back) {
+	for next := range queue {
+		if !l.waitDue(next, inbound) {
 			return
 		}
-		l.bytes.Add(int64(len(c.data)))
-		if _, err := to.Write(c.data); err != nil {
+		l.bytes.Add(int64(len(next.data)))
+		if _, err := to.Write(next.data); err != nil {
 			return
 		}
 	}
 }
 
-// waitDue waits until a chunk may be forwarded; false where the link has closed.
-func (l *Link) waitDue(next chunk, back bool) bool {
+// waitDue waits until a chunk may be forwarded. It returns false if the link is closed.
+func (l *Link) waitDue(next chunk, inbound bool) bool {
 	due := next.due
-	if w, _, _ := l.conditions(back); w.BytesPerS > 0 {
-		due = due.Add(time.Duration(len(next.data)) * time.Second / time.Duration(w.BytesPerS))
+	if current, _, _ := l.conditions(inbound); current.BytesPerS > 0 {
+		due = due.Add(time.Duration(len(next.data)) * time.Second / time.Duration(current.BytesPerS))
 	}
 	for {
-		w, changed, closed := l.conditions(back)
+		current, changed, closed := l.conditions(inbound)
 		if closed {
 			return false
 		}
 		wait := time.Until(due)
-		if !w.Cut && wait <= 0 {
+		if !current.Cut && wait <= 0 {
 			return true
 		}
-		var at <-chan time.Time
-		if !w.Cut {
-			at = time.After(wait)
+		var timer <-chan time.Time
+		if !current.Cut {
+			timer = time.After(wait)
 		}
 		select {
-		case <-at:
+		case <-timer:
 		case <-changed:
 		}
 	}
 }
 
-// datagrams carries what callers send; each caller has a socket of its own towards the target, for the answers.
-func (l *Link) datagrams() {
+// relayDatagrams forwards the datagrams of all callers. Each caller has a socket of its own towards the target, so
+// that replies find their way back.
+func (l *Link) relayDatagrams() {
 	buf := make([]byte, 64<<10)
 	for {
-		n, from, err := l.udp.ReadFromUDP(buf)
+		n, caller, err := l.udp.ReadFromUDP(buf)
 		if err != nil {
 			return
 		}
-		out := l.peer(from)
-		if out == nil {
+		socket := l.peerSocket(caller)
+		if socket == nil {
 			continue
 		}
-		l.forward(append([]byte(nil), buf[:n]...), false, func(b []byte) { _, _ = out.Write(b) })
+		l.forward(append([]byte(nil), buf[:n]...), false, func(b []byte) { _, _ = socket.Write(b) })
 	}
 }
 
-// maxPeers bounds the callers whose answers find their way back.
+// maxPeers is the maximum number of callers per link; datagrams of further ones are dropped.
 const maxPeers = 256
 
-func (l *Link) peer(from *net.UDPAddr) *net.UDPConn {
+// peerSocket returns the caller's socket towards the target, and opens it for a new caller. It returns nil if
+// there are too many callers or the link is closed.
+func (l *Link) peerSocket(caller *net.UDPAddr) *net.UDPConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if u := l.peers[from.String()]; u != nil || l.closed || len(l.peers) >= maxPeers {
-		return u
+	if socket := l.peers[caller.String()]; socket != nil || l.closed || len(l.peers) >= maxPeers {
+		return socket
 	}
 	addr, err := net.ResolveUDPAddr("udp4", l.target)
 	if err != nil {
 		return nil
 	}
-	u, err := net.DialUDP("udp4", nil, addr)
+	socket, err := net.DialUDP("udp4", nil, addr)
 	if err != nil {
 		return nil
 	}
-	l.peers[from.String()] = u
+	l.peers[caller.String()] = socket
 	go func() {
 		buf := make([]byte, 64<<10)
 		for {
-			n, err := u.Read(buf)
+			n, err := socket.Read(buf)
 			if err != nil {
 				if _, _, closed := l.conditions(true); closed {
 					return
 				}
-				time.Sleep(time.Millisecond) // nobody is there just now
+				time.Sleep(time.Millisecond) // the target is not listening at present
 				continue
 			}
-			l.forward(append([]byte(nil), buf[:n]...), true, func(b []byte) { _, _ = l.udp.WriteToUDP(b, from) })
+			l.forward(append([]byte(nil), buf[:n]...), true, func(b []byte) { _, _ = l.udp.WriteToUDP(b, caller) })
 		}
 	}()
-	return u
+	return socket
 }
 
-// forward forwards one datagram under the conditions of the moment at which it was sent.
-func (l *Link) forward(datagram []byte, back bool, arrive func([]byte)) {
-	w, _, closed := l.conditions(back)
-	if closed || w.Cut || w.Drop > 0 && l.draw() < w.Drop {
+// forward forwards one datagram under the conditions at the time of the call.
+func (l *Link) forward(datagram []byte, inbound bool, arrive func([]byte)) {
+	current, _, closed := l.conditions(inbound)
+	if closed || current.Cut || current.Drop > 0 && l.drawShare() < current.Drop {
 		return
 	}
 	deliver := func(after time.Duration) {
@@ -332,8 +336,8 @@
 		}
 		time.AfterFunc(after, func() { arrive(datagram) })
 	}
-	if w.Double > 0 && l.draw() < w.Double {
-		deliver(l.drawDelay(w) + w.DoubleBy)
+	if current.Duplicate > 0 && l.drawShare() < current.Duplicate {
+		deliver(l.drawDelay(current) + current.DuplicateDelay)
 	}
-	deliver(l.drawDelay(w))
+	deliver(l.drawDelay(current))
 }
--- a/internal/testing/fleet/massrestart.go
+++ b/internal/testing/fleet/massrestart.go
@@ -16,30 +16,30 @@
 	"time"
 )
 
-// MassRestart is a scenario of senders that share nothing but one partner's limit. Most of them are
-// killed in the same instant and come back together, and their clients then submit at once what came
-// meanwhile.
+// MassRestart is a scenario of senders that share nothing but one endpoint's limit. Some of them are
+// killed at the same time and restarted together; their clients then submit at once the messages of the
+// downtime.
 type MassRestart struct {
-	Program         string
-	Dir             string
-	Senders         int
-	Kill            int     // of them
-	LimitPerS       float64 // the partner's limit
-	MessagesPerS    float64 // of all clients
-	WarmUp          time.Duration
-	Downtime        time.Duration // how long those that are killed are away
-	PartnerDowntime time.Duration // of the partner before they are killed; it is back with them. 0: it stays up
-	// what becomes of their folders meanwhile: kept, emptied, old (as they were half a WarmUp
-	// before), torn
-	Folders    string
-	Waves      int           // in so many they come back, waveGap apart; 0 counts as 1
-	Group      bool          // they are a group with the limit as a duty
-	KnownCount bool          // each one's file says how many they are
-	Seed       int64         // of what is drawn
-	WatchFor   time.Duration // after they are back
+	Program          string
+	Dir              string
+	Senders          int
+	Kill             int     // senders that are killed
+	LimitPerS        float64 // the endpoint's limit
+	MessagesPerS     float64 // of all clients
+	WarmUp           time.Duration
+	Downtime         time.Duration // between the kill and the restart
+	EndpointDowntime time.Duration // of the endpoint before the kill; it recovers at the restart. 0: it stays available
+	// what happens to the folders of the killed senders: kept, emptied, old (restored as they were half a
+	// WarmUp earlier), torn (corrupted)
+	Folders         string
+	Waves           int           // number of waves of restarts, waveInterval apart; 0 counts as 1
+	Group           bool          // the senders form a group with the limit as a duty
+	KnownCount      bool          // each configuration file states the number of senders
+	Seed            int64         // of all random choices
+	ObservationTime time.Duration // after the restart
 }
 
-// What becomes of the folders of killed members.
+// The values of MassRestart.Folders.
 const (
 	foldersKept    = "kept"
 	foldersEmptied = "emptied"
@@ -47,26 +47,26 @@
 	foldersTorn    = "torn"
 )
 
-// Folders are the values of MassRestart.Folders.
-var Folders = []string{foldersKept, foldersEmptied, foldersOld, foldersTorn}
+// FolderStates lists the values of MassRestart.Folders.
+var FolderStates = []string{foldersKept, foldersEmptied, foldersOld, foldersTorn}
 
 const (
-	waveGap      = time.Second
+	waveInterval = time.Second
 	peakSamples  = 10               // in a peakWindow
 	reportedTime = 10 * time.Second // for Calls and Refused
 )
 
-// MassRestartReport is the result, counted from when the senders were started again.
+// MassRestartReport is the result of a MassRestart; times count from the restart.
 type MassRestartReport struct {
-	Most    int `json:"most"`    // calls in half a second, at most
-	Calls   int `json:"calls"`   // in the first ten seconds
-	Refused int `json:"refused"` // of those
-	// until no more than a second's messages were not delivered; 0: not while it was watched
-	Behind time.Duration `json:"behind_ns"`
-	Bins   []CallBin     `json:"bins"` // one after another from the return on
+	PeakCalls int `json:"most"`    // maximum number of calls in a peakWindow
+	Calls     int `json:"calls"`   // in the first reportedTime
+	Refused   int `json:"refused"` // of those
+	// time until the backlog was at most one second's messages; 0: not within ObservationTime
+	CaughtUpAfter time.Duration `json:"behind_ns"`
+	Bins          []CallBin     `json:"bins"` // consecutive, from the restart on
 }
 
-// CallBin is what the partner saw in a tenth of a second.
+// CallBin counts the calls that the endpoint received in binLength.
 type CallBin struct {
 	Calls   int `json:"calls"`
 	Refused int `json:"refused"`
@@ -78,32 +78,32 @@
 // peakWindow is the time over which MassRestartReport.Most counts.
 const peakWindow = 500 * time.Millisecond
 
-// restartRun is a MassRestart under way. One goroutine uses it, apart from submitted.
+// restartRun is one run of a MassRestart. Only submitted is safe for concurrent use.
 type restartRun struct {
 	MassRestart
 
-	partner   *Partner
-	world     *World
+	endpoint  *Endpoint
+	cluster   *Cluster
 	killed    []string // names of the members that are killed
 	rng       *rand.Rand
-	submitted atomic.Int64 // messages that the clients had to submit so far
+	submitted atomic.Int64 // messages that were due for submission so far
 	tasks     sync.WaitGroup
 }
 
-// Play plays the scenario.
-func (g MassRestart) Play() (rep MassRestartReport, err error) {
-	partner, world, names, ports, err := LimitScenario{
+// Run runs the scenario.
+func (g MassRestart) Run() (report MassRestartReport, err error) {
+	endpoint, cluster, names, ports, err := LimitScenario{
 		Program: g.Program, Dir: g.Dir, Senders: g.Senders, LimitPerS: g.LimitPerS,
 		Group: g.Group, KnownCount: g.KnownCount,
 	}.start()
 	if err != nil {
-		return rep, err
+		return report, err
 	}
-	defer partner.Close()
-	defer world.Close()
+	defer endpoint.Close()
+	defer cluster.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	run := &restartRun{
-		MassRestart: g, partner: partner, world: world, killed: names[:g.Kill],
+		MassRestart: g, endpoint: endpoint, cluster: cluster, killed: names[:g.Kill],
 		rng: rand.New(rand.NewSource(g.Seed)),
 	}
 	defer run.tasks.Wait()
@@ -115,74 +115,74 @@
 	}
 	err = run.killAll()
 	if err = errors.Join(err, run.startWaves(ctx)); err != nil {
-		return rep, err
+		return report, err
 	}
 	return run.watch(), nil
 }
 
-// killAll kills the members after WarmUp, with the partner down before if the scenario says so. It
-// returns after Downtime, with the folders changed and the partner up.
+// killAll kills the members after WarmUp, with the endpoint unavailable before that for EndpointDowntime. It
+// returns after Downtime, with the folders changed and the endpoint available.
 func (r *restartRun) killAll() (err error) {
 	time.Sleep(r.WarmUp / 2)
 	if r.Folders == foldersOld {
 		for _, name := range r.killed {
-			member := r.world.Member(name)
-			err = errors.Join(err, Backup(member.State, r.world.backup(member)))
+			member := r.cluster.Member(name)
+			err = errors.Join(err, Backup(member.StateDir, r.cluster.backup(member)))
 		}
 	}
-	time.Sleep(r.WarmUp - r.WarmUp/2 - min(r.WarmUp/2, r.PartnerDowntime))
-	if r.PartnerDowntime > 0 {
-		r.partner.Down(true)
-		time.Sleep(r.PartnerDowntime)
+	time.Sleep(r.WarmUp - r.WarmUp/2 - min(r.WarmUp/2, r.EndpointDowntime))
+	if r.EndpointDowntime > 0 {
+		r.endpoint.SetDown(true)
+		time.Sleep(r.EndpointDowntime)
 	}
 	for _, name := range r.killed {
-		go r.world.Proc(name).Kill()
+		go r.cluster.Proc(name).Kill()
 	}
 	time.Sleep(r.Downtime)
 	for _, name := range r.killed {
-		<-r.world.Proc(name).done
-		err = errors.Join(err, r.changeFolder(r.world, r.world.Member(name), r.rng))
+		<-r.cluster.Proc(name).done
+		err = errors.Join(err, r.changeFolder(r.cluster, r.cluster.Member(name), r.rng))
 	}
-	r.partner.Down(false)
+	r.endpoint.SetDown(false)
 	return err
 }
 
-// startWaves starts the first wave of the killed members, and the others later, waveGap apart.
+// startWaves starts the first wave of the killed members now and the others later, waveInterval apart.
 func (r *restartRun) startWaves(ctx context.Context) (err error) {
 	waves := max(1, r.Waves)
 	for i := range waves {
 		wave := r.killed[len(r.killed)*i/waves : len(r.killed)*(i+1)/waves]
 		if i == 0 {
-			err = r.world.Up(wave...)
+			err = r.cluster.StartMembers(wave...)
 			continue
 		}
 		r.tasks.Add(1)
 		go func() {
 			defer r.tasks.Done()
-			if time.Sleep(time.Duration(i) * waveGap); ctx.Err() == nil && len(wave) > 0 {
-				_ = r.world.Up(wave...) // the first wave has shown that it can be started
+			if time.Sleep(time.Duration(i) * waveInterval); ctx.Err() == nil && len(wave) > 0 {
+				_ = r.cluster.StartMembers(wave...) // errors of the program itself show in the first wave
 			}
 		}()
 	}
 	return err
 }
 
-// watch samples the partner's counters for WatchFor, peakSamples times in a peakWindow.
-func (r *restartRun) watch() (rep MassRestartReport) {
+// watch samples the endpoint's counters for WatchFor, peakSamples times in a peakWindow.
+func (r *restartRun) watch() (report MassRestartReport) {
 	start := time.Now()
-	calls := func() int { return int(r.partner.Taken.Load() + r.partner.Refused.Load()) }
-	firstCalls, firstRefused := calls(), r.partner.Refused.Load()
+	calls := func() int { return int(r.endpoint.Accepted.Load() + r.endpoint.Refused.Load()) }
+	firstCalls, firstRefused := calls(), r.endpoint.Refused.Load()
 	var samples []int // calls since start
 	var binned CallBin
-	for time.Since(start) < r.WatchFor {
+	for time.Since(start) < r.ObservationTime {
 		time.Sleep(peakWindow / peakSamples)
-		if n := int(time.Since(start) / binLength); n > len(rep.Bins) {
-			now := CallBin{Calls: calls() - firstCalls, Refused: int(r.partner.Refused.Load() - firstRefused)}
-			rep.Bins = append(rep.Bins, CallBin{
-				Calls:   now.Calls - binned.Calls,
-				Refused: now.Refused - binned.Refused,
+		if binCount := int(time.Since(start) / binLength); binCount > len(report.Bins) {
+			total := CallBin{Calls: calls() - firstCalls, Refused: int(r.endpoint.Refused.Load() - firstRefused)}
+			report.Bins = append(report.Bins, CallBin{
+				Calls:   total.Calls - binned.Calls,
+				Refused: total.Refused - binned.Refused,
 			})
-			binned = now
+			binned = total
 		}
 		current := calls() - firstCalls
 		samples = append(samples, current)
@@ -190,42 +190,42 @@
 		if len(samples) > peakSamples {
 			before = samples[len(samples)-peakSamples-1]
 		}
-		rep.Most = max(rep.Most, current-before)
+		report.PeakCalls = max(report.PeakCalls, current-before)
 		if time.Since(start) < reportedTime {
-			rep.Calls, rep.Refused = current, int(r.partner.Refused.Load()-firstRefused)
+			report.Calls, report.Refused = current, int(r.endpoint.Refused.Load()-firstRefused)
 		}
-		backlog := float64(r.submitted.Load() - r.partner.Taken.Load())
-		if rep.Behind == 0 && backlog <= r.MessagesPerS && time.Since(start) > peakWindow {
-			rep.Behind = time.Since(start)
+		backlog := float64(r.submitted.Load() - r.endpoint.Accepted.Load())
+		if report.CaughtUpAfter == 0 && backlog <= r.MessagesPerS && time.Since(start) > peakWindow {
+			report.CaughtUpAfter = time.Since(start)
 		}
 	}
-	return rep
+	return report
 }
 
-// changeFolder does to a stopped member's folder what Folders says.
-func (g MassRestart) changeFolder(world *World, member *Member, rng *rand.Rand) (err error) {
+// changeFolder changes a stopped member's folder as Folders specifies.
+func (g MassRestart) changeFolder(cluster *Cluster, member *Member, rng *rand.Rand) (err error) {
 	switch g.Folders {
 	case foldersEmptied:
-		return Empty(member.State)
+		return Empty(member.StateDir)
 	case foldersOld:
-		return Restore(world.backup(member), member.State)
+		return Restore(cluster.backup(member), member.StateDir)
 	case foldersTorn:
-		for _, f := range []string{"spool", "memory"} {
-			if _, terr := Tear(filepath.Join(member.State, f), rng); !errors.Is(terr, fs.ErrNotExist) {
-				err = errors.Join(err, terr)
+		for _, file := range []string{"spool", "memory"} {
+			if _, corruptErr := Corrupt(filepath.Join(member.StateDir, file), rng); !errors.Is(corruptErr, fs.ErrNotExist) {
+				err = errors.Join(err, corruptErr)
 			}
 		}
 	}
 	return err
 }
 
-// client submits the messages of one sender, evenly from delay on. Messages that come while the sender
-// is down are submitted at once when it is back. It adds each message to submitted when it comes.
+// client submits messages to one sender at an even rate, from delay on. Messages that are due while the sender
+// is down are submitted together once it is available. Each message is added to submitted when it is due.
 func (g MassRestart) client(ctx context.Context, addr, name string, delay time.Duration, submitted *atomic.Int64) {
-	gap := time.Duration(float64(time.Second) * float64(g.Senders) / g.MessagesPerS)
+	interval := time.Duration(float64(time.Second) * float64(g.Senders) / g.MessagesPerS)
 	next := time.Now().Add(delay)
 	var conn net.Conn
-	var in *bufio.Reader
+	var replies *bufio.Reader
 	defer func() {
 		if conn != nil {
 			_ = conn.Close()
@@ -239,7 +239,7 @@
 			return
 		case <-time.After(time.Until(next)):
 		}
-		next = next.Add(gap)
+		next = next.Add(interval)
 		serial++
 		submitted.Add(1)
 		pending = append(pending, fmt.Sprintf("%s-%d", name, serial))
@@ -248,20 +248,20 @@
 			if err != nil {
 				continue
 			}
-			conn, in = dialed, bufio.NewReader(dialed)
+			conn, replies = dialed, bufio.NewReader(dialed)
 		}
 		_ = conn.SetDeadline(time.Now().Add(2 * time.Second))
 		var err error
-		if pending, err = submitAll(conn, in, pending); err != nil {
+		if pending, err = submitAll(conn, replies, pending); err != nil {
 			_ = conn.Close()
 			conn = nil
 		}
 	}
 }
 
-// submitAll submits messages in batches, up to the first error of the connection. It returns those that
-// were not accepted.
-func submitAll(conn io.Writer, in *bufio.Reader, ids []string) (left []string, err error) {
+// submitAll submits messages in batches, up to the first error of the connection. It returns the ids of those
+// that were not accepted.
+func submitAll(conn io.Writer, replies *bufio.Reader, ids []string) (unaccepted []string, err error) {
 	for len(ids) > 0 && err == nil {
 		batch := ids[:min(submitBatch, len(ids))]
 		ids = ids[len(batch):]
@@ -269,12 +269,12 @@
 		for _, id := range batch {
 			line := ""
 			if err == nil {
-				line, err = in.ReadString('\n')
+				line, err = replies.ReadString('\n')
 			}
 			if !strings.HasPrefix(line, "+OK") {
-				left = append(left, id)
+				unaccepted = append(unaccepted, id)
 			}
 		}
 	}
-	return append(left, ids...), err
+	return append(unaccepted, ids...), err
 }
--- a/internal/testing/fleet/partner.go
+++ b/internal/testing/fleet/partner.go
@@ -12,115 +12,117 @@
 	"time"
 )
 
-// Partner is the stand-in for a destination with a limit of calls a second, and half a second's
-// calls of burst: above it calls are refused with 429 and a wait.
-type Partner struct {
-	ln    net.Listener
-	mu    sync.Mutex
-	rate  float64
-	level float64
-	last  time.Time
+// Endpoint is a stand-in HTTP endpoint with a limit of calls per second and a burst of endpointBurst. Calls
+// above the limit are refused with 429 and a wait.
+type Endpoint struct {
+	ln         net.Listener
+	mu         sync.Mutex
+	rate       float64
+	tokens     float64
+	lastRefill time.Time
 
-	// Lost: calls while it was down; Falls: returns that ended under too many calls
-	Taken, Refused, Lost, Falls atomic.Int64
-	down                        atomic.Bool
+	// Lost counts calls while it was unavailable, Collapses the recoveries that ended under too many calls
+	Accepted, Refused, Lost, Collapses atomic.Int64
+	down                               atomic.Bool
 
-	coldReturn bool        // it returns at a part of its rate
-	since      time.Time   // start of its return; zero: it has its full rate
-	window     []time.Time // calls of the last coldFor while it comes back
+	coldReturn  bool        // it recovers at a fraction of its rate
+	returnStart time.Time   // start of its recovery; zero: it has its full rate
+	window      []time.Time // times of the calls of the last coldWindow, during a cold return
 }
 
-// A cold partner returns with coldInitialShare of its rate, and has all of it after coldDuration. With
-// more than coldTolerance times what it takes, over coldWindow, it goes down again for fallDuration;
-// three standard deviations and three calls are tolerated.
+// An endpoint with a cold return recovers with coldInitialShare of its rate and has all of it after
+// coldDuration. When the calls of the last coldWindow exceed coldTolerance times its current rate, by more than
+// three standard deviations and three calls, it becomes unavailable again for collapseDuration.
 const (
 	coldInitialShare, coldTolerance = 0.2, 2.0
 	coldWindow, coldDuration        = 2 * time.Second, 13 * time.Second
-	fallDuration                    = 2 * time.Second
+	collapseDuration                = 2 * time.Second
 )
 
-// Cold makes it return at a part of its rate from now on.
-func (p *Partner) Cold() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.coldReturn = true
+// SetColdReturn makes each later recovery begin at a fraction of the rate.
+func (e *Endpoint) SetColdReturn() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.coldReturn = true
 }
 
-// overloaded counts a call to a returning partner, and reports whether the partner goes down under it.
-// The lock is held.
-func (p *Partner) overloaded(now time.Time) bool {
-	if age := now.Sub(p.since); p.since.IsZero() || age > coldDuration {
-		p.window = nil
+// overloaded counts a call to a recovering endpoint and reports whether the endpoint collapses under it.
+// The caller must hold mu.
+func (e *Endpoint) overloaded(now time.Time) bool {
+	if elapsed := now.Sub(e.returnStart); e.returnStart.IsZero() || elapsed > coldDuration {
+		e.window = nil
 		return false
 	}
-	p.window = append(slices.DeleteFunc(p.window, func(at time.Time) bool { return now.Sub(at) > coldWindow }), now)
-	over := min(coldWindow, now.Sub(p.since)).Seconds()
-	mid := (now.Sub(p.since).Seconds() - over/2) / coldDuration.Seconds()
-	n := coldTolerance * p.rate * (coldInitialShare + (1-coldInitialShare)*mid) * coldWindow.Seconds()
-	if float64(len(p.window)) <= n+3*math.Sqrt(n)+3 {
+	e.window = append(slices.DeleteFunc(e.window,
+		func(callTime time.Time) bool { return now.Sub(callTime) > coldWindow }), now)
+	observed := min(coldWindow, now.Sub(e.returnStart)).Seconds()
+	position := (now.Sub(e.returnStart).Seconds() - observed/2) / coldDuration.Seconds()
+	tolerated := coldTolerance * e.rate * (coldInitialShare + (1-coldInitialShare)*position) * coldWindow.Seconds()
+	if float64(len(e.window)) <= tolerated+3*math.Sqrt(tolerated)+3 {
 		return false
 	}
-	p.Falls.Add(1)
-	p.window = nil
-	p.down.Store(true)
-	time.AfterFunc(fallDuration, func() { p.Down(false) })
+	e.Collapses.Add(1)
+	e.window = nil
+	e.down.Store(true)
+	time.AfterFunc(collapseDuration, func() { e.SetDown(false) })
 	return true
 }
 
-// partnerBurst is the size of the token bucket, in seconds of its rate.
-const partnerBurst = 0.5
+// endpointBurst is the capacity of the token bucket, in seconds of its rate.
+const endpointBurst = 0.5
 
-// NewPartner listens on a free port of loopback.
-func NewPartner(rate float64) (*Partner, error) {
+// NewEndpoint listens on a free loopback port. rate is in calls per second.
+func NewEndpoint(rate float64) (*Endpoint, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("fleet: partner: %w", err)
+		return nil, fmt.Errorf("fleet: endpoint: %w", err)
 	}
-	p := &Partner{ln: ln, rate: rate, level: rate * partnerBurst, last: time.Now()}
-	go func() { _ = (&http.Server{Handler: p, ReadHeaderTimeout: time.Minute}).Serve(ln) }()
-	return p, nil
+	e := &Endpoint{ln: ln, rate: rate, tokens: rate * endpointBurst, lastRefill: time.Now()}
+	go func() { _ = (&http.Server{Handler: e, ReadHeaderTimeout: time.Minute}).Serve(ln) }()
+	return e, nil
 }
 
-// Addr is where it listens.
-func (p *Partner) Addr() string { return p.ln.Addr().String() }
+// Addr returns the address on which the endpoint listens.
+func (e *Endpoint) Addr() string { return e.ln.Addr().String() }
 
-// Close stops it.
-func (p *Partner) Close() { _ = p.ln.Close() }
+// Close stops the endpoint.
+func (e *Endpoint) Close() { _ = e.ln.Close() }
 
-// Down lets it take calls and end their connections without an answer, or serve again.
-func (p *Partner) Down(down bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.down.Store(down); p.coldReturn && !down {
-		p.since, p.window = time.Now(), nil
+// SetDown makes the endpoint unavailable or available. While unavailable it reads each call and resets the
+// connection without a response.
+func (e *Endpoint) SetDown(down bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.down.Store(down); e.coldReturn && !down {
+		e.returnStart, e.window = time.Now(), nil
 	}
 }
 
-// ServeHTTP takes or refuses one call.
-func (p *Partner) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+// ServeHTTP accepts or refuses one call.
+func (e *Endpoint) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(request.Body, 1<<20))
-	if p.down.Load() {
-		p.Lost.Add(1)
-		if c, _, err := http.NewResponseController(writer).Hijack(); err == nil {
-			end(c)
+	if e.down.Load() {
+		e.Lost.Add(1)
+		if conn, _, err := http.NewResponseController(writer).Hijack(); err == nil {
+			abort(conn)
 		}
 		return
 	}
-	p.mu.Lock()
+	e.mu.Lock()
 	now := time.Now()
-	p.level = min(p.rate*partnerBurst, p.level+p.rate*now.Sub(p.last).Seconds())
-	p.last = now
-	fell := p.overloaded(now)
-	ok := p.level >= 1 && !fell
-	if ok {
-		p.level--
+	e.tokens = min(e.rate*endpointBurst, e.tokens+e.rate*now.Sub(e.lastRefill).Seconds())
+	e.lastRefill = now
+	collapsed := e.overloaded(now)
+	accepted := e.tokens >= 1 && !collapsed
+	if accepted {
+		e.tokens--
 	}
-	p.mu.Unlock()
-	if !ok {
-		p.Refused.Add(1)
+	e.mu.Unlock()
+	if !accepted {
+		e.Refused.Add(1)
 		writer.Header().Set("X-Backoff-Ms", "200")
 		writer.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
-	p.Taken.Add(1)
+	e.Accepted.Add(1)
 }
--- a/internal/testing/fleet/plan.go
+++ b/internal/testing/fleet/plan.go
@@ -11,15 +11,15 @@
 	"time"
 )
 
-// Step is one fault of a plan: what, to whom, from when and for how long.
+// Step is one fault of a plan.
 type Step struct {
-	At   time.Duration
-	Do   string // see Do
-	Whom []string
-	For  time.Duration
+	At      time.Duration // since the start of the plan
+	Fault   string        // a key of FaultTargets
+	Targets []string      // members, or expressions such as holder:DUTY and leader
+	Length  time.Duration
 }
 
-// The faults, as a plan names them; Do describes them.
+// The names of faults in a plan; FaultTargets describes them.
 const (
 	faultKill    = "kill"
 	faultKillAll = "killall"
@@ -37,91 +37,93 @@
 	faultFull    = "full"
 )
 
-// Do is what a step may do, and how many it names. A word like holder:NAME or leader stands for
-// whoever that is when the step begins.
+// FaultTargets maps each fault to its number of targets; -1 is one or more. A target such as holder:DUTY or
+// leader is resolved to a member when the step begins.
 //
-//	kill M      ends the process; it is started again afterwards
-//	killall     ends all in one instant
-//	stop M      makes it stand still
-//	cut M       cuts it off from all others, both ways
-//	mute M      what it sends does not arrive; it hears the others
-//	deaf M      it hears nothing; the others hear it
-//	part M ...  cuts those named off from those not named
-//	bridge M N  cuts these two off from each other alone
-//	slow M      all that crosses its links is late by a drawn time of up to the step's length over four
-//	empty M     ends it, empties its folder, and starts it again afterwards
-//	term M      ends it in order; it is started again afterwards
-//	full M      its disk has no room: each write to a file fails
-//	hand M      lets it have the first duty, by order
-//	old M       ends it, puts back the folder as it was at the plan's start, and starts it again afterwards
-var Do = map[string]int{
+//	kill M      kills the process and restarts it at the end of the step
+//	killall     kills all processes at the same time and restarts them at the end of the step
+//	stop M      suspends the process
+//	cut M       blocks the traffic between the member and all others, both ways
+//	mute M      blocks what the member sends; it still receives
+//	deaf M      blocks what is sent to the member; the others still receive its traffic
+//	part M ...  blocks the traffic between the named members and the others
+//	bridge M N  blocks the traffic between these two members only
+//	slow M      delays all traffic of the member by a random time of up to a quarter of the step's length
+//	empty M     kills the process, empties its folder, and restarts it at the end of the step
+//	term M      stops the process gracefully and restarts it at the end of the step
+//	full M      fails each write of the process to a file, as on a full disk
+//	hand M      transfers the first duty to the member by command
+//	old M       kills the process, restores the folder of the plan's start, and restarts it at the end of the step
+var FaultTargets = map[string]int{
 	faultKill: 1, faultKillAll: 0, faultStop: 1, faultCut: 1, faultMute: 1, faultDeaf: 1, faultPart: -1,
 	faultBridge: 2, faultSlow: 1,
 	faultEmpty: 1, faultOld: 1,
 	faultTerm: 1, faultHand: 1, faultFull: 1,
 }
 
-// String is a step as ParsePlan reads it.
+// String formats a step as ParsePlan reads it.
 func (s Step) String() string {
-	return strings.Join(append([]string{s.At.String(), s.Do}, append(slices.Clone(s.Whom), "for", s.For.String())...), " ")
+	return strings.Join(append([]string{s.At.String(), s.Fault},
+		append(slices.Clone(s.Targets), "for", s.Length.String())...), " ")
 }
 
-// ParsePlan reads steps, one a line: when, what, whom, "for", how long. What stands behind a # is for people.
+// ParsePlan reads steps, one per line: start time, fault, targets, "for", length. Text after # is a comment.
+// The result is sorted by start time.
 func ParsePlan(text io.Reader) ([]Step, error) {
 	var plan []Step
-	in := bufio.NewScanner(text)
-	for n := 1; in.Scan(); n++ {
-		line, _, _ := strings.Cut(in.Text(), "#")
-		words := strings.Fields(line)
-		if len(words) == 0 {
+	scanner := bufio.NewScanner(text)
+	for lineNumber := 1; scanner.Scan(); lineNumber++ {
+		line, _, _ := strings.Cut(scanner.Text(), "#")
+		fields := strings.Fields(line)
+		if len(fields) == 0 {
 			continue
 		}
-		bad := func(format string, args ...any) ([]Step, error) {
-			return nil, fmt.Errorf("plan: line %d: "+format, append([]any{n}, args...)...)
+		invalid := func(format string, args ...any) ([]Step, error) {
+			return nil, fmt.Errorf("plan: line %d: "+format, append([]any{lineNumber}, args...)...)
 		}
-		if len(words) < 4 || words[len(words)-2] != "for" {
-			return bad("not of the form: WHEN WHAT [WHOM ...] for HOW-LONG")
+		if len(fields) < 4 || fields[len(fields)-2] != "for" {
+			return invalid("not of the form: START FAULT [TARGET ...] for LENGTH")
 		}
-		var s Step
+		var step Step
 		var err error
-		if s.At, err = time.ParseDuration(words[0]); err != nil || s.At < 0 {
-			return bad("%q is no time since the start", words[0])
+		if step.At, err = time.ParseDuration(fields[0]); err != nil || step.At < 0 {
+			return invalid("start %q is not a duration from 0 on", fields[0])
 		}
-		if s.For, err = time.ParseDuration(words[len(words)-1]); err != nil || s.For < 0 {
-			return bad("%q is no length of time", words[len(words)-1])
+		if step.Length, err = time.ParseDuration(fields[len(fields)-1]); err != nil || step.Length < 0 {
+			return invalid("length %q is not a duration from 0 on", fields[len(fields)-1])
 		}
-		s.Do, s.Whom = words[1], words[2:len(words)-2]
-		if want, ok := Do[s.Do]; !ok {
-			return bad("%q is none of the faults", s.Do)
-		} else if want >= 0 && len(s.Whom) != want || want < 0 && len(s.Whom) == 0 {
-			return bad("%s names %d members", s.Do, len(s.Whom))
+		step.Fault, step.Targets = fields[1], fields[2:len(fields)-2]
+		if count, ok := FaultTargets[step.Fault]; !ok {
+			return invalid("unknown fault %q", step.Fault)
+		} else if count >= 0 && len(step.Targets) != count || count < 0 && len(step.Targets) == 0 {
+			return invalid("fault %s has %d targets", step.Fault, len(step.Targets))
 		}
-		plan = append(plan, s)
+		plan = append(plan, step)
 	}
 	slices.SortStableFunc(plan, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
-	return plan, in.Err()
+	return plan, scanner.Err()
 }
 
-// Draw makes a plan of so many faults from a seed, one after another with pauses between them so that the
-// group can find itself again: each lasts up to twice a lease, and so does each pause. kinds are
-// drawn from evenly; whom among words.
-func Draw(seed int64, faults int, lease time.Duration, kinds, words []string) []Step {
+// Draw makes a random plan from a seed: consecutive faults with pauses in which the group can recover. Faults
+// and pauses each last between a quarter of a lease and that plus two leases. Kinds and targets are drawn
+// uniformly from those given.
+func Draw(seed int64, faults int, lease time.Duration, kinds, targets []string) []Step {
 	rng := rand.New(rand.NewSource(seed))
-	span := func() time.Duration { return lease/4 + time.Duration(rng.Int63n(int64(2*lease))) }
-	at := lease
+	drawLength := func() time.Duration { return lease/4 + time.Duration(rng.Int63n(int64(2*lease))) }
+	start := lease
 	var plan []Step
 	for range faults {
-		s := Step{At: at, Do: kinds[rng.Intn(len(kinds))], For: span()}
-		perm := rng.Perm(len(words))
-		k := Do[s.Do]
-		if k < 0 {
-			k = 1 + rng.Intn(max(1, len(words)/2))
+		step := Step{At: start, Fault: kinds[rng.Intn(len(kinds))], Length: drawLength()}
+		perm := rng.Perm(len(targets))
+		count := FaultTargets[step.Fault]
+		if count < 0 {
+			count = 1 + rng.Intn(max(1, len(targets)/2))
 		}
-		for _, i := range perm[:min(k, len(perm))] {
-			s.Whom = append(s.Whom, words[i])
+		for _, i := range perm[:min(count, len(perm))] {
+			step.Targets = append(step.Targets, targets[i])
 		}
-		plan = append(plan, s)
-		at += s.For + span()
+		plan = append(plan, step)
+		start += step.Length + drawLength()
 	}
 	return plan
 }
--- a/internal/testing/fleet/proc.go
+++ b/internal/testing/fleet/proc.go
@@ -14,27 +14,28 @@
 	"golang.org/x/sys/unix"
 )
 
-// Proc is one process of the program. It is ended and stopped by its own pid alone.
+// Proc is a child process. All signals go to its pid, never to a process group.
 type Proc struct {
 	cmd   *exec.Cmd
 	mu    sync.Mutex
 	ended bool
-	done  chan struct{} // closed once it has ended
+	done  chan struct{} // closed when the process has ended
 	err   error
 }
 
-// Start starts a process; what it writes to standard error goes to log. env is added to the world's environment. The
-// process has the files as its descriptors from 3 on.
+// Start starts a process with its standard output and error written to log. env is added to the environment of this
+// process. The process inherits files as its descriptors from 3 on.
 func Start(program string, args, env []string, log io.Writer, files ...*os.File) (*Proc, error) {
 	p := &Proc{cmd: exec.Command(program, args...), done: make(chan struct{})}
 	p.cmd.Env = append(os.Environ(), env...)
 	p.cmd.ExtraFiles = files
-	through := struct{ io.Writer }{log} // by a pipe: what a process says is heard while its disk is full
-	p.cmd.Stderr, p.cmd.Stdout = through, through
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // nothing outlives a test that is cut short
+	// Not an *os.File, so that exec uses a pipe: output arrives even while SetDiskFull makes writes to files fail.
+	pipe := struct{ io.Writer }{log}
+	p.cmd.Stderr, p.cmd.Stdout = pipe, pipe
+	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no child outlives an interrupted test
 	started := make(chan error, 1)
 	go func() {
-		runtime.LockOSThread() // the kernel ends the process with the thread that started it, not with this program
+		runtime.LockOSThread() // Pdeathsig is sent when the starting thread ends, not the program
 		defer runtime.UnlockOSThread()
 		err := p.cmd.Start()
 		started <- err
@@ -52,10 +53,10 @@
 	return p, nil
 }
 
-// Pid is its process id.
+// Pid returns the process id.
 func (p *Proc) Pid() int { return p.cmd.Process.Pid }
 
-// Signal reaches the process while it has not been waited for, so that its pid is its own.
+// Signal sends a signal. It fails once the process has been waited for, as its pid may belong to another by then.
 func (p *Proc) Signal(s syscall.Signal) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -65,26 +66,26 @@
 	return p.cmd.Process.Signal(s)
 }
 
-// Done is closed once the process has ended.
+// Done returns a channel that is closed when the process has ended.
 func (p *Proc) Done() <-chan struct{} { return p.done }
 
-// Kill ends it as a crash would, and waits for that.
+// Kill kills the process and waits until it has ended.
 func (p *Proc) Kill() {
 	if err := p.Signal(syscall.SIGKILL); err == nil {
 		<-p.done
 	}
 }
 
-// Stop makes it stand still, all threads of it, until Continue.
+// Stop suspends all threads of the process until Continue.
 func (p *Proc) Stop() error { return p.Signal(syscall.SIGSTOP) }
 
-// Continue lets it go on.
+// Continue resumes a suspended process.
 func (p *Proc) Continue() error { return p.Signal(syscall.SIGCONT) }
 
-// Full lets each further write of the process to a file fail as on a disk without room, or succeed
-// again. Nothing but this process notices: it is its own bound on the size of files that is
-// lowered, and the error is that of a file too large.
-func (p *Proc) Full(full bool) error {
+// SetDiskFull makes each further write of the process to a file fail, as on a full disk, or succeed again. It
+// changes the process's limit of the size of files (RLIMIT_FSIZE), so no other process is affected and the error
+// is EFBIG, not ENOSPC.
+func (p *Proc) SetDiskFull(full bool) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.ended {
@@ -93,50 +94,51 @@
 	return FullDisk(p.Pid(), full)
 }
 
-// FullDisk does so for a process of the caller's that has not been waited for.
+// FullDisk does the same as Proc.SetDiskFull for any child process that has not been waited for.
 func FullDisk(pid int, full bool) error {
-	var was unix.Rlimit
-	if err := unix.Prlimit(pid, unix.RLIMIT_FSIZE, nil, &was); err != nil {
+	var limit unix.Rlimit
+	if err := unix.Prlimit(pid, unix.RLIMIT_FSIZE, nil, &limit); err != nil {
 		return fmt.Errorf("fleet: full disk: %w", err)
 	}
-	if was.Cur = was.Max; full {
-		was.Cur = 0
+	if limit.Cur = limit.Max; full {
+		limit.Cur = 0
 	}
-	if err := unix.Prlimit(pid, unix.RLIMIT_FSIZE, &was, nil); err != nil {
+	if err := unix.Prlimit(pid, unix.RLIMIT_FSIZE, &limit, nil); err != nil {
 		return fmt.Errorf("fleet: full disk: %w", err)
 	}
 	return nil
 }
 
-// NoDescriptors takes all further descriptors from a running process, or gives them back.
-func NoDescriptors(pid int, none bool) error {
-	var was unix.Rlimit
-	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &was); err != nil {
+// ExhaustDescriptors makes each further open of a descriptor in a running process fail, or succeed again.
+func ExhaustDescriptors(pid int, exhausted bool) error {
+	var limit unix.Rlimit
+	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &limit); err != nil {
 		return fmt.Errorf("fleet: descriptors: %w", err)
 	}
-	if was.Cur = was.Max; none {
-		was.Cur = 1
+	if limit.Cur = limit.Max; exhausted {
+		limit.Cur = 1
 	}
-	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &was, nil); err != nil {
+	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &limit, nil); err != nil {
 		return fmt.Errorf("fleet: descriptors: %w", err)
 	}
 	return nil
 }
 
-// Term asks it to end in order and waits so long for that; an error tells that it did not end, or how.
-func (p *Proc) Term(wait time.Duration) error {
+// Terminate sends SIGTERM and waits up to timeout for the end of the process. It returns the process's exit error, or
+// an error if it did not end.
+func (p *Proc) Terminate(timeout time.Duration) error {
 	if err := p.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
 	select {
 	case <-p.done:
 		return p.err
-	case <-time.After(wait):
-		return errors.New("fleet: it does not end")
+	case <-time.After(timeout):
+		return errors.New("fleet: the process did not end after SIGTERM")
 	}
 }
 
-// Ended tells whether it has ended, and how.
+// Ended reports whether the process has ended, and its exit error.
 func (p *Proc) Ended() (bool, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testing/fleet/scenario.go
+++ b/internal/testing/fleet/scenario.go
@@ -14,20 +14,20 @@
 	"time"
 )
 
-// Scenario is a group of members with duties of the kind call, a fault schedule, and a receiver that
-// records their acts.
+// Scenario is a group of members with duties of the kind "call", a fault schedule, and a receiver that
+// records the executions of the duties.
 type Scenario struct {
-	Program         string // the sender's
-	Dir             string // for folders, files and logs
-	Members         int    // of which up to five vote
-	Duties          int
-	Lease           time.Duration
-	Every           time.Duration // between two acts
-	Longest         time.Duration // that an act may take
-	Takes           time.Duration // that the receiver takes over one
-	Seed            int64
-	Plan            []Step
-	AcceptOldEpochs bool // by the receiver
+	Program           string // path of the sender's executable
+	Dir               string // for state folders, configuration files and logs
+	Members           int    // up to five of them are voters
+	Duties            int
+	Lease             time.Duration
+	Interval          time.Duration // between two executions of a duty
+	MaxDuration       time.Duration // maximum duration of an execution
+	ExecutionTime     time.Duration // how long the receiver takes for an execution
+	Seed              int64
+	Plan              []Step
+	AcceptStaleEpochs bool // the receiver accepts executions of stale epochs
 }
 
 // Report is the result of a scenario.
@@ -39,7 +39,7 @@
 	Pauses    []Pause    `json:"lapses"`
 }
 
-// Pause is how long duties went without an act after one kind of fault.
+// Pause summarizes how long duties were not executed after one kind of fault.
 type Pause struct {
 	Fault                string        `json:"fault"`
 	Count                int           `json:"count"`
@@ -49,7 +49,7 @@
 	LongestMs            float64       `json:"longest_ms"`
 }
 
-// Names are those of the scenario's members and duties.
+// Names returns the names of the scenario's members and duties.
 func (g Scenario) Names() (members, duties []string) {
 	for i := range g.Members {
 		members = append(members, string(rune('a'+i%26))+strings.Repeat("x", i/26))
@@ -60,7 +60,7 @@
 	return members, duties
 }
 
-// voters is how many of so many members vote.
+// voters returns the number of voters in a group of so many members.
 func voters(members int) int {
 	switch {
 	case members >= 5:
@@ -71,10 +71,10 @@
 	return 1
 }
 
-// config is a member's configuration file.
+// config returns the text of a member's configuration file.
 func (g Scenario) config(member *Member, members, duties []string, receiver string) string {
-	var b strings.Builder
-	fmt.Fprintf(&b, `name = %q
+	var text strings.Builder
+	fmt.Fprintf(&text, `name = %q
 [limits]
 disk_mb = 16
 [console]
@@ -98,193 +98,196 @@
 listen = %q
 lease_ms = %d
 drift = 0.01
-members = [`, member.Name, member.port(), member.Name, member.Listen, g.Lease.Milliseconds())
-	for _, v := range members[:voters(len(members))] {
-		fmt.Fprintf(&b, "%q, ", v+"="+member.Reach[v])
+members = [`, member.Name, member.freeClientPort(), member.Name, member.Listen, g.Lease.Milliseconds())
+	for _, voter := range members[:voters(len(members))] {
+		fmt.Fprintf(&text, "%q, ", voter+"="+member.Addrs[voter])
 	}
-	b.WriteString("]\n")
-	for _, d := range duties {
-		fmt.Fprintf(&b, "[[duty]]\nname = %q\nkind = \"call\"\nurl = \"http://%s/act\"\nevery_ms = %d\nlongest_ms = %d\n",
-			d, receiver, g.Every.Milliseconds(), g.Longest.Milliseconds())
+	text.WriteString("]\n")
+	for _, duty := range duties {
+		fmt.Fprintf(&text,
+			"[[duty]]\nname = %q\nkind = \"call\"\nurl = \"http://%s/act\"\nevery_ms = %d\nlongest_ms = %d\n",
+			duty, receiver, g.Interval.Milliseconds(), g.MaxDuration.Milliseconds())
 	}
-	return b.String()
+	return text.String()
 }
 
-// port is one for the member's clients.
-func (m *Member) port() string {
-	at, err := FreePort()
+// freeClientPort returns a free port for the member's clients; "0" lets the member choose one.
+func (m *Member) freeClientPort() string {
+	addr, err := FreePort()
 	if err != nil {
 		return "0"
 	}
-	_, port, _ := net.SplitHostPort(at)
+	_, port, _ := net.SplitHostPort(addr)
 	return port
 }
 
-// actTimeout is how long a scenario waits, at most, for acts of all duties.
-const actTimeout = 30 * time.Second
+// executionTimeout is the maximum wait for executions of all duties.
+const executionTimeout = 30 * time.Second
 
-// Play waits until all duties are held, plays the plan, and waits until all are held again.
-func (g Scenario) Play() (Report, *Timeline, error) {
-	line := NewTimeline()
-	rep := Report{Seed: g.Seed}
-	for _, s := range g.Plan {
-		rep.Plan = append(rep.Plan, s.String())
+// Run waits until all duties are executed, runs the plan, and waits until all duties are executed again.
+func (g Scenario) Run() (Report, *Timeline, error) {
+	timeline := NewTimeline()
+	report := Report{Seed: g.Seed}
+	for _, step := range g.Plan {
+		report.Plan = append(report.Plan, step.String())
 	}
-	recv, err := NewReceiver(line)
+	receiver, err := NewReceiver(timeline)
 	if err != nil {
-		return rep, line, err
+		return report, timeline, err
 	}
-	defer recv.Close()
-	recv.Behave(g.Takes, 0, g.AcceptOldEpochs)
+	defer receiver.Close()
+	receiver.SetBehavior(g.ExecutionTime, 0, g.AcceptStaleEpochs)
 	members, duties := g.Names()
-	w, err := NewWorld(g.Program, g.Dir, members, nil, g.Seed, line,
-		func(m *Member) string { return g.config(m, members, duties, recv.Addr()) })
+	cluster, err := NewCluster(g.Program, g.Dir, members, nil, g.Seed, timeline,
+		func(member *Member) string { return g.config(member, members, duties, receiver.Addr()) })
 	if err != nil {
-		return rep, line, err
+		return report, timeline, err
 	}
-	defer w.Close()
-	w.Resolve = func(word string) string { return w.resolve(word) }
-	if err := w.Up(); err != nil {
-		return rep, line, err
+	defer cluster.Close()
+	cluster.Resolve = func(word string) string { return cluster.resolve(word) }
+	if err := cluster.StartMembers(); err != nil {
+		return report, timeline, err
 	}
-	if err := waitForActs(line, duties, 0); err != nil {
-		return rep, line, errors.Join(err, w.logTails())
+	if err := waitForExecutions(timeline, duties, 0); err != nil {
+		return report, timeline, errors.Join(err, cluster.logTails())
 	}
-	err = w.Play(g.Plan)
+	err = cluster.Run(g.Plan)
 	if err == nil {
-		err = waitForActs(line, duties, line.Now())
+		err = waitForExecutions(timeline, duties, timeline.Now())
 	}
-	err = errors.Join(err, w.crashed())
-	list := line.Events()
-	rep.Verdict, rep.Handovers = Check(list), Handovers(list, g.Lease)
-	rep.Pauses = Pauses(rep.Handovers)
+	err = errors.Join(err, cluster.crashed())
+	events := timeline.Events()
+	report.Verdict, report.Handovers = Check(events), Handovers(events, g.Lease)
+	report.Pauses = Pauses(report.Handovers)
 	if err != nil {
-		err = errors.Join(err, w.logTails())
+		err = errors.Join(err, cluster.logTails())
 	}
-	return rep, line, err
+	return report, timeline, err
 }
 
-// waitForActs waits until each duty has had an act later than after.
-func waitForActs(line *Timeline, duties []string, after time.Duration) error {
-	for until := time.Now().Add(actTimeout); ; time.Sleep(10 * time.Millisecond) {
+// waitForExecutions waits until each duty has been executed later than after.
+func waitForExecutions(timeline *Timeline, duties []string, after time.Duration) error {
+	for end := time.Now().Add(executionTimeout); ; time.Sleep(10 * time.Millisecond) {
 		missing := slices.Clone(duties)
-		for _, e := range line.Events() {
-			if e.What == EventAct && e.At > after {
-				missing = slices.DeleteFunc(missing, func(d string) bool { return d == e.Duty })
+		for _, event := range timeline.Events() {
+			if event.Kind == EventExecution && event.At > after {
+				missing = slices.DeleteFunc(missing, func(duty string) bool { return duty == event.Duty })
 			}
 		}
 		if len(missing) == 0 {
 			return nil
 		}
-		if time.Now().After(until) {
-			return fmt.Errorf("fleet: nobody acts for %s", strings.Join(missing, ", "))
+		if time.Now().After(end) {
+			return fmt.Errorf("fleet: no member executes %s", strings.Join(missing, ", "))
 		}
 	}
 }
 
-// crashed is an error for each member whose process has ended.
-func (w *World) crashed() (err error) {
-	for _, m := range w.Members {
-		if over, end := w.Proc(m.Name).Ended(); over {
-			err = errors.Join(err, fmt.Errorf("fleet: %s has ended: %w", m.Name, end))
+// crashed returns an error for each member whose process has ended.
+func (c *Cluster) crashed() (err error) {
+	for _, member := range c.Members {
+		if ended, cause := c.Proc(member.Name).Ended(); ended {
+			err = errors.Join(err, fmt.Errorf("fleet: the process of %s has ended: %w", member.Name, cause))
 		}
 	}
 	return err
 }
 
-// logTails are the ends of the members' logs, as an error.
-func (w *World) logTails() error {
-	var list []error
-	for _, m := range w.Members {
-		raw, _ := os.ReadFile(m.Log)
-		list = append(list, fmt.Errorf("%s said: %s", m.Name, raw[max(0, len(raw)-3000):]))
+// logTails returns the ends of the members' logs, as an error.
+func (c *Cluster) logTails() error {
+	var tails []error
+	for _, member := range c.Members {
+		raw, _ := os.ReadFile(member.LogFile)
+		tails = append(tails, fmt.Errorf("end of the log of %s: %s", member.Name, raw[max(0, len(raw)-3000):]))
 	}
-	return errors.Join(list...)
+	return errors.Join(tails...)
 }
 
-// resolve finds who leads, or who holds a duty.
-func (w *World) resolve(word string) string {
-	if d, ok := strings.CutPrefix(word, "holder:"); ok {
-		who := ""
-		for _, e := range w.Line.Events() {
-			if e.What == EventAct && e.Duty == d {
-				who = e.Who
+// resolve returns the member for the target leader or holder:DUTY; empty: none is known.
+func (c *Cluster) resolve(target string) string {
+	if duty, ok := strings.CutPrefix(target, "holder:"); ok {
+		member := ""
+		for _, event := range c.History.Events() {
+			if event.Kind == EventExecution && event.Duty == duty {
+				member = event.Member
 			}
 		}
-		return who
+		return member
 	}
-	if word != "leader" {
+	if target != "leader" {
 		return ""
 	}
-	for _, m := range w.Members {
-		var r struct {
+	for _, peer := range c.Members {
+		var reply struct {
 			Members []struct {
 				Name   string
 				Leader bool
 			}
 		}
-		if AskSocket(m.Socket(), "members", &r) != nil {
+		if AskSocket(peer.Socket(), "members", &reply) != nil {
 			continue
 		}
-		for _, x := range r.Members {
-			if x.Leader {
-				return x.Name
+		for _, listed := range reply.Members {
+			if listed.Leader {
+				return listed.Name
 			}
 		}
 	}
 	return ""
 }
 
-// holder is who holds a lease, as the first member that knows says; empty: nobody does, or nobody knows.
-func (w *World) holder(name string) string {
-	for _, m := range w.Members {
-		var r struct {
+// holder returns the holder of a lease according to the first member that knows one; empty: none is known.
+func (c *Cluster) holder(lease string) string {
+	for _, member := range c.Members {
+		var reply struct {
 			Duties []struct{ Name, Holder string }
 		}
-		if AskSocket(m.Socket(), "duties", &r) != nil {
+		if AskSocket(member.Socket(), "duties", &reply) != nil {
 			continue
 		}
-		for _, d := range r.Duties {
-			if d.Name == name && d.Holder != "" {
-				return d.Holder
+		for _, duty := range reply.Duties {
+			if duty.Name == lease && duty.Holder != "" {
+				return duty.Holder
 			}
 		}
 	}
 	return ""
 }
 
-// AskSocket sends a member's console one command and reads the answer, within a second.
-func AskSocket(path, command string, into any) error {
-	c, err := net.Dial("unix", path)
+// AskSocket sends one command to the console socket at path and decodes the reply, within a second.
+func AskSocket(path, command string, reply any) error {
+	conn, err := net.Dial("unix", path)
 	if err != nil {
 		return err
 	}
-	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(time.Second))
-	if _, err := fmt.Fprintln(c, command); err != nil {
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(time.Second))
+	if _, err := fmt.Fprintln(conn, command); err != nil {
 		return err
 	}
-	return json.NewDecoder(c).Decode(into)
+	return json.NewDecoder(conn).Decode(reply)
 }
 
-// Pauses summarizes hand-overs by the kind of fault.
-func Pauses(list []Handover) (out []Pause) {
-	by := map[string][]time.Duration{}
-	for _, h := range list {
-		k := cmp.Or(h.Fault, "none")
-		by[k] = append(by[k], h.Took)
+// Pauses summarizes handovers by the kind of fault.
+func Pauses(handovers []Handover) (pauses []Pause) {
+	durations := map[string][]time.Duration{}
+	for _, handover := range handovers {
+		fault := cmp.Or(handover.Fault, "none")
+		durations[fault] = append(durations[fault], handover.Took)
 	}
-	for k, v := range by {
-		slices.Sort(v)
-		at := func(q float64) time.Duration { return v[int(math.Ceil(q*float64(len(v))))-1] }
+	for fault, sorted := range durations {
+		slices.Sort(sorted)
+		quantile := func(share float64) time.Duration { return sorted[int(math.Ceil(share*float64(len(sorted))))-1] }
 		ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
-		l := Pause{Fault: k, Count: len(v), Median: at(0.5), P90: at(0.9), Longest: v[len(v)-1]}
-		l.MedianMs, l.P90Ms, l.LongestMs = ms(l.Median), ms(l.P90), ms(l.Longest)
-		out = append(out, l)
+		pause := Pause{
+			Fault: fault, Count: len(sorted), Median: quantile(0.5), P90: quantile(0.9), Longest: sorted[len(sorted)-1],
+		}
+		pause.MedianMs, pause.P90Ms, pause.LongestMs = ms(pause.Median), ms(pause.P90), ms(pause.Longest)
+		pauses = append(pauses, pause)
 	}
-	slices.SortFunc(out, func(a, b Pause) int { return cmp.Compare(a.Fault, b.Fault) })
-	return out
+	slices.SortFunc(pauses, func(a, b Pause) int { return cmp.Compare(a.Fault, b.Fault) })
+	return pauses
 }
 
-// TempDir makes a folder for a scenario, with a path short enough for a socket's path.
+// TempDir makes a folder for a scenario, with a path short enough for a Unix socket in it.
 func TempDir() (string, error) { return os.MkdirTemp(filepath.Clean(os.TempDir()), "fleet") }
--- a/internal/testing/fleet/timeline.go
+++ b/internal/testing/fleet/timeline.go
@@ -9,72 +9,72 @@
 	"time"
 )
 
-// The kinds of events that are not faults. Those of an act are seen by its receiver.
+// The kinds of events that are not faults. Events of executions are recorded by their receiver.
 const (
-	EventAct     = "act"     // an act begins
-	EventDone    = "done"    // an act ends
-	EventRefused = "refused" // an act of an older epoch is refused
-	EventStart   = "start"   // a member's process starts
-	EventOver    = "over"    // the fault that Text names is over
+	EventExecution  = "act"     // an execution of a duty begins
+	EventDone       = "done"    // an execution ends
+	EventRefused    = "refused" // an execution of a stale epoch is refused
+	EventStart      = "start"   // a member's process starts
+	EventFaultEnded = "over"    // the fault named in Text ends
 )
 
-// Event is one thing that happened in the world.
+// Event is an entry of a timeline.
 type Event struct {
-	At    time.Duration `json:"at"` // since the world's start, by the world's steady clock
-	Who   string        `json:"who"`
-	What  string        `json:"what"` // fault: kill, stop, ...; act, done, refused: of a duty, as its receiver saw it
-	Duty  string        `json:"duty,omitempty"`
-	Epoch uint64        `json:"epoch,omitempty"`
-	Act   uint64        `json:"act,omitempty"`
-	Call  uint64        `json:"call,omitempty"` // joins an act with its end
-	Text  string        `json:"text,omitempty"`
+	At          time.Duration `json:"at"` // since the timeline's start, by the monotonic clock
+	Member      string        `json:"who"`
+	Kind        string        `json:"what"` // a fault such as kill or stop, or one of the constants above
+	Duty        string        `json:"duty,omitempty"`
+	Epoch       uint64        `json:"epoch,omitempty"`
+	Execution   uint64        `json:"act,omitempty"`
+	ExecutionID uint64        `json:"call,omitempty"` // links the begin of an execution with its end
+	Text        string        `json:"text,omitempty"`
 }
 
-// Timeline is what happened, in order.
+// Timeline records events in order. It is safe for concurrent use.
 type Timeline struct {
-	mu    sync.Mutex
-	began time.Time
-	list  []Event
-	calls uint64
+	mu              sync.Mutex
+	start           time.Time
+	events          []Event
+	lastExecutionID uint64
 }
 
-// NewTimeline begins one.
-func NewTimeline() *Timeline { return &Timeline{began: time.Now()} }
+// NewTimeline returns an empty timeline that starts now.
+func NewTimeline() *Timeline { return &Timeline{start: time.Now()} }
 
-// Now is the time since its start.
-func (t *Timeline) Now() time.Duration { return time.Since(t.began) }
+// Now returns the time since the timeline's start.
+func (t *Timeline) Now() time.Duration { return time.Since(t.start) }
 
-// Add records an event at this moment.
-func (t *Timeline) Add(e Event) {
+// Add records an event with the current time.
+func (t *Timeline) Add(event Event) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e.At = time.Since(t.began)
-	t.list = append(t.list, e)
+	event.At = time.Since(t.start)
+	t.events = append(t.events, event)
 }
 
-// call draws the number that joins an act with its end.
-func (t *Timeline) call() uint64 {
+// nextExecutionID returns a new number for Event.ExecutionID.
+func (t *Timeline) nextExecutionID() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.calls++
-	return t.calls
+	t.lastExecutionID++
+	return t.lastExecutionID
 }
 
-// Events is a copy of what has happened so far.
+// Events returns a copy of the events so far.
 func (t *Timeline) Events() []Event {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return append([]Event(nil), t.list...)
+	return append([]Event(nil), t.events...)
 }
 
-// Write writes it as JSON, one event a line.
+// Write writes the events as JSON, one per line.
 func (t *Timeline) Write(out io.Writer) error {
-	b := bufio.NewWriter(out)
-	enc := json.NewEncoder(b)
-	for _, e := range t.Events() {
-		if err := enc.Encode(e); err != nil {
-			return fmt.Errorf("fleet: time line: %w", err)
+	buffered := bufio.NewWriter(out)
+	encoder := json.NewEncoder(buffered)
+	for _, event := range t.Events() {
+		if err := encoder.Encode(event); err != nil {
+			return fmt.Errorf("fleet: timeline: %w", err)
 		}
 	}
-	return b.Flush()
+	return buffered.Flush()
 }
--- a/internal/testing/fleet/world.go
+++ b/internal/testing/fleet/world.go
@@ -13,204 +13,211 @@
 	"time"
 )
 
-// Member is one process of the world with what is its own.
+// Member is one sender of a cluster with its files; its process may be restarted many times.
 type Member struct {
-	Name   string
-	Listen string            // its address of the group
-	State  string            // its folder that lasts
-	File   string            // its configuration
-	Log    string            // what its processes have written
-	Reach  map[string]string // where it reaches each member, itself too, by name
-	proc   *Proc
-	log    *os.File
+	Name       string
+	Listen     string            // address for the other members of the group
+	StateDir   string            // state folder
+	ConfigFile string            // path of the configuration file
+	LogFile    string            // output of all its processes
+	Addrs      map[string]string // address at which it reaches each member, including itself, by name
+	proc       *Proc
+	log        *os.File
 }
 
-// Socket is its console's.
-func (m *Member) Socket() string { return filepath.Join(m.State, "b.sock") }
+// Socket returns the path of the member's console socket.
+func (m *Member) Socket() string { return filepath.Join(m.StateDir, "b.sock") }
 
-// World is a set of members with a link from each to each.
-type World struct {
-	Line    *Timeline
+// Cluster is a set of members with a link from each member to each other one.
+type Cluster struct {
+	History *Timeline
 	Members []*Member
-	Resolve func(word string) string // who a word of a plan stands for just now; nil or empty: a member's name
+	// Resolve returns the member that a target of a plan (leader, holder:DUTY) stands for at present; empty: none. If
+	// nil, targets are names of members only.
+	Resolve func(word string) string
 
-	program string
-	dir     string
-	links   map[[2]string]*Link // by who calls whom
-	mu      sync.Mutex
-	faults  map[int]fault // that are in force
-	next    int
+	program   string
+	dir       string
+	links     map[[2]string]*Link // by caller and target
+	mu        sync.Mutex
+	faults    map[int]fault // currently injected, by id
+	nextFault int
 }
 
-// fault is a change of the conditions of the links that it touches.
-type fault func(from, to string) (there, back LinkConditions)
+// fault returns the conditions of the link between two members, outbound and inbound.
+type fault func(from, to string) (outbound, inbound LinkConditions)
 
-// NewWorld makes members of those names below dir; config writes the configuration of each. Only
-// those called have links to them; nil: all.
-func NewWorld(program, dir string, names, called []string, seed int64, line *Timeline,
+// NewCluster prepares members of those names in dir; config returns the text of a member's configuration file. Only
+// the members in targets have links to them; nil: all members.
+func NewCluster(program, dir string, names, targets []string, seed int64, timeline *Timeline,
 	config func(*Member) string,
-) (*World, error) {
-	w := &World{Line: line, program: program, dir: dir, links: map[[2]string]*Link{}, faults: map[int]fault{}}
+) (*Cluster, error) {
+	c := &Cluster{History: timeline, program: program, dir: dir, links: map[[2]string]*Link{}, faults: map[int]fault{}}
 	for _, name := range names {
-		m := &Member{
-			Name: name, State: filepath.Join(dir, name), File: filepath.Join(dir, name+".toml"),
-			Log:   filepath.Join(dir, name+".log"),
-			Reach: map[string]string{},
+		member := &Member{
+			Name: name, StateDir: filepath.Join(dir, name), ConfigFile: filepath.Join(dir, name+".toml"),
+			LogFile: filepath.Join(dir, name+".log"),
+			Addrs:   map[string]string{},
 		}
-		if err := os.MkdirAll(m.State, 0o700); err != nil {
+		if err := os.MkdirAll(member.StateDir, 0o700); err != nil {
 			return nil, fmt.Errorf("fleet: %w", err)
 		}
-		port, err := FreePort()
+		addr, err := FreePort()
 		if err != nil {
 			return nil, err
 		}
-		m.Listen = port
-		if m.log, err = os.OpenFile(m.Log, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600); err != nil {
+		member.Listen = addr
+		if member.log, err = os.OpenFile(member.LogFile, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600); err != nil {
 			return nil, fmt.Errorf("fleet: %w", err)
 		}
-		w.Members = append(w.Members, m)
+		c.Members = append(c.Members, member)
 	}
-	for _, a := range w.Members {
-		for _, b := range w.Members {
-			if a.Reach[b.Name] = b.Listen; a == b || called != nil && !slices.Contains(called, b.Name) {
+	for _, caller := range c.Members {
+		for _, target := range c.Members {
+			if caller.Addrs[target.Name] = target.Listen; caller == target ||
+				targets != nil && !slices.Contains(targets, target.Name) {
 				continue
 			}
-			l, err := NewLink(b.Listen, seed+int64(len(w.links)))
+			link, err := NewLink(target.Listen, seed+int64(len(c.links)))
 			if err != nil {
-				w.Close()
+				c.Close()
 				return nil, err
 			}
-			w.links[[2]string{a.Name, b.Name}] = l
-			a.Reach[b.Name] = l.Addr()
+			c.links[[2]string{caller.Name, target.Name}] = link
+			caller.Addrs[target.Name] = link.Addr()
 		}
 	}
-	for _, m := range w.Members {
-		if err := os.WriteFile(m.File, []byte(config(m)), 0o600); err != nil {
-			w.Close()
+	for _, member := range c.Members {
+		if err := os.WriteFile(member.ConfigFile, []byte(config(member)), 0o600); err != nil {
+			c.Close()
 			return nil, fmt.Errorf("fleet: %w", err)
 		}
 	}
-	return w, nil
+	return c, nil
 }
 
-// Member finds one by name.
-func (w *World) Member(name string) *Member {
-	for _, m := range w.Members {
-		if m.Name == name {
-			return m
+// Member returns the member of that name; nil: there is none.
+func (c *Cluster) Member(name string) *Member {
+	for _, member := range c.Members {
+		if member.Name == name {
+			return member
 		}
 	}
 	return nil
 }
 
-// Up starts members; none named: all.
-func (w *World) Up(names ...string) error {
-	for _, m := range w.Members {
-		if len(names) > 0 && !slices.Contains(names, m.Name) {
+// StartMembers starts the processes of the named members; no name: of all members.
+func (c *Cluster) StartMembers(names ...string) error {
+	for _, member := range c.Members {
+		if len(names) > 0 && !slices.Contains(names, member.Name) {
 			continue
 		}
-		p, err := Start(w.program, []string{"serve", "--config", m.File}, []string{"LB_STATE=" + m.State}, m.log)
+		process, err := Start(c.program, []string{"serve", "--config", member.ConfigFile},
+			[]string{"LB_STATE=" + member.StateDir}, member.log)
 		if err != nil {
 			return err
 		}
-		w.mu.Lock()
-		m.proc = p
-		w.mu.Unlock()
-		w.Line.Add(Event{Who: m.Name, What: EventStart})
+		c.mu.Lock()
+		member.proc = process
+		c.mu.Unlock()
+		c.History.Add(Event{Member: member.Name, Kind: EventStart})
 	}
 	return nil
 }
 
-// Proc is a member's process that was started last; nil before the first.
-func (w *World) Proc(name string) *Proc {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if m := w.Member(name); m != nil {
-		return m.proc
+// Proc returns the latest process of a member; nil: it was never started.
+func (c *Cluster) Proc(name string) *Proc {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if member := c.Member(name); member != nil {
+		return member.proc
 	}
 	return nil
 }
 
-// Close ends all.
-func (w *World) Close() {
-	for _, m := range w.Members {
-		if p := w.Proc(m.Name); p != nil {
-			p.Kill()
+// Close kills all processes and closes all links.
+func (c *Cluster) Close() {
+	for _, member := range c.Members {
+		if process := c.Proc(member.Name); process != nil {
+			process.Kill()
 		}
-		if m.log != nil {
-			_ = m.log.Close()
+		if member.log != nil {
+			_ = member.log.Close()
 		}
 	}
-	for _, l := range w.links {
-		l.Close()
+	for _, link := range c.links {
+		link.Close()
 	}
 }
 
-// Fault puts a fault on the links until heal is called.
-func (w *World) Fault(change fault) (heal func()) {
-	w.mu.Lock()
-	w.next++
-	n := w.next
-	w.faults[n] = change
-	w.mu.Unlock()
-	w.applyFaults()
+// InjectFault applies a fault to the links until heal is called.
+func (c *Cluster) InjectFault(change fault) (heal func()) {
+	c.mu.Lock()
+	c.nextFault++
+	id := c.nextFault
+	c.faults[id] = change
+	c.mu.Unlock()
+	c.applyFaults()
 	return func() {
-		w.mu.Lock()
-		delete(w.faults, n)
-		w.mu.Unlock()
-		w.applyFaults()
+		c.mu.Lock()
+		delete(c.faults, id)
+		c.mu.Unlock()
+		c.applyFaults()
 	}
 }
 
-// applyFaults sets the conditions of every link to the combination of the faults in force.
-func (w *World) applyFaults() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for k, l := range w.links {
-		var there, back LinkConditions
-		for _, f := range w.faults {
-			t, b := f(k[0], k[1])
-			there, back = there.combine(t), back.combine(b)
+// applyFaults sets the conditions of every link to the combination of all injected faults.
+func (c *Cluster) applyFaults() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for pair, link := range c.links {
+		var outbound, inbound LinkConditions
+		for _, change := range c.faults {
+			out, in := change(pair[0], pair[1])
+			outbound, inbound = outbound.combine(out), inbound.combine(in)
 		}
-		l.Set(there, back)
+		link.Set(outbound, inbound)
 	}
 }
 
-// combine is the effect of both conditions together.
+// combine returns the effect of both conditions together.
 func (a LinkConditions) combine(other LinkConditions) LinkConditions {
-	slow := min(a.BytesPerS, other.BytesPerS) // 0 is no bound
-	if slow == 0 {
-		slow = max(a.BytesPerS, other.BytesPerS)
+	bytesPerS := min(a.BytesPerS, other.BytesPerS) // 0 is unlimited
+	if bytesPerS == 0 {
+		bytesPerS = max(a.BytesPerS, other.BytesPerS)
 	}
 	return LinkConditions{
-		Cut: a.Cut || other.Cut, Delay: a.Delay + other.Delay, Jitter: a.Jitter + other.Jitter, BytesPerS: slow,
-		Drop: max(a.Drop, other.Drop), Double: max(a.Double, other.Double), DoubleBy: max(a.DoubleBy, other.DoubleBy),
+		Cut: a.Cut || other.Cut, Delay: a.Delay + other.Delay, Jitter: a.Jitter + other.Jitter, BytesPerS: bytesPerS,
+		Drop: max(a.Drop, other.Drop), Duplicate: max(a.Duplicate, other.Duplicate),
+		DuplicateDelay: max(a.DuplicateDelay, other.DuplicateDelay),
 	}
 }
 
-// between is the fault of what goes from any of the one side to any of the other.
-func between(way func(from, to string) LinkConditions) fault {
-	return func(from, to string) (LinkConditions, LinkConditions) { return way(from, to), way(to, from) }
+// between returns the fault that applies conditions to the traffic from one member to another, over either's link.
+func between(conditions func(from, to string) LinkConditions) fault {
+	return func(from, to string) (LinkConditions, LinkConditions) {
+		return conditions(from, to), conditions(to, from)
+	}
 }
 
 func cutIf(cut bool) LinkConditions { return LinkConditions{Cut: cut} }
 
-// linkFault is the fault of a step that only changes links; false for other steps.
-func linkFault(step Step, whom []string) (fault, bool) {
-	in := func(name string) bool { return slices.Contains(whom, name) }
-	switch step.Do {
+// linkFault returns the fault of a step that only changes links; false for other steps.
+func linkFault(step Step, targets []string) (fault, bool) {
+	affected := func(name string) bool { return slices.Contains(targets, name) }
+	switch step.Fault {
 	case faultCut, faultPart:
-		return between(func(a, b string) LinkConditions { return cutIf(in(a) != in(b)) }), true
+		return between(func(from, to string) LinkConditions { return cutIf(affected(from) != affected(to)) }), true
 	case faultMute:
-		return between(func(a, _ string) LinkConditions { return cutIf(in(a)) }), true
+		return between(func(from, _ string) LinkConditions { return cutIf(affected(from)) }), true
 	case faultDeaf:
-		return between(func(_, b string) LinkConditions { return cutIf(in(b)) }), true
+		return between(func(_, to string) LinkConditions { return cutIf(affected(to)) }), true
 	case faultBridge:
-		return between(func(a, b string) LinkConditions { return cutIf(in(a) && in(b)) }), true
+		return between(func(from, to string) LinkConditions { return cutIf(affected(from) && affected(to)) }), true
 	case faultSlow:
-		return between(func(a, b string) LinkConditions {
-			if in(a) || in(b) {
-				return LinkConditions{Jitter: max(step.For/4, time.Millisecond)}
+		return between(func(from, to string) LinkConditions {
+			if affected(from) || affected(to) {
+				return LinkConditions{Jitter: max(step.Length/4, time.Millisecond)}
 			}
 			return LinkConditions{}
 		}), true
@@ -218,151 +225,151 @@
 	return nil, false
 }
 
-// Play plays a plan: each step begins at its time and is over by itself. It returns when all are over.
-func (w *World) Play(plan []Step) error {
-	for _, m := range w.Members {
-		if slices.ContainsFunc(plan, func(s Step) bool { return s.Do == faultOld }) {
-			if err := Backup(m.State, w.backup(m)); err != nil {
+// Run runs a plan: each step begins at its time and ends after its length. It returns when all steps have ended.
+func (c *Cluster) Run(plan []Step) error {
+	for _, m := range c.Members {
+		if slices.ContainsFunc(plan, func(step Step) bool { return step.Fault == faultOld }) {
+			if err := Backup(m.StateDir, c.backup(m)); err != nil {
 				return err
 			}
 		}
 	}
-	began := time.Now()
+	start := time.Now()
 	errs := make([]error, len(plan))
-	var all sync.WaitGroup
-	for i, s := range plan {
-		time.Sleep(time.Until(began.Add(s.At)))
-		all.Add(1)
-		whom := make([]string, len(s.Whom))
-		for j, word := range s.Whom {
-			whom[j] = w.member(word)
+	var pending sync.WaitGroup
+	for i, step := range plan {
+		time.Sleep(time.Until(start.Add(step.At)))
+		pending.Add(1)
+		targets := make([]string, len(step.Targets))
+		for j, target := range step.Targets {
+			targets[j] = c.member(target)
 		}
-		e := Event{Who: strings.Join(whom, "+"), What: s.Do, Text: s.String()}
-		if s.Do == faultHand {
-			e.Duty = transferredDuty
+		event := Event{Member: strings.Join(targets, "+"), Kind: step.Fault, Text: step.String()}
+		if step.Fault == faultHand {
+			event.Duty = transferredDuty
 		}
-		w.Line.Add(e)
-		undo, err := w.begin(s, whom)
+		c.History.Add(event)
+		undo, err := c.begin(step, targets)
 		errs[i] = err
 		go func() {
-			defer all.Done()
-			time.Sleep(s.For)
+			defer pending.Done()
+			time.Sleep(step.Length)
 			if undo != nil {
 				errs[i] = errors.Join(errs[i], undo())
-				w.Line.Add(Event{Who: strings.Join(whom, "+"), What: EventOver, Text: s.Do})
+				c.History.Add(Event{Member: strings.Join(targets, "+"), Kind: EventFaultEnded, Text: step.Fault})
 			}
 		}()
 	}
-	all.Wait()
+	pending.Wait()
 	return errors.Join(errs...)
 }
 
-func (w *World) backup(m *Member) string { return filepath.Join(w.dir, m.Name+".backup") }
+func (c *Cluster) backup(member *Member) string { return filepath.Join(c.dir, member.Name+".backup") }
 
-// member is the member that a word stands for; the first one, where nobody knows.
-func (w *World) member(word string) string {
-	if w.Member(word) != nil {
-		return word
+// member returns the name of the member that a target of a plan stands for; the first member if none is known.
+func (c *Cluster) member(target string) string {
+	if c.Member(target) != nil {
+		return target
 	}
-	if w.Resolve != nil {
-		if name := w.Resolve(word); w.Member(name) != nil {
+	if c.Resolve != nil {
+		if name := c.Resolve(target); c.Member(name) != nil {
 			return name
 		}
 	}
-	return w.Members[0].Name
+	return c.Members[0].Name
 }
 
-// begin begins a step and returns what undoes it.
-func (w *World) begin(step Step, whom []string) (undo func() error, err error) {
-	if f, ok := linkFault(step, whom); ok {
-		heal := w.Fault(f)
+// begin begins a step and returns a function that ends it; nil: there is nothing to end.
+func (c *Cluster) begin(step Step, targets []string) (undo func() error, err error) {
+	if change, ok := linkFault(step, targets); ok {
+		heal := c.InjectFault(change)
 		return func() error { heal(); return nil }, nil
 	}
-	if step.Do == faultKillAll {
-		whom = nil
-		for _, m := range w.Members {
-			whom = append(whom, m.Name)
+	if step.Fault == faultKillAll {
+		targets = nil
+		for _, member := range c.Members {
+			targets = append(targets, member.Name)
 		}
 	}
-	if step.Do == faultStop {
-		p := w.Proc(whom[0])
-		if p == nil || p.Stop() != nil {
-			return nil, nil // it is down just now
+	if step.Fault == faultStop {
+		proc := c.Proc(targets[0])
+		if proc == nil || proc.Stop() != nil {
+			return nil, nil // the process is not running at present
 		}
-		return func() error { _ = p.Continue(); return nil }, nil
+		return func() error { _ = proc.Continue(); return nil }, nil
 	}
-	if step.Do == faultFull {
-		p := w.Proc(whom[0])
-		if p == nil || p.Full(true) != nil {
-			return nil, nil // it is down just now
+	if step.Fault == faultFull {
+		proc := c.Proc(targets[0])
+		if proc == nil || proc.SetDiskFull(true) != nil {
+			return nil, nil // the process is not running at present
 		}
-		return func() error { _ = p.Full(false); return nil }, nil
+		return func() error { _ = proc.SetDiskFull(false); return nil }, nil
 	}
-	if step.Do == faultHand {
-		w.transfer(transferredDuty, whom[0])
+	if step.Fault == faultHand {
+		c.transferDuty(transferredDuty, targets[0])
 		return func() error { return nil }, nil
 	}
 	var ended []string
-	for _, name := range whom {
-		if p := w.Proc(name); p != nil {
-			if over, _ := p.Ended(); over {
-				continue // another step has it
+	for _, name := range targets {
+		if proc := c.Proc(name); proc != nil {
+			if alreadyEnded, _ := proc.Ended(); alreadyEnded {
+				continue // another step has ended it
 			}
-			if step.Do == faultTerm {
-				go func() { _ = p.Term(termFor); p.Kill() }()
+			if step.Fault == faultTerm {
+				go func() { _ = proc.Terminate(terminateTimeout); proc.Kill() }()
 			} else {
-				go p.Kill()
+				go proc.Kill()
 			}
 			ended = append(ended, name)
 		}
 	}
 	for _, name := range ended {
-		<-w.Proc(name).done
-		switch m := w.Member(name); step.Do {
+		<-c.Proc(name).done
+		switch member := c.Member(name); step.Fault {
 		case faultEmpty:
-			err = errors.Join(err, Empty(m.State))
+			err = errors.Join(err, Empty(member.StateDir))
 		case faultOld:
-			err = errors.Join(err, Restore(w.backup(m), m.State))
+			err = errors.Join(err, Restore(c.backup(member), member.StateDir))
 		}
 	}
 	return func() error {
 		if len(ended) == 0 {
 			return nil
 		}
-		return w.Up(ended...)
+		return c.StartMembers(ended...)
 	}, err
 }
 
-// termFor is how long a member has for its graceful shutdown.
-const termFor = 8 * time.Second
+// terminateTimeout is how long a member may take for its graceful shutdown before it is killed.
+const terminateTimeout = 8 * time.Second
 
-// transferredDuty is the duty that a step of the kind hand transfers.
+// transferredDuty is the duty that the fault "hand" transfers.
 const transferredDuty = "duty1"
 
-// transfer orders the transfer of a duty to a member. It is no error when the member is down or the
-// group cannot transfer the duty at the moment.
-func (w *World) transfer(duty, to string) {
-	for _, m := range w.Members {
-		var r struct{ Error string }
-		if AskSocket(m.Socket(), "hand "+duty+" "+to, &r) == nil && r.Error == "" {
+// transferDuty requests the transfer of a duty to a member, from the first member that accepts the command. It is no
+// error if none does.
+func (c *Cluster) transferDuty(duty, to string) {
+	for _, member := range c.Members {
+		var reply struct{ Error string }
+		if AskSocket(member.Socket(), "hand "+duty+" "+to, &reply) == nil && reply.Error == "" {
 			return
 		}
 	}
 }
 
-// nextPort is where FreePort looks next. It stays below the ports that the kernel gives to whoever
-// asks for any (from 32768 on): one of those may be somebody else's by the time it is listened on.
+// nextPort is the offset of the port that FreePort tries next. The range stays below the kernel's ephemeral ports
+// (from 32768 on): one of those may be assigned to another process before the caller listens on it.
 var nextPort atomic.Int64
 
-const firstPort, ports = 15_000, 16_000
+const firstPort, portCount = 15_000, 16_000
 
-// FreePort is an address of loopback that nobody listens on, and that no one is given who does not ask for it.
+// FreePort returns a loopback address with a port that is unused and not ephemeral.
 func FreePort() (string, error) {
-	nextPort.CompareAndSwap(0, int64(os.Getpid())*101) // other processes look elsewhere
-	for range ports {
-		at := fmt.Sprintf("127.0.0.1:%d", firstPort+nextPort.Add(1)%ports)
-		if ln, err := net.Listen("tcp", at); err == nil {
-			return at, ln.Close()
+	nextPort.CompareAndSwap(0, int64(os.Getpid())*101) // other processes start at other ports
+	for range portCount {
+		addr := fmt.Sprintf("127.0.0.1:%d", firstPort+nextPort.Add(1)%portCount)
+		if ln, err := net.Listen("tcp", addr); err == nil {
+			return addr, ln.Close()
 		}
 	}
 	return "", errors.New("fleet: no free port")
