--- a/internal/app/idle_test.go
+++ b/internal/app/idle_test.go
@@ -156,7 +156,7 @@
 	if blocking := os.Getenv(blockingKey); blocking != "" {
 		clearNonblockAt(blocking)
 	}
-	faults.Meet()
+	faults.Inject()
 	if file == "platform" { // LB_CONFIG alone
 		file = ""
 	}
--- a/internal/testing/faults/faults.go
+++ b/internal/testing/faults/faults.go
@@ -1,5 +1,5 @@
-// Package faults lets the system calls of a test's child process fail, and its clocks step, as its
-// environment says. Only tests import it.
+// Package faults makes system calls of a test's child process fail and changes its clocks, as specified in its
+// environment. Only tests import it.
 package faults
 
 import (
@@ -14,109 +14,110 @@
 	"brackendale/internal/statefs"
 )
 
-// Key names, in a child's environment, what goes wrong around it, as JSON of Faults.
-const Key = "BRACKENDALE_TEST_FAULTS"
+// EnvVar is the environment variable of a child process that holds its Faults as JSON.
+const EnvVar = "BRACKENDALE_TEST_FAULTS"
 
-// Faults is what goes wrong around a process.
+// Faults are the faults injected into a process. The fields of this struct and of the structs in it have no JSON
+// tags, so their Go names are the names in EnvVar.
 type Faults struct {
-	WallStep time.Duration // by which its wall clock is off
-	StepIn   time.Duration // after its start; 0: from the start
-	BootID   string        // of its machine's start; empty: the true one
+	WallStep time.Duration // offset of its wall clock
+	StepIn   time.Duration // time from its start until WallStep applies; 0: from the start
+	BootID   string        // boot id of its machine; empty: the real one
 	Folder   []Folder
 	Sockets  []Socket
 }
 
-// Socket lets calls on sockets fail.
+// Socket makes calls on sockets fail.
 type Socket struct {
 	Call  reactor.SocketCall
-	Addr  string        // of the peer, or listened on; empty: any
-	Errno syscall.Errno // 0: reads and writes are short
-	After int           // bytes of a write that leave before it fails, or before the rest of it does
-	First int           // the first call of the kind that fails, counted from 1
-	Count int           // how many fail from there on
-	Every int           // and again after so many; 0: not again
+	Addr  string        // address of the peer, or of the listener; empty: any
+	Errno syscall.Errno // error of the call; 0: reads and writes are short
+	After int           // bytes of a write that are sent before it fails or, if short, ends
+	First int           // first call of this kind that fails, counted from 1
+	Count int           // number of consecutive calls that fail from First on
+	Every int           // period, in calls, after which the failures repeat; 0: they do not
 }
 
-// Folder lets operations on files of the state folder fail.
+// Folder makes operations on files of the state folder fail.
 type Folder struct {
 	Call  statefs.Call
-	Name  string // of the file
+	Name  string // name of the file
 	Errno syscall.Errno
 	After int    // bytes of a write that are written before it fails
-	First int    // the first operation of the kind that fails, counted from 1
-	Count int    // how many fail from there on
-	While string // a file: in place of First and Count, all fail while it is there
+	First int    // first operation of this kind that fails, counted from 1
+	Count int    // number of consecutive operations that fail from First on
+	While string // path of a file; if set, all operations fail while it exists, in place of First and Count
 }
 
-// Env is the environment of a process with these faults.
+// Env returns the entry for the environment of a process with these faults.
 func (f Faults) Env() string {
 	raw, err := json.Marshal(f)
 	if err != nil {
-		panic(err) // numbers and strings
+		panic(err) // numbers and strings always encode
 	}
-	return Key + "=" + string(raw)
+	return EnvVar + "=" + string(raw)
 }
 
-// Meet lets this process meet the faults that its environment names, if any.
-func Meet() {
-	text := os.Getenv(Key)
+// Inject injects the faults that the environment of this process specifies, if any.
+func Inject() {
+	text := os.Getenv(EnvVar)
 	if text == "" {
 		return
 	}
-	var f Faults
-	if err := json.Unmarshal([]byte(text), &f); err != nil {
+	var faults Faults
+	if err := json.Unmarshal([]byte(text), &faults); err != nil {
 		panic(err)
 	}
-	if f.StepIn == 0 {
-		clock.StepWall(f.WallStep)
+	if faults.StepIn == 0 {
+		clock.StepWall(faults.WallStep)
 	} else {
-		time.AfterFunc(f.StepIn, func() { clock.StepWall(f.WallStep) })
+		time.AfterFunc(faults.StepIn, func() { clock.StepWall(faults.WallStep) })
 	}
-	if f.BootID != "" {
-		clock.SetBootID(f.BootID)
+	if faults.BootID != "" {
+		clock.SetBootID(faults.BootID)
 	}
-	if len(f.Sockets) > 0 {
-		reactor.SetFaultHook(f.sockets())
+	if len(faults.Sockets) > 0 {
+		reactor.SetFaultHook(faults.socketHook())
 	}
-	if len(f.Folder) > 0 {
-		statefs.SetHook(f.folder())
+	if len(faults.Folder) > 0 {
+		statefs.SetHook(faults.folderHook())
 	}
 }
 
-func (f Faults) sockets() reactor.FaultHook {
+func (f Faults) socketHook() reactor.FaultHook {
 	calls := make([]atomic.Int64, len(f.Sockets))
-	return func(c reactor.SocketCall, addr string) *reactor.SocketFault {
-		for i, x := range f.Sockets {
-			if x.Call != c || x.Addr != "" && x.Addr != addr {
+	return func(call reactor.SocketCall, addr string) *reactor.SocketFault {
+		for i, fault := range f.Sockets {
+			if fault.Call != call || fault.Addr != "" && fault.Addr != addr {
 				continue
 			}
-			n := int(calls[i].Add(1)) - x.First
-			if x.Every > 0 && n >= 0 {
-				n %= x.Every
+			index := int(calls[i].Add(1)) - fault.First
+			if fault.Every > 0 && index >= 0 {
+				index %= fault.Every
 			}
-			if n >= 0 && n < x.Count {
-				return &reactor.SocketFault{Errno: x.Errno, After: x.After}
+			if index >= 0 && index < fault.Count {
+				return &reactor.SocketFault{Errno: fault.Errno, After: fault.After}
 			}
 		}
 		return nil
 	}
 }
 
-func (f Faults) folder() statefs.Hook {
+func (f Faults) folderHook() statefs.Hook {
 	counts := make([]atomic.Int64, len(f.Folder))
-	return func(c statefs.Call, name string) *statefs.Fault {
-		for i, x := range f.Folder {
-			if x.Call != c || x.Name != name {
+	return func(call statefs.Call, name string) *statefs.Fault {
+		for i, fault := range f.Folder {
+			if fault.Call != call || fault.Name != name {
 				continue
 			}
-			n := int(counts[i].Add(1))
-			fails := n >= x.First && n < x.First+x.Count
-			if x.While != "" {
-				_, err := os.Stat(x.While)
+			index := int(counts[i].Add(1))
+			fails := index >= fault.First && index < fault.First+fault.Count
+			if fault.While != "" {
+				_, err := os.Stat(fault.While)
 				fails = err == nil
 			}
 			if fails {
-				return &statefs.Fault{Err: x.Errno, After: x.After}
+				return &statefs.Fault{Err: fault.Errno, After: fault.After}
 			}
 		}
 		return nil
--- a/internal/testing/soak/answers.go
+++ b/internal/testing/soak/answers.go
@@ -9,33 +9,33 @@
 	"time"
 )
 
-// hangTime is how long an endpoint waits for the sender to give up a call that it does not answer.
+// hangTime is how long an endpoint waits for the sender to abandon a call that gets no response.
 const hangTime = 20 * time.Second
 
-// garbage are answers that cannot be read.
-var garbage = []string{
+// malformedResponses are responses that a client cannot parse.
+var malformedResponses = []string{
 	"noise\r\n\r\n",
 	"HTTP/1.1 2",
 	"HTTP/1.1 500 F\r\nContent-Length: 9999999999999\r\n\r\n",
 	"HTTP/1.1 500 F\r\nX: ",
 }
 
-// call is one call at an endpoint. One goroutine uses it.
+// call is one call at an endpoint. It is not safe for concurrent use.
 type call struct {
 	endpoint *endpoint
 	conn     net.Conn
-	in       *bufio.Reader
+	reader   *bufio.Reader
 	items    []item
 }
 
-// answer answers the call by the endpoint's behavior; false ends its connection.
-func (c *call) answer() bool {
-	kind, random := c.endpoint.draw()
-	if kind == refusing {
+// respond responds to the call by the endpoint's behavior. It returns false if the connection must end.
+func (c *call) respond() bool {
+	mode, random := c.endpoint.draw()
+	if mode == refusing {
 		return c.refuse(random)
 	}
 	c.recordMayRun()
-	switch kind {
+	switch mode {
 	case failing:
 		c.recordEnd(true)
 		return c.write("HTTP/1.1 500 F\r\nContent-Length: 0\r\n\r\n")
@@ -46,17 +46,17 @@
 		reset(c.conn)
 		c.recordEnd(true)
 		return false
-	case garbling:
-		c.write("%s", garbage[random%len(garbage)])
-		c.waitGone(hangTime)
+	case malformed:
+		c.write("%s", malformedResponses[random%len(malformedResponses)])
+		c.waitAbandoned(hangTime)
 		c.recordEnd(true)
 		return false
 	case hanging:
-		c.waitGone(hangTime)
+		c.waitAbandoned(hangTime)
 		c.recordEnd(true)
 		return false
 	case slow:
-		if c.waitGone(time.Duration(200+random%1500) * time.Millisecond) {
+		if c.waitAbandoned(time.Duration(200+random%1500) * time.Millisecond) {
 			c.recordEnd(true)
 			return false
 		}
@@ -65,7 +65,7 @@
 	return c.deliver()
 }
 
-// refuse answers 503, or 429 with a wait.
+// refuse responds with 503, or with 429 and a Retry-After.
 func (c *call) refuse(random int) bool {
 	c.recordEnd(false)
 	if random%3 == 0 {
@@ -76,51 +76,51 @@
 	return c.write("HTTP/1.1 429 W\r\nX-Backoff-Ms: %d\r\nContent-Length: 0\r\n\r\n", wait.Milliseconds())
 }
 
-// deliver answers that each message is done, or void if it is over. A call of one message is answered
-// by its status alone.
+// deliver responds that each message is done, or void if it is expired. The response to a call of one message
+// has only a status.
 func (c *call) deliver() bool {
 	single := len(c.items) == 1
-	if single && c.items[0].gone {
+	if single && c.items[0].expired {
 		c.recordEnd(false)
-		c.endpoint.judge.recordToldOver(c.items[0].id)
+		c.endpoint.judge.recordRejectedAsExpired(c.items[0].id)
 		return c.write("HTTP/1.1 410 G\r\nContent-Length: 0\r\n\r\n")
 	}
 	var results strings.Builder
-	for _, x := range c.items {
+	for _, item := range c.items {
 		result := "done"
-		if x.gone {
+		if item.expired {
 			result = "void"
-			c.endpoint.judge.recordToldOver(x.id)
+			c.endpoint.judge.recordRejectedAsExpired(item.id)
 		}
 		if !single {
-			fmt.Fprintf(&results, "%s %s\r\n", x.id, result)
+			fmt.Fprintf(&results, "%s %s\r\n", item.id, result)
 		}
 	}
 	c.recordEnd(true)
 	if !c.write("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", results.Len(), results.String()) {
 		return false
 	}
-	for _, x := range c.items {
-		if !x.gone {
-			c.endpoint.judge.recordDelivery(x.id)
+	for _, item := range c.items {
+		if !item.expired {
+			c.endpoint.judge.recordDelivery(item.id)
 		}
 	}
 	return true
 }
 
-// recordMayRun records that the messages may run from here on.
+// recordMayRun records that the messages may have run from now on.
 func (c *call) recordMayRun() {
-	for _, x := range c.items {
-		if !x.gone {
-			c.endpoint.judge.recordMayRun(x.attempt)
+	for _, item := range c.items {
+		if !item.expired {
+			c.endpoint.judge.recordMayRun(item.attempt)
 		}
 	}
 }
 
-// recordEnd records that the call is over.
+// recordEnd records the end of the call, and whether its messages may have run.
 func (c *call) recordEnd(mayRun bool) {
-	for _, x := range c.items {
-		c.endpoint.judge.recordCallEnd(x.attempt, mayRun && !x.gone)
+	for _, item := range c.items {
+		c.endpoint.judge.recordCallEnd(item.attempt, mayRun && !item.expired)
 	}
 }
 
@@ -130,10 +130,10 @@
 	return err == nil
 }
 
-// waitGone waits until the sender gives the call up, for at most so long, and reports whether it did.
-func (c *call) waitGone(most time.Duration) bool {
-	_ = c.conn.SetReadDeadline(time.Now().Add(most))
-	_, err := c.in.Peek(1)
+// waitAbandoned waits up to timeout for the sender to close the connection, and reports whether it did.
+func (c *call) waitAbandoned(timeout time.Duration) bool {
+	_ = c.conn.SetReadDeadline(time.Now().Add(timeout))
+	_, err := c.reader.Peek(1)
 	_ = c.conn.SetReadDeadline(time.Time{})
 	var netErr net.Error
 	timedOut := errors.As(err, &netErr) && netErr.Timeout()
--- a/internal/testing/soak/clients.go
+++ b/internal/testing/soak/clients.go
@@ -12,51 +12,52 @@
 	"time"
 )
 
-// client submits messages, on connections that it keeps. One goroutine uses it.
+// client submits messages on connections that it keeps open. It is not safe for concurrent use.
 type client struct {
-	world  *world
-	number int
-	rng    *rand.Rand
-	conn   net.Conn
-	in     *bufio.Reader
-	fresh  bool // nothing was asked on the connection yet
-	sent   int
+	simulation  *simulation
+	number      int
+	rng         *rand.Rand
+	conn        net.Conn
+	reader      *bufio.Reader
+	unused      bool // no request was sent on the connection yet
+	submitCount int
 }
 
 // pong is the reply to PING.
 const pong = "+PONG\r\n"
 
-func command(words ...string) string {
-	var b strings.Builder
-	fmt.Fprintf(&b, "*%d\r\n", len(words))
-	for _, x := range words {
-		fmt.Fprintf(&b, "$%d\r\n%s\r\n", len(x), x)
+// encodeCommand encodes a RESP command.
+func encodeCommand(args ...string) string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "*%d\r\n", len(args))
+	for _, arg := range args {
+		fmt.Fprintf(&text, "$%d\r\n%s\r\n", len(arg), arg)
 	}
-	return b.String()
+	return text.String()
 }
 
-// run submits messages until ctx ends, some of them several at once.
+// run submits messages until ctx ends, sometimes several at once.
 func (c *client) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		n := 1
+		count := 1
 		if c.rng.Intn(10) == 0 {
-			n = 2 + c.rng.Intn(4)
+			count = 2 + c.rng.Intn(4)
 		}
 		if c.connect(ctx) {
-			c.submit(n)
+			c.submit(count)
 		}
 		c.pause(ctx, time.Duration(10+c.rng.Intn(90))*time.Millisecond)
-		if c.rng.Intn(200) == 0 { // some stay away for longer than connections are kept
+		if c.rng.Intn(200) == 0 { // longer than the sender keeps idle connections
 			c.pause(ctx, 2500*time.Millisecond)
 		}
 	}
 	c.drop()
 }
 
-func (c *client) pause(ctx context.Context, d time.Duration) {
+func (c *client) pause(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(d):
+	case <-time.After(duration):
 	}
 }
 
@@ -71,59 +72,59 @@
 	if c.conn != nil {
 		return true
 	}
-	conn, err := (&net.Dialer{Timeout: answerWait}).DialContext(ctx, "tcp", c.world.listen)
+	conn, err := (&net.Dialer{Timeout: replyTimeout}).DialContext(ctx, "tcp", c.simulation.listen)
 	if err != nil {
 		return false
 	}
-	c.conn, c.in, c.fresh = conn, bufio.NewReader(conn), true
+	c.conn, c.reader, c.unused = conn, bufio.NewReader(conn), true
 	return true
 }
 
-// submit submits so many messages at once and reads their replies.
+// submit submits count messages at once and reads their replies.
 func (c *client) submit(count int) {
-	var list []*message
+	var messages []*message
 	var text strings.Builder
 	for range count {
-		m := c.world.message(fmt.Sprintf("c%d-%d", c.number, c.sent), c.rng)
-		c.sent++
-		list = append(list, m)
-		d := time.Until(m.deadline).Milliseconds()
-		text.WriteString(command("SUBMIT", "0", m.id,
-			fmt.Sprintf("c=%s,t=x,d=%d,dest=%d,k=%s", m.class, d, m.dest, m.key), m.body))
-		c.world.judge.submitted(m)
+		msg := c.simulation.newMessage(fmt.Sprintf("c%d-%d", c.number, c.submitCount), c.rng)
+		c.submitCount++
+		messages = append(messages, msg)
+		remainingMs := time.Until(msg.deadline).Milliseconds()
+		text.WriteString(encodeCommand("SUBMIT", "0", msg.id,
+			fmt.Sprintf("c=%s,t=x,d=%d,dest=%d,k=%s", msg.class, remainingMs, msg.dest, msg.key), msg.body))
+		c.simulation.judge.submitted(msg)
 	}
-	fresh := c.fresh
-	c.fresh = false
-	_ = c.conn.SetDeadline(time.Now().Add(answerWait))
-	raw := text.String()
-	cut := len(raw)
-	if c.rng.Intn(8) == 0 { // in two pieces
-		cut = c.rng.Intn(len(raw))
+	unused := c.unused
+	c.unused = false
+	_ = c.conn.SetDeadline(time.Now().Add(replyTimeout))
+	encoded := text.String()
+	split := len(encoded)
+	if c.rng.Intn(8) == 0 { // written in two parts
+		split = c.rng.Intn(len(encoded))
 	}
-	_, err := io.WriteString(c.conn, raw[:cut])
-	if err == nil && cut < len(raw) {
+	_, err := io.WriteString(c.conn, encoded[:split])
+	if err == nil && split < len(encoded) {
 		time.Sleep(time.Duration(c.rng.Intn(20)) * time.Millisecond)
-		_, err = io.WriteString(c.conn, raw[cut:])
+		_, err = io.WriteString(c.conn, encoded[split:])
 	}
-	whole := err == nil
-	for i, m := range list {
+	sent := err == nil
+	for i, msg := range messages {
 		line := ""
 		if err == nil {
-			line, err = c.in.ReadString('\n')
+			line, err = c.reader.ReadString('\n')
 		}
 		var netErr net.Error
-		isNet := errors.As(err, &netErr)
+		isNetErr := errors.As(err, &netErr)
 		switch {
 		case err == nil && strings.HasPrefix(line, "+"):
-			c.world.judge.recordReply(m, accepted)
+			c.simulation.judge.recordReply(msg, accepted)
 		case err == nil && strings.HasPrefix(line, "-BUSY"):
-			c.world.judge.recordReply(m, refused)
+			c.simulation.judge.recordReply(msg, refused)
 		case err == nil:
-			c.world.judge.recordReply(m, failed)
-		case isNet && netErr.Timeout() || !whole || i > 0:
-			c.world.judge.recordReply(m, withdrawn) // it waited for too long, or never sent it whole
+			c.simulation.judge.recordReply(msg, failed)
+		case isNetErr && netErr.Timeout() || !sent || i > 0:
+			c.simulation.judge.recordReply(msg, withdrawn) // the reply timed out, or the message was not sent completely
 		default:
-			c.world.judge.recordCut(m, fresh)
+			c.simulation.judge.recordConnectionLost(msg, unused)
 		}
 	}
 	if err != nil {
@@ -131,37 +132,37 @@
 	}
 }
 
-// badText is what bad clients send.
-var badText = []string{
+// badInputs are malformed, incomplete or invalid commands, and an empty one.
+var badInputs = []string{
 	"*3\r\n$6\r\nSUBMIT\r\n$1\r\n0\r\n", "*1\r\n$-7\r\n", "*999999999\r\n", "$60000000\r\nx", strings.Repeat("x", 70000),
 	"*5\r\n$6\r\nSUBMIT\r\n$1\r\n0\r\n$2\r\nzz\r\n$22\r\nc=none,t=x,d=900,dest=1\r\n$1\r\nb\r\n", "GET / HTTP/1.1\r\n\r\n",
-	command("SUBMIT", "0", "bad", "c=safe,t=x,d=soon,dest=1", "b"),
-	command("SUBMIT", "0", "bad", "c=safe,t=x,d=900,dest=99", "b"), "",
+	encodeCommand("SUBMIT", "0", "bad", "c=safe,t=x,d=soon,dest=1", "b"),
+	encodeCommand("SUBMIT", "0", "bad", "c=safe,t=x,d=900,dest=99", "b"), "",
 }
 
-// bad is a client that sends what cannot be read, or half of something, and stays: the sender must
-// answer an error or close.
-func (w *world) bad(text string) {
-	began := time.Now()
-	conn, err := net.DialTimeout("tcp", w.listen, answerWait)
+// badClient sends a malformed or incomplete command and keeps the connection open: the sender must reply with an
+// error or close it within badClientTimeout.
+func (s *simulation) badClient(input string) {
+	startTime := time.Now()
+	conn, err := net.DialTimeout("tcp", s.listen, replyTimeout)
 	if err != nil {
 		return
 	}
 	defer conn.Close()
-	_, _ = io.WriteString(conn, text)
-	_ = conn.SetReadDeadline(began.Add(badClientDue + slack))
+	_, _ = io.WriteString(conn, input)
+	_ = conn.SetReadDeadline(startTime.Add(badClientTimeout + slack))
 	line, err := bufio.NewReader(conn).ReadString('\n')
 	var netErr net.Error
-	isNet := errors.As(err, &netErr)
-	w.judge.mu.Lock()
-	defer w.judge.mu.Unlock()
-	if w.judge.down(time.Now(), badClientDue) || w.judge.down(began, badClientDue) {
+	isNetErr := errors.As(err, &netErr)
+	s.judge.mu.Lock()
+	defer s.judge.mu.Unlock()
+	if s.judge.down(time.Now(), badClientTimeout) || s.judge.down(startTime, badClientTimeout) {
 		return
 	}
 	if strings.HasPrefix(line, "+") {
-		w.judge.violate("bad client: %.30q was taken on", text)
-	} else if isNet && netErr.Timeout() {
-		w.judge.violate("bad client: %.30q got neither an error nor a close", text)
+		s.judge.violate("bad client: %.30q was taken on", input)
+	} else if isNetErr && netErr.Timeout() {
+		s.judge.violate("bad client: %.30q got neither an error nor a close", input)
 	}
-	w.judge.counts["bad clients"]++
+	s.judge.counts["bad clients"]++
 }
--- a/internal/testing/soak/discovery.go
+++ b/internal/testing/soak/discovery.go
@@ -13,40 +13,40 @@
 	"brackendale/internal/config"
 )
 
-// The health of an endpoint, as the list names it.
+// The health of an endpoint, as sent in the endpoint list.
 const (
 	healthActive  = "active"
 	healthLeaving = "leaving"
-	healthLeft    = "left" // it is not listed any more
+	healthLeft    = "left" // removed from the list
 )
 
-// change is one change of an entry of the list.
+// change is one change of an entry of the endpoint list.
 type change struct {
-	seq  int64
-	host config.Host
-	at   time.Time
+	seq       int64
+	host      config.Host
+	changedAt time.Time
 }
 
-// discovery is the list of endpoints, behind an agent that may move, be down, slow, or stop answering. Its methods may
-// be called by any goroutine.
+// discovery is the stand-in registry: the endpoint list, served by an agent that may move, be unavailable, or leave
+// watches without a response. It is safe for concurrent use.
 type discovery struct {
 	judge *Judge
 
-	mu          sync.Mutex
-	rng         *rand.Rand
-	seq         int64
-	hosts       map[string]config.Host
-	changes     []change
-	changesOnly bool // a watch is never answered with the whole list
-	down        bool // the agent neither answers nor takes changes
-	pending     []config.Host
-	silent      time.Time     // when the watches that were open last fell silent
-	reloaded    time.Time     // the last SIGHUP
-	upgrading   bool          // a new process takes the place of one that serves
-	upgraded    time.Time     // when it was ready
-	wake        chan struct{} // closed when something changes
-	endpoints   map[string]*endpoint
-	servers     []*http.Server
+	mu                sync.Mutex
+	rng               *rand.Rand
+	seq               int64
+	hosts             map[string]config.Host
+	changes           []change
+	changesOnly       bool // a watch never gets the full list
+	down              bool // the agent neither responds nor applies changes
+	pending           []config.Host
+	unresponsiveSince time.Time     // watches that began before never get a response
+	reloaded          time.Time     // time of the last SIGHUP
+	upgrading         bool          // a successor is starting beside the serving process
+	upgraded          time.Time     // when the last successor was ready
+	wake              chan struct{} // closed at each change of the list
+	endpoints         map[string]*endpoint
+	servers           []*http.Server
 }
 
 func newDiscovery(j *Judge, rng *rand.Rand) *discovery {
@@ -56,25 +56,25 @@
 	}
 }
 
-// agent opens one more address of the agent's. The ones before close their connections a little later.
-func (d *discovery) agent() (addr string, err error) {
+// startAgent starts an agent at a new address. The previous one closes its connections a little later.
+func (d *discovery) startAgent() (addr string, err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	s := &http.Server{Handler: http.HandlerFunc(d.serve)}
-	go func() { _ = s.Serve(ln) }()
+	server := &http.Server{Handler: http.HandlerFunc(d.serve)}
+	go func() { _ = server.Serve(ln) }()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, old := range d.servers {
 		time.AfterFunc(1500*time.Millisecond, func() { _ = old.Close() })
 	}
-	d.servers = []*http.Server{s}
+	d.servers = []*http.Server{server}
 	return ln.Addr().String(), nil
 }
 
-// update changes an entry. The sender must know it when the agent has it, after SIGHUP and a silent
-// watch a little later.
+// update changes an entry of the list, or queues the change while the agent is unavailable. The sender must have the
+// change as soon as the agent has it, or a little later after a SIGHUP, an upgrade or an unresponsive watch.
 func (d *discovery) update(host config.Host, endpoint *endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -86,7 +86,7 @@
 	d.apply(host)
 }
 
-// apply changes the list and wakes the watches. The lock is held.
+// apply changes the list and wakes the watches. The caller must hold mu.
 func (d *discovery) apply(host config.Host) {
 	now := time.Now()
 	d.seq++
@@ -97,24 +97,24 @@
 	}
 	d.changes = append(d.changes, change{d.seq, host, now})
 	knownFrom := now
-	if at := d.reloaded.Add(reloadDelay); now.Before(at) {
-		knownFrom = at
+	if delayed := d.reloaded.Add(reloadDelay); now.Before(delayed) {
+		knownFrom = delayed
 	}
-	if at := d.silent.Add(silentWatchDelay); now.Before(at) && at.After(knownFrom) {
-		knownFrom = at
+	if delayed := d.unresponsiveSince.Add(unresponsiveWatchDelay); now.Before(delayed) && delayed.After(knownFrom) {
+		knownFrom = delayed
 	}
-	if at := d.upgraded.Add(upgradeDelay); d.upgrading || now.Before(at) && at.After(knownFrom) {
-		knownFrom = at
+	if delayed := d.upgraded.Add(upgradeDelay); d.upgrading || now.Before(delayed) && delayed.After(knownFrom) {
+		knownFrom = delayed
 	}
 	if d.upgrading {
-		knownFrom = now.Add(readyDue + upgradeDelay) // until it is known when the new process is ready
+		knownFrom = now.Add(readyTimeout + upgradeDelay) // upper bound until the new process is ready
 	}
-	if e := d.endpoints[host.Host]; host.Health != healthActive && e != nil {
-		e.mu.Lock()
-		if e.drainFrom.IsZero() || knownFrom.Before(e.drainFrom) {
-			e.drainFrom = knownFrom
+	if endpoint := d.endpoints[host.Host]; host.Health != healthActive && endpoint != nil {
+		endpoint.mu.Lock()
+		if endpoint.drainFrom.IsZero() || knownFrom.Before(endpoint.drainFrom) {
+			endpoint.drainFrom = knownFrom
 		}
-		e.mu.Unlock()
+		endpoint.mu.Unlock()
 	}
 	close(d.wake)
 	d.wake = make(chan struct{})
@@ -125,43 +125,44 @@
 	defer d.mu.Unlock()
 	d.down = down
 	if down {
-		d.revertUnwritten()
+		d.revertRecentChanges()
 	}
 	if !down {
-		for _, h := range d.pending {
-			d.apply(h)
+		for _, pendingHost := range d.pending {
+			d.apply(pendingHost)
 		}
 		d.pending = nil
 	}
 }
 
-// revertUnwritten takes back the changes of this moment: the agent may have fallen silent before it was
-// written, and then learns it when it is back.
-func (d *discovery) revertUnwritten() {
-	for n := len(d.changes); n > 0 && time.Since(d.changes[n-1].at) < slack; n = len(d.changes) {
-		h := d.changes[n-1].host
-		d.changes = d.changes[:n-1]
-		d.pending = append([]config.Host{h}, d.pending...)
-		if e := d.endpoints[h.Host]; e != nil && h.Health != healthActive {
-			e.mu.Lock()
-			e.drainFrom = time.Time{}
-			e.mu.Unlock()
+// revertRecentChanges takes back the changes of the last slack and queues them: the agent may have become
+// unavailable before their responses were written, and sends them when it is available again.
+func (d *discovery) revertRecentChanges() {
+	for count := len(d.changes); count > 0 && time.Since(d.changes[count-1].changedAt) < slack; count = len(d.changes) {
+		changed := d.changes[count-1].host
+		d.changes = d.changes[:count-1]
+		d.pending = append([]config.Host{changed}, d.pending...)
+		if endpoint := d.endpoints[changed.Host]; endpoint != nil && changed.Health != healthActive {
+			endpoint.mu.Lock()
+			endpoint.drainFrom = time.Time{}
+			endpoint.mu.Unlock()
 		}
 	}
 }
 
-// fallSilent makes the open watches never answer.
-func (d *discovery) fallSilent() {
+// makeWatchesUnresponsive leaves the open watches without a response forever.
+func (d *discovery) makeWatchesUnresponsive() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.silent = time.Now()
-	for _, c := range d.changes[max(0, len(d.changes)-10):] { // the last answers may not have been written
-		if e := d.endpoints[c.host.Host]; e != nil && d.silent.Sub(c.at) < slack {
-			e.mu.Lock()
-			if !e.drainFrom.IsZero() {
-				e.drainFrom = d.silent.Add(silentWatchDelay)
+	d.unresponsiveSince = time.Now()
+	// The responses with the latest changes may not have been written.
+	for _, change := range d.changes[max(0, len(d.changes)-10):] {
+		if endpoint := d.endpoints[change.host.Host]; endpoint != nil && d.unresponsiveSince.Sub(change.changedAt) < slack {
+			endpoint.mu.Lock()
+			if !endpoint.drainFrom.IsZero() {
+				endpoint.drainFrom = d.unresponsiveSince.Add(unresponsiveWatchDelay)
 			}
-			e.mu.Unlock()
+			endpoint.mu.Unlock()
 		}
 	}
 }
@@ -173,102 +174,103 @@
 	d.reloaded = time.Now()
 }
 
-// recordUpgrade records that an upgrade begins. The returned function records its end: what the agent tells meanwhile
-// binds a while after that.
+// recordUpgrade records the begin of an upgrade. The returned function records its end: changes in between apply
+// upgradeDelay after the end.
 func (d *discovery) recordUpgrade() (ready func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	began := time.Now().Add(-slack)
+	startTime := time.Now().Add(-slack)
 	d.upgrading = true
 	return func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		d.upgrading, d.upgraded = false, time.Now()
-		for _, c := range d.changes {
-			if e := d.endpoints[c.host.Host]; e != nil && c.host.Health != healthActive && c.at.After(began) {
-				e.mu.Lock()
-				e.drainFrom = d.upgraded.Add(upgradeDelay)
-				e.mu.Unlock()
+		for _, change := range d.changes {
+			if endpoint := d.endpoints[change.host.Host]; endpoint != nil && change.host.Health != healthActive &&
+				change.changedAt.After(startTime) {
+				endpoint.mu.Lock()
+				endpoint.drainFrom = d.upgraded.Add(upgradeDelay)
+				endpoint.mu.Unlock()
 			}
 		}
 	}
 }
 
-func (d *discovery) known() config.List {
+func (d *discovery) currentList() config.List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.whole()
+	return d.fullList()
 }
 
-func (d *discovery) whole() config.List {
-	l := config.List{Seq: d.seq, Whole: true}
-	for _, h := range d.hosts {
-		l.Hosts = append(l.Hosts, h)
+func (d *discovery) fullList() config.List {
+	list := config.List{Seq: d.seq, Whole: true}
+	for _, entry := range d.hosts {
+		list.Hosts = append(list.Hosts, entry)
 	}
-	return l
+	return list
 }
 
 func (d *discovery) serve(writer http.ResponseWriter, request *http.Request) {
 	if request.URL.Path == "/v2/finals" {
-		var f struct{ ID, State string }
-		for dec := json.NewDecoder(bufio.NewReader(request.Body)); dec.Decode(&f) == nil; {
-			d.judge.recordFinal(f.ID, f.State)
+		var finalAnswer struct{ ID, State string }
+		for decoder := json.NewDecoder(bufio.NewReader(request.Body)); decoder.Decode(&finalAnswer) == nil; {
+			d.judge.recordFinal(finalAnswer.ID, finalAnswer.State)
 		}
 		writer.WriteHeader(http.StatusNoContent)
 		return
 	}
-	began := time.Now()
+	startTime := time.Now()
 	index, watch := int64(-1), request.URL.Query().Get("index") != ""
 	if watch {
 		index, _ = strconv.ParseInt(request.URL.Query().Get("index"), 10, 64)
 	}
-	ms, _ := strconv.Atoi(request.URL.Query().Get("wait"))
-	for until := began.Add(time.Duration(ms) * time.Millisecond); ; {
+	waitMs, _ := strconv.Atoi(request.URL.Query().Get("wait"))
+	for deadline := startTime.Add(time.Duration(waitMs) * time.Millisecond); ; {
 		d.mu.Lock()
-		unreachable := d.down || watch && began.Before(d.silent)
+		unreachable := d.down || watch && startTime.Before(d.unresponsiveSince)
 		ready := !watch || d.seq > index
 		wake := d.wake
-		var answer []byte
-		if !unreachable && (ready || !time.Now().Before(until)) {
-			answer = d.answer(watch, index)
+		var response []byte
+		if !unreachable && (ready || !time.Now().Before(deadline)) {
+			response = d.response(watch, index)
 		}
 		d.mu.Unlock()
-		if answer != nil {
-			_, _ = writer.Write(answer)
-			d.judge.count("list bytes", len(answer))
+		if response != nil {
+			_, _ = writer.Write(response)
+			d.judge.count("list bytes", len(response))
 			return
 		}
-		gap := 20 * time.Millisecond // the end of a silence is not signalled
+		interval := 20 * time.Millisecond // the end of an unavailability is not signalled
 		select {
 		case <-request.Context().Done():
 			return
 		case <-wake:
-		case <-time.After(gap):
+		case <-time.After(interval):
 		}
 	}
 }
 
-// answer is a whole list, or what has changed since a version; some come indented.
-func (d *discovery) answer(watch bool, index int64) []byte {
-	l := config.List{Seq: d.seq}
+// response returns the full list, or the changes since a version, at times as indented JSON.
+func (d *discovery) response(watch bool, index int64) []byte {
+	list := config.List{Seq: d.seq}
 	if watch && (d.changesOnly || d.rng.Intn(4) > 0) && index <= d.seq {
-		for _, c := range d.changes {
-			if c.seq > index {
-				l.Hosts = append(l.Hosts, c.host)
+		for _, change := range d.changes {
+			if change.seq > index {
+				list.Hosts = append(list.Hosts, change.host)
 			}
 		}
 	} else {
-		l = d.whole()
+		list = d.fullList()
 	}
-	if l.Hosts == nil {
-		l.Hosts = []config.Host{}
+	if list.Hosts == nil {
+		list.Hosts = []config.Host{}
 	}
-	raw, err := json.Marshal(l)
+	raw, err := json.Marshal(list)
 	if d.rng.Intn(3) == 0 {
-		raw, err = json.MarshalIndent(l, "", "  ")
+		raw, err = json.MarshalIndent(list, "", "  ")
 	}
 	if err != nil {
-		panic(err) // strings and numbers
+		panic(err) // strings and numbers always encode
 	}
 	return raw
 }
--- a/internal/testing/soak/endpoints.go
+++ b/internal/testing/soak/endpoints.go
@@ -12,22 +12,22 @@
 	"time"
 )
 
-// behavior is how an endpoint treats calls.
+// behavior is how an endpoint responds to calls.
 type behavior uint8
 
 const (
-	answering behavior = iota
-	refusing           // refuses, mostly with a wait
+	normal    behavior = iota
+	refusing           // refuses, mostly with a Retry-After
 	failing            // 500
-	hanging            // takes calls and answers none
+	hanging            // accepts calls and never responds
 	resetting          // resets connections under calls
-	garbling           // answers what cannot be read
+	malformed          // sends malformed responses
 	slow
-	mixed // any of these, drawn for each call
-	behaviors
+	mixed // one of the above, drawn for each call
+	behaviorCount
 )
 
-// endpoint is one endpoint of a destination. Its methods may be called by any goroutine.
+// endpoint is a stand-in endpoint of a destination. It is safe for concurrent use.
 type endpoint struct {
 	name  string
 	dest  int64
@@ -38,7 +38,7 @@
 	mu        sync.Mutex
 	rng       *rand.Rand
 	behavior  behavior
-	drainFrom time.Time // from when the sender must know that it drains; zero: it is active
+	drainFrom time.Time // time from which the sender must have the draining state; zero: it is active
 	conns     map[net.Conn]bool
 }
 
@@ -50,15 +50,15 @@
 	e := &endpoint{name: name, dest: dest, grace: grace, judge: judge, ln: ln, rng: rng, conns: map[net.Conn]bool{}}
 	go func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := ln.Accept()
 			if err != nil {
 				return
 			}
 			judge.count("connections", 1)
 			e.mu.Lock()
-			e.conns[c] = true
+			e.conns[conn] = true
 			e.mu.Unlock()
-			go e.serve(c)
+			go e.serve(conn)
 		}
 	}()
 	return e, nil
@@ -66,10 +66,10 @@
 
 func (e *endpoint) dial() string { return e.ln.Addr().String() }
 
-func (e *endpoint) setBehavior(m behavior) {
+func (e *endpoint) setBehavior(mode behavior) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.behavior = m
+	e.behavior = mode
 }
 
 func (e *endpoint) drainStart() time.Time {
@@ -78,15 +78,15 @@
 	return e.drainFrom
 }
 
-// draw is the behavior for one call, and a random number for it.
+// draw returns the behavior for one call, and a random number for its details.
 func (e *endpoint) draw() (behavior, int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	m := e.behavior
-	if m == mixed {
-		m = behavior(e.rng.Intn(int(mixed)))
+	mode := e.behavior
+	if mode == mixed {
+		mode = behavior(e.rng.Intn(int(mixed)))
 	}
-	return m, e.rng.Intn(1 << 20)
+	return mode, e.rng.Intn(1 << 20)
 }
 
 // close stops the endpoint as a crash does: its connections are reset.
@@ -94,32 +94,32 @@
 	_ = e.ln.Close()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for c := range e.conns {
-		reset(c)
+	for conn := range e.conns {
+		reset(conn)
 	}
 }
 
-// dropAll resets its connections, also those with calls.
-func (e *endpoint) dropAll() {
+// resetConnections resets all connections, including those with calls in flight.
+func (e *endpoint) resetConnections() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for c := range e.conns {
-		reset(c)
+	for conn := range e.conns {
+		reset(conn)
 	}
 }
 
-func reset(c net.Conn) {
-	if t, ok := c.(*net.TCPConn); ok {
-		_ = t.SetLinger(0)
+func reset(conn net.Conn) {
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0)
 	}
-	_ = c.Close()
+	_ = conn.Close()
 }
 
-// item is one message of a call. gone: the message is over, and nothing of it runs.
+// item is one message of a call. expired: the endpoint does not execute it, see recordCall.
 type item struct {
 	id      string
 	attempt *attempt
-	gone    bool
+	expired bool
 }
 
 func (e *endpoint) serve(conn net.Conn) {
@@ -129,57 +129,57 @@
 		delete(e.conns, conn)
 		e.mu.Unlock()
 	}()
-	for in := bufio.NewReader(conn); ; {
-		if _, err := in.Peek(1); err != nil {
+	for reader := bufio.NewReader(conn); ; {
+		if _, err := reader.Peek(1); err != nil {
 			return
 		}
 		first := time.Now()
-		r, err := http.ReadRequest(in)
+		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		body, err := io.ReadAll(r.Body)
+		body, err := io.ReadAll(request.Body)
 		if err != nil {
-			return // the connection ended before the last byte: no call
+			return // the connection ended before the last byte, so there was no call
 		}
-		items, ok := e.items(r, string(body), first)
+		items, ok := e.items(request, string(body), first)
 		if !ok {
-			e.judge.Violate("misrouted: %s %s cannot be read", r.Method, r.URL.Path)
+			e.judge.Violate("misrouted: %s %s cannot be read", request.Method, request.URL.Path)
 			return
 		}
-		call := &call{endpoint: e, conn: conn, in: in, items: items}
-		if !call.answer() {
+		call := &call{endpoint: e, conn: conn, reader: reader, items: items}
+		if !call.respond() {
 			return
 		}
 	}
 }
 
-// items are the messages of a call, which the judge records.
-func (e *endpoint) items(request *http.Request, body string, first time.Time) (list []item, ok bool) {
+// items parses the messages of a call and records them with the judge.
+func (e *endpoint) items(request *http.Request, body string, first time.Time) (parsed []item, ok bool) {
 	if request.URL.Path == "/events" {
 		e.judge.awaitOpenCalls(request.Header.Get("Req-Id"))
 		id := request.Header.Get("Req-Id")
-		a, gone := e.judge.recordCall(e, id, request.Header.Get("Idempotency-Key"), body, first)
-		return []item{{id, a, gone}}, true
+		recorded, expired := e.judge.recordCall(e, id, request.Header.Get("Idempotency-Key"), body, first)
+		return []item{{id, recorded, expired}}, true
 	}
 	for body != "" {
 		line, rest, found := strings.Cut(body, "\r\n")
-		words := strings.Fields(line)
-		if !found || len(words) != 3 {
+		fields := strings.Fields(line)
+		if !found || len(fields) != 3 {
 			return nil, false
 		}
-		n, err := strconv.Atoi(words[2])
-		if err != nil || n+2 > len(rest) {
+		length, err := strconv.Atoi(fields[2])
+		if err != nil || length+2 > len(rest) {
 			return nil, false
 		}
-		key := words[1]
+		key := fields[1]
 		if key == "-" {
 			key = ""
 		}
-		e.judge.awaitOpenCalls(words[0])
-		a, gone := e.judge.recordCall(e, words[0], key, rest[:n], first)
-		list = append(list, item{words[0], a, gone})
-		body = rest[n+2:]
+		e.judge.awaitOpenCalls(fields[0])
+		recorded, expired := e.judge.recordCall(e, fields[0], key, rest[:length], first)
+		parsed = append(parsed, item{fields[0], recorded, expired})
+		body = rest[length+2:]
 	}
-	return list, len(list) > 0
+	return parsed, len(parsed) > 0
 }
--- a/internal/testing/soak/growth.go
+++ b/internal/testing/soak/growth.go
@@ -13,58 +13,58 @@
 	"brackendale/internal/testing/fleet"
 )
 
-// Need is what a sender needed on a calm day with endpoints that are replaced now and then.
-type Need struct {
+// Usage is the resource use of a sender in a run without faults, in which endpoints are regularly replaced.
+type Usage struct {
 	Endpoints, Senders int
 	CPU                time.Duration
 	PeakMB             float64
-	Descriptors        int // most
-	Connections        int // made to endpoints
+	MaxDescriptors     int
+	Connections        int // opened to endpoints
 	ListKB             float64
-	Served             float64 // delivered, of what was handed in
-	Broken             []string
+	DeliveredShare     float64 // of the messages submitted
+	Violations         []string
 }
 
-// Measure plays such a day: the traffic is the same whatever the number of endpoints and of senders that share them.
-func Measure(opt Options) (n Need, err error) {
-	w := newWorld(opt)
-	w.sockets, w.discovery.changesOnly = 512, true
-	if err := w.open(); err != nil {
-		return n, err
+// Measure runs the sender and measures its Usage. The traffic does not depend on the number of endpoints or senders.
+func Measure(opt Options) (usage Usage, err error) {
+	s := newSimulation(opt)
+	s.sockets, s.discovery.changesOnly = 512, true
+	if err := s.open(); err != nil {
+		return usage, err
 	}
-	defer w.close()
+	defer s.close()
 	ctx, cancel := context.WithTimeout(context.Background(), opt.Length)
 	defer cancel()
-	var all sync.WaitGroup
-	for i := range crew {
-		c := &client{world: w, number: i, rng: rand.New(rand.NewSource(opt.Seed*100 + int64(i)))}
-		all.Add(1)
-		go func() { defer all.Done(); c.run(ctx) }()
+	var pending sync.WaitGroup
+	for i := range clientCount {
+		submitter := &client{simulation: s, number: i, rng: rand.New(rand.NewSource(opt.Seed*100 + int64(i)))}
+		pending.Add(1)
+		go func() { defer pending.Done(); submitter.run(ctx) }()
 	}
 	for ctx.Err() == nil {
 		time.Sleep(time.Second)
-		if err := w.replace(); err != nil {
-			return n, err
+		if err := s.replaceEndpoint(); err != nil {
+			return usage, err
 		}
-		if fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", w.proc.Pid())); err == nil {
-			n.Descriptors = max(n.Descriptors, len(fds))
+		if fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", s.proc.Pid())); err == nil {
+			usage.MaxDescriptors = max(usage.MaxDescriptors, len(fds))
 		}
 	}
-	all.Wait()
+	pending.Wait()
 	time.Sleep(2 * time.Second)
-	n.Endpoints, n.Senders = len(w.endpoints), max(1, opt.Senders)
-	n.CPU, n.PeakMB = used(w.proc)
+	usage.Endpoints, usage.Senders = len(s.endpoints), max(1, opt.Senders)
+	usage.CPU, usage.PeakMB = processUsage(s.proc)
 	time.Sleep(time.Duration(classes[len(classes)-1].DeadlineUs) * time.Microsecond)
 	var counts map[string]int
-	n.Broken, counts = w.judge.close()
-	n.Connections, n.ListKB = counts["connections"], float64(counts["list bytes"])/1024
-	n.Served = float64(counts["delivered"]) / float64(max(1, counts["submitted"]))
-	return n, nil
+	usage.Violations, counts = s.judge.close()
+	usage.Connections, usage.ListKB = counts["connections"], float64(counts["list bytes"])/1024
+	usage.DeliveredShare = float64(counts["delivered"]) / float64(max(1, counts["submitted"]))
+	return usage, nil
 }
 
-// used is the processor time and the peak of the memory of a process.
-func used(proc *fleet.Proc) (cpu time.Duration, peakMB float64) {
-	const tick = 10 * time.Millisecond // of the kernel's accounting as it shows it
+// processUsage returns the CPU time and the peak resident memory of a process.
+func processUsage(proc *fleet.Proc) (cpu time.Duration, peakMB float64) {
+	const tick = 10 * time.Millisecond // unit of CPU time in /proc
 	if raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", proc.Pid())); err == nil {
 		if fields := bytes.Fields(raw[bytes.LastIndexByte(raw, ')')+1:]); len(fields) > 12 {
 			user, _ := strconv.Atoi(string(fields[11]))
--- a/internal/testing/soak/judge.go
+++ b/internal/testing/soak/judge.go
@@ -1,6 +1,6 @@
-// Package soak plays a seeded day of troubles against one real process of the sender, with clients,
-// endpoints and discovery of its own, and judges it by the platform's rules as they show at those
-// three, never by the sender's own word.
+// Package soak runs one real process of the sender under random faults drawn from a seed, with stand-in
+// clients, endpoints and discovery. It checks the platform's rules by what those three observe, never by
+// what the sender reports about itself.
 package soak
 
 import (
@@ -13,139 +13,139 @@
 	"brackendale/sender"
 )
 
-// The slack of the rules on sockets, and the times that the platform's pages name.
+// Tolerances of the checks, and the times that the platform's rules specify.
 const (
-	slack            = 50 * time.Millisecond  // every limit is so much longer
-	finalAnswerSlack = 300 * time.Millisecond // a final answer may come so long after the deadline
-	retryAfterGrace  = 100 * time.Millisecond // calls so soon after a Retry-After are tolerated
-	restartGrace     = 1500 * time.Millisecond
-	answerWait       = 400 * time.Millisecond // of a client
-	badClientDue     = 3 * time.Second
-	termToKill       = 3700 * time.Millisecond
-	killToStart      = 600 * time.Millisecond
-	readyDue         = 10 * time.Second
-	reloadDelay      = 4 * time.Second
-	silentWatchDelay = 6 * time.Second
-	upgradeDelay     = 2 * time.Second // what discovery tells in an upgrade binds so long after the new process's ready
-	upgradeReadyDue  = 6 * time.Second
+	slack                  = 50 * time.Millisecond  // tolerance of all time limits
+	finalAnswerSlack       = 300 * time.Millisecond // a final answer may arrive so long after the deadline
+	retryAfterGrace        = 100 * time.Millisecond // calls that follow a Retry-After so soon are tolerated
+	restartGrace           = 1500 * time.Millisecond
+	replyTimeout           = 400 * time.Millisecond // of clients
+	badClientTimeout       = 3 * time.Second
+	termToKill             = 3700 * time.Millisecond
+	killToStart            = 600 * time.Millisecond
+	readyTimeout           = 10 * time.Second
+	reloadDelay            = 4 * time.Second
+	unresponsiveWatchDelay = 6 * time.Second
+	upgradeDelay           = 2 * time.Second // list changes during an upgrade apply so long after the new process is ready
+	upgradeReadyTimeout    = 6 * time.Second
 )
 
-// verdict is the reply to a client that submitted a message.
-type verdict uint8
+// reply is the reply to a client that submitted a message.
+type reply uint8
 
 const (
-	noReply verdict = iota
+	replyPending reply = iota
 	accepted
 	refused
 	failed
-	withdrawn // it waited for too long and left, or its connection ended
+	withdrawn // the client timed out, or its connection ended
 )
 
-// message is one that a client submits.
+// message is a message of a client, with what clients, endpoints and discovery observed of it.
 type message struct {
 	id, class, key, body string
 	dest                 int64
 	deadline             time.Time
-	verdict              verdict
-	heard                time.Time
+	reply                reply
+	repliedAt            time.Time
 	calls                []*attempt
-	delivered            time.Time
-	end                  string
-	ended                time.Time
-	toldOver             bool // an endpoint has answered that it is over: nothing more is owed
-	unanswered           bool // its connection ended behind its last byte with no answer, and not by a kill
+	deliveredAt          time.Time
+	finalAnswer          string
+	finalAnswerAt        time.Time
+	rejectedAsExpired    bool // an endpoint has replied that it is expired: no final answer is due
+	unanswered           bool // its connection ended after its last byte without a reply, and not by a kill
 }
 
-// attempt is one call of a message, as its endpoint saw it.
+// attempt is one call with a message, as its endpoint observed it.
 type attempt struct {
-	at     time.Time // its last byte
-	mayRun bool
-	open   bool
+	receivedAt time.Time // arrival of the last byte
+	mayRun     bool
+	open       bool
 }
 
-// span is a time, such as that in which a restart excuses delays.
-type span struct{ from, to time.Time }
+// interval is a period of time, such as that in which a restart excuses delays.
+type interval struct{ from, to time.Time }
 
-// Judge records what clients, endpoints and discovery see, and the broken rules. Its methods may be
-// called by any goroutine.
+// Judge records what clients, endpoints and discovery observe, and the violations of rules. It is safe for
+// concurrent use.
 type Judge struct {
-	mu       sync.Mutex
-	began    time.Time
-	windows  map[string]time.Duration // of the classes that may be repeated by key
-	effects  map[string]scheduler.Idempotency
-	messages map[string]*message
-	waits    map[int64]span // by Retry-After, by destination
-	restarts []span         // the last one's end is zero while the sender is down
-	broken   []string
-	counts   map[string]int
-
-	clientsReset bool      // clients' connections also break by themselves
-	floodUntil   time.Time // until then new connections may be closed unread
+	mu         sync.Mutex
+	start      time.Time
+	windows    map[string]time.Duration // idempotency windows, by class
+	effects    map[string]scheduler.Idempotency
+	messages   map[string]*message
+	retryAfter map[int64]interval // from the latest Retry-After, by destination
+	restarts   []interval         // the end of the last one is zero while the sender is down
+	violations []string
+	counts     map[string]int
+
+	clientsReset bool      // injected faults also break the connections of clients
+	floodUntil   time.Time // until then new connections may be closed before a command is read
 }
 
 func newJudge() *Judge {
 	return &Judge{
-		began: time.Now(), windows: map[string]time.Duration{}, effects: map[string]scheduler.Idempotency{},
-		messages: map[string]*message{},
-		waits:    map[int64]span{}, counts: map[string]int{},
+		start: time.Now(), windows: map[string]time.Duration{}, effects: map[string]scheduler.Idempotency{},
+		messages:   map[string]*message{},
+		retryAfter: map[int64]interval{}, counts: map[string]int{},
 	}
 }
 
-// violate records a broken rule. The caller holds the lock.
+// violate records a violation of a rule. The caller must hold mu.
 func (j *Judge) violate(format string, args ...any) {
-	j.broken = append(j.broken, fmt.Sprintf("%.3f ", time.Since(j.began).Seconds())+fmt.Sprintf(format, args...))
+	j.violations = append(j.violations, fmt.Sprintf("%.3f ", time.Since(j.start).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// Violate records a broken rule.
+// Violate records a violation of a rule.
 func (j *Judge) Violate(format string, args ...any) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.violate(format, args...)
 }
 
-func (j *Judge) count(what string, n int) {
+func (j *Judge) count(name string, amount int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.counts[what] += n
+	j.counts[name] += amount
 }
 
-func (j *Judge) submitted(m *message) {
+func (j *Judge) submitted(msg *message) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.messages[m.id] = m
+	j.messages[msg.id] = msg
 	j.counts["submitted"]++
 }
 
 // recordReply records the reply to a submit.
-func (j *Judge) recordReply(m *message, v verdict) {
+func (j *Judge) recordReply(msg *message, received reply) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	m.verdict, m.heard = v, time.Now()
-	j.counts[[]string{"unheard", "taken on", "refused", "failed", "withdrawn"}[v]]++
+	msg.reply, msg.repliedAt = received, time.Now()
+	j.counts[[]string{"unheard", "taken on", "refused", "failed", "withdrawn"}[received]]++
 }
 
-// recordCut records that a connection ended after a message's last byte without a reply. fresh: it was a
-// new connection, on which no earlier request explains it.
-func (j *Judge) recordCut(message *message, fresh bool) {
+// recordConnectionLost records that a connection ended after a message's last byte without a reply. unused: it was a
+// new connection, so no earlier request can be the cause.
+func (j *Judge) recordConnectionLost(message *message, unused bool) {
 	j.recordReply(message, withdrawn)
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.down(time.Now(), time.Second) {
-		return // the process was killed, or ends
+		return // the process was killed or is shutting down
 	}
 	j.counts["cut"]++
 	if j.clientsReset {
 		return
 	}
-	if message.unanswered = true; fresh && time.Now().After(j.floodUntil) {
+	if message.unanswered = true; unused && time.Now().After(j.floodUntil) {
 		j.violate("lost: %s was written to a new connection that was ended with no answer", message.id)
 	}
 }
 
-// down tells whether a restart excuses something at a time, or did until so long before.
-func (j *Judge) down(at time.Time, before time.Duration) bool {
-	return slices.ContainsFunc(j.restarts, func(s span) bool {
-		return !at.Before(s.from) && (s.to.IsZero() || at.Before(s.to.Add(before)))
+// down reports whether a restart excuses a delay at an instant: it is in progress or ended less than grace before.
+func (j *Judge) down(instant time.Time, grace time.Duration) bool {
+	return slices.ContainsFunc(j.restarts, func(restart interval) bool {
+		return !instant.Before(restart.from) && (restart.to.IsZero() || instant.Before(restart.to.Add(grace)))
 	})
 }
 
@@ -153,81 +153,81 @@
 func (j *Judge) recordStop() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.restarts = append(j.restarts, span{from: time.Now()})
+	j.restarts = append(j.restarts, interval{from: time.Now()})
 }
 
-// recordKill records a SIGKILL of a process that another one has followed on: connections that it still had are cut.
+// recordKill records a SIGKILL of a process that already has a successor; its remaining connections are reset.
 func (j *Judge) recordKill() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	now := time.Now()
-	j.restarts = append(j.restarts, span{from: now.Add(-slack), to: now.Add(slack)})
+	j.restarts = append(j.restarts, interval{from: now.Add(-slack), to: now.Add(slack)})
 }
 
-// recordStart records a new process: waits by Retry-After are over.
+// recordStart records a new process, which has no record of earlier Retry-After responses.
 func (j *Judge) recordStart() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	clear(j.waits)
+	clear(j.retryAfter)
 }
 
-// recordReady records that the sender is ready again.
+// recordReady records that the sender is ready after a restart.
 func (j *Judge) recordReady() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if n := len(j.restarts); n > 0 && j.restarts[n-1].to.IsZero() {
-		j.restarts[n-1].to = time.Now().Add(restartGrace)
+	if count := len(j.restarts); count > 0 && j.restarts[count-1].to.IsZero() {
+		j.restarts[count-1].to = time.Now().Add(restartGrace)
 	}
 }
 
-// recordCall judges a call whose last byte has come; first is when its first one came. gone: the
-// message is over, and nothing of it runs.
-func (j *Judge) recordCall(endpoint *endpoint, id, key, body string, first time.Time) (a *attempt, gone bool) {
+// recordCall checks a call whose last byte has arrived; first is the arrival of its first byte. expired: the
+// message is past its deadline, withdrawn or has a final answer, so the endpoint does not execute it.
+func (j *Judge) recordCall(endpoint *endpoint, id, key, body string, first time.Time) (added *attempt, expired bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	now := time.Now()
 	j.counts["calls"]++
-	m := j.messages[id]
-	if m == nil || m.key != key || m.body != body {
+	msg := j.messages[id]
+	if msg == nil || msg.key != key || msg.body != body {
 		j.violate("misrouted: nobody handed in %q with key %q in this form", id, key)
 		return &attempt{}, true
 	}
-	if m.dest != endpoint.dest {
-		j.violate("misrouted: %s is for %d, and came to %s of %d", id, m.dest, endpoint.name, endpoint.dest)
+	if msg.dest != endpoint.dest {
+		j.violate("misrouted: %s is for %d, and came to %s of %d", id, msg.dest, endpoint.name, endpoint.dest)
 	}
-	if told := endpoint.drainStart(); !told.IsZero() && first.Sub(told) > endpoint.grace+slack {
-		j.violate("drain: %s came to %s %v after it was told to want nothing", id, endpoint.name, first.Sub(told))
+	if drainingSince := endpoint.drainStart(); !drainingSince.IsZero() && first.Sub(drainingSince) > endpoint.grace+slack {
+		j.violate("drain: %s came to %s %v after it was told to want nothing", id, endpoint.name, first.Sub(drainingSince))
 	}
-	if w, ok := j.waits[m.dest]; ok && now.Before(w.to) && now.Sub(w.from) > retryAfterGrace {
-		j.violate("wait: %s came to %d %v before a told wait was over, and %v after it was told", id, m.dest,
-			w.to.Sub(now), now.Sub(w.from))
+	if wait, ok := j.retryAfter[msg.dest]; ok && now.Before(wait.to) && now.Sub(wait.from) > retryAfterGrace {
+		j.violate("wait: %s came to %d %v before a told wait was over, and %v after it was told", id, msg.dest,
+			wait.to.Sub(now), now.Sub(wait.from))
 	}
 	switch {
-	case (m.verdict == refused || m.verdict == failed) && first.After(m.heard):
-		j.violate("refused: %s was sent %v after its client had heard that it is not taken on", id, first.Sub(m.heard))
-	case m.unanswered && first.After(m.heard):
+	case (msg.reply == refused || msg.reply == failed) && first.After(msg.repliedAt):
+		j.violate("refused: %s was sent %v after its client had heard that it is not taken on", id, first.Sub(msg.repliedAt))
+	case msg.unanswered && first.After(msg.repliedAt):
 		j.violate("lost: %s was sent after its connection had been ended with no answer", id)
-	case m.end != "" && first.After(m.ended):
-		j.violate("ended: %s was sent %v after it had ended as %s", id, first.Sub(m.ended), m.end)
+	case msg.finalAnswer != "" && first.After(msg.finalAnswerAt):
+		j.violate("ended: %s was sent %v after it had ended as %s", id, first.Sub(msg.finalAnswerAt), msg.finalAnswer)
 	}
-	for _, o := range m.calls {
-		if o.open {
+	for _, earlier := range msg.calls {
+		if earlier.open {
 			j.violate("twice at once: %s came while a call of it is out", id)
 		}
 	}
-	j.checkRepeat(m, now)
-	a = &attempt{at: now, open: true}
-	m.calls = append(m.calls, a)
-	return a, !now.Before(m.deadline) || m.verdict == withdrawn || m.end != ""
+	j.checkRepeat(msg, now)
+	added = &attempt{receivedAt: now, open: true}
+	msg.calls = append(msg.calls, added)
+	return added, !now.Before(msg.deadline) || msg.reply == withdrawn || msg.finalAnswer != ""
 }
 
-// awaitOpenCalls waits a moment until the end of an earlier call's connection is seen here: it may have
-// ended just before.
+// awaitOpenCalls waits up to slack for the recorded end of earlier calls: their connections may have ended just
+// before, without their endpoint having observed it yet.
 func (j *Judge) awaitOpenCalls(id string) {
-	for until := time.Now().Add(slack); time.Now().Before(until); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(slack); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		j.mu.Lock()
-		m := j.messages[id]
-		open := m != nil && slices.ContainsFunc(m.calls, func(o *attempt) bool { return o.open })
+		msg := j.messages[id]
+		open := msg != nil && slices.ContainsFunc(msg.calls, func(call *attempt) bool { return call.open })
 		j.mu.Unlock()
 		if !open {
 			return
@@ -235,13 +235,13 @@
 	}
 }
 
-// checkRepeat judges a call by those before it that may have run.
+// checkRepeat checks that a message whose earlier call may have run may be sent again.
 func (j *Judge) checkRepeat(message *message, now time.Time) {
-	i := slices.IndexFunc(message.calls, func(o *attempt) bool { return o.mayRun })
-	if i < 0 {
+	first := slices.IndexFunc(message.calls, func(earlier *attempt) bool { return earlier.mayRun })
+	if first < 0 {
 		return
 	}
-	since := now.Sub(message.calls[i].at)
+	since := now.Sub(message.calls[first].receivedAt)
 	switch {
 	case j.effects[message.class] == scheduler.NotIdempotent:
 		j.violate("duplicate: %s came again %v after a call that may have run", message.id, since)
@@ -252,47 +252,47 @@
 	}
 }
 
-// recordCallEnd records how a call ended.
-func (j *Judge) recordCallEnd(a *attempt, mayRun bool) {
+// recordCallEnd records the end of a call, and whether it may have run.
+func (j *Judge) recordCallEnd(call *attempt, mayRun bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	a.open, a.mayRun = false, a.mayRun || mayRun
+	call.open, call.mayRun = false, call.mayRun || mayRun
 }
 
-// recordMayRun records that a call may have run from here on.
-func (j *Judge) recordMayRun(a *attempt) {
+// recordMayRun records that a call may have run from now on.
+func (j *Judge) recordMayRun(call *attempt) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	a.mayRun = true
+	call.mayRun = true
 }
 
-// recordDelivery records a 200 that was written.
+// recordDelivery records that an endpoint has written a 200 for a message.
 func (j *Judge) recordDelivery(id string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if m := j.messages[id]; m != nil && m.delivered.IsZero() {
-		m.delivered = time.Now()
+	if msg := j.messages[id]; msg != nil && msg.deliveredAt.IsZero() {
+		msg.deliveredAt = time.Now()
 		j.counts["delivered"]++
 	}
 }
 
-// recordToldOver records that an endpoint answers that a message is over (410, void).
-func (j *Judge) recordToldOver(id string) {
+// recordRejectedAsExpired records that an endpoint replies that a message is expired (410, void).
+func (j *Judge) recordRejectedAsExpired(id string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if m := j.messages[id]; m != nil {
-		m.toldOver = true
+	if msg := j.messages[id]; msg != nil {
+		msg.rejectedAsExpired = true
 		j.counts["told over"]++
 	}
 }
 
-// recordRetryAfter records a wait as it is written.
+// recordRetryAfter records a Retry-After just before it is written.
 func (j *Judge) recordRetryAfter(dest int64, wait time.Duration) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	now := time.Now()
-	if w := j.waits[dest]; now.Add(wait).After(w.to) {
-		j.waits[dest] = span{now, now.Add(wait)}
+	if current := j.retryAfter[dest]; now.Add(wait).After(current.to) {
+		j.retryAfter[dest] = interval{now, now.Add(wait)}
 	}
 	j.counts["waits told"]++
 }
@@ -301,57 +301,57 @@
 func (j *Judge) recordFinal(id, state string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	m := j.messages[id]
-	if m == nil {
+	msg := j.messages[id]
+	if msg == nil {
 		j.violate("misrouted: a notice of %q, which nobody handed in", id)
 		return
 	}
-	if m.end != "" {
-		return // a notice for a message that is over does no harm
+	if msg.finalAnswer != "" {
+		return // a repeated final answer is harmless
 	}
-	m.end, m.ended = state, time.Now()
+	msg.finalAnswer, msg.finalAnswerAt = state, time.Now()
 	j.counts[state]++
-	ran := slices.ContainsFunc(m.calls, func(a *attempt) bool { return a.mayRun || a.open })
-	if state == sender.Returned && ran && j.effects[m.class] == scheduler.NotIdempotent {
+	mayHaveRun := slices.ContainsFunc(msg.calls, func(call *attempt) bool { return call.mayRun || call.open })
+	if state == sender.Returned && mayHaveRun && j.effects[msg.class] == scheduler.NotIdempotent {
 		j.violate("duplicate: %s is returned, and may have run", id)
 	}
 }
 
-// finalDue is when a message must have its end at the latest. No notice is overdue in a restart.
+// finalDue returns the latest time for a message's final answer. None is overdue during a restart.
 func (j *Judge) finalDue(message *message) time.Time {
-	at := message.deadline.Add(finalAnswerSlack + slack)
-	for _, s := range j.restarts {
-		if !at.Before(s.from) && (s.to.IsZero() || at.Before(s.to)) {
-			at = s.to
+	due := message.deadline.Add(finalAnswerSlack + slack)
+	for _, restart := range j.restarts {
+		if !due.Before(restart.from) && (restart.to.IsZero() || due.Before(restart.to)) {
+			due = restart.to
 		}
 	}
-	return at
+	return due
 }
 
-// timeline is when a message was accepted, called and due, for whoever reads the report.
-func (j *Judge) timeline(m *message) string {
-	at := func(t time.Time) float64 { return t.Sub(j.began).Seconds() }
-	text := fmt.Sprintf("accepted %.3f, due %.3f", at(m.heard), at(m.deadline))
-	for _, c := range m.calls {
-		text += fmt.Sprintf(", called %.3f (may have run: %v, open: %v)", at(c.at), c.mayRun, c.open)
+// history describes for a report when a message was accepted, due and sent to endpoints.
+func (j *Judge) history(msg *message) string {
+	seconds := func(t time.Time) float64 { return t.Sub(j.start).Seconds() }
+	text := fmt.Sprintf("accepted %.3f, due %.3f", seconds(msg.repliedAt), seconds(msg.deadline))
+	for _, call := range msg.calls {
+		text += fmt.Sprintf(", called %.3f (may have run: %v, open: %v)", seconds(call.receivedAt), call.mayRun, call.open)
 	}
 	return text
 }
 
-// close judges what has no end, once all deadlines are over.
-func (j *Judge) close() (broken []string, counts map[string]int) {
+// close checks for messages without a final answer, once all deadlines have passed.
+func (j *Judge) close() (violations []string, counts map[string]int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	for id, m := range j.messages {
-		due := j.finalDue(m)
-		over := !m.delivered.IsZero() || m.end != "" && !m.ended.After(due)
-		if m.verdict == accepted && !over && !m.toldOver {
+	for id, msg := range j.messages {
+		due := j.finalDue(msg)
+		answered := !msg.deliveredAt.IsZero() || msg.finalAnswer != "" && !msg.finalAnswerAt.After(due)
+		if msg.reply == accepted && !answered && !msg.rejectedAsExpired {
 			late := "never"
-			if m.end != "" {
-				late = fmt.Sprint(m.ended.Sub(due), " late")
+			if msg.finalAnswer != "" {
+				late = fmt.Sprint(msg.finalAnswerAt.Sub(due), " late")
 			}
-			j.violate("lost: %s (%s, %d calls) has its end %s; %s", id, m.class, len(m.calls), late, j.timeline(m))
+			j.violate("lost: %s (%s, %d calls) has its end %s; %s", id, msg.class, len(msg.calls), late, j.history(msg))
 		}
 	}
-	return j.broken, j.counts
+	return j.violations, j.counts
 }
--- a/internal/testing/soak/soak.go
+++ b/internal/testing/soak/soak.go
@@ -11,191 +11,191 @@
 	"brackendale/internal/testing/fleet"
 )
 
-// Run plays one day. The error says that it could not be played.
+// Run runs one scenario. An error means that it could not be run; violations are in the report.
 func Run(opt Options) (Report, error) {
-	w := newWorld(opt)
-	w.sockets = []int{128, 256}[w.rng.Intn(2)]
-	w.errno = w.rng.Intn(2) == 0
-	w.judge.clientsReset = w.errno
-	if err := w.open(); err != nil {
+	s := newSimulation(opt)
+	s.sockets = []int{128, 256}[s.rng.Intn(2)]
+	s.socketFaults = s.rng.Intn(2) == 0
+	s.judge.clientsReset = s.socketFaults
+	if err := s.open(); err != nil {
 		return Report{}, err
 	}
-	defer w.close()
-	if err := w.play(); err != nil {
+	defer s.close()
+	if err := s.runScenario(); err != nil {
 		return Report{}, err
 	}
-	broken, counts := w.judge.close()
-	return Report{Seed: opt.Seed, Acts: w.acts, Counts: counts, Broken: broken}, nil
+	violations, counts := s.judge.close()
+	return Report{Seed: opt.Seed, Actions: s.actions, Counts: counts, Violations: violations}, nil
 }
 
-func newWorld(opt Options) *world {
-	w := &world{options: opt, judge: newJudge(), rng: rand.New(rand.NewSource(opt.Seed))}
-	for _, l := range classes {
-		w.judge.effects[l.Name], w.judge.windows[l.Name] = l.Idempotency,
-			time.Duration(l.KeyWindowUs)*time.Microsecond
-	}
-	w.discovery = newDiscovery(w.judge, rand.New(rand.NewSource(opt.Seed+1)))
-	return w
+func newSimulation(opt Options) *simulation {
+	s := &simulation{options: opt, judge: newJudge(), rng: rand.New(rand.NewSource(opt.Seed))}
+	for _, class := range classes {
+		s.judge.effects[class.Name], s.judge.windows[class.Name] = class.Idempotency,
+			time.Duration(class.KeyWindowUs)*time.Microsecond
+	}
+	s.discovery = newDiscovery(s.judge, rand.New(rand.NewSource(opt.Seed+1)))
+	return s
 }
 
-// close ends all that the world runs.
-func (w *world) close() {
-	w.expected = true
-	w.proc.Kill()
-	for _, e := range w.endpoints {
-		e.close()
+// close stops the sender and everything that the simulation runs.
+func (s *simulation) close() {
+	s.expected = true
+	s.proc.Kill()
+	for _, endpoint := range s.endpoints {
+		endpoint.close()
 	}
-	if w.launcher != nil {
-		w.launcher.close()
+	if s.launcher != nil {
+		s.launcher.close()
 	}
-	_ = w.log.Close()
+	_ = s.log.Close()
 }
 
-// open builds the world and starts the sender.
-func (w *world) open() (err error) {
-	if err := os.MkdirAll(w.path("state"), 0o700); err != nil {
+// open prepares the simulation and starts the sender.
+func (s *simulation) open() (err error) {
+	if err := os.MkdirAll(s.path("state"), 0o700); err != nil {
 		return err
 	}
-	if w.log, err = os.Create(w.path("log")); err != nil {
+	if s.log, err = os.Create(s.path("log")); err != nil {
 		return err
 	}
-	if w.options.Upgrades {
-		if w.launcher, err = newLauncher(w.rng.Intn(2) == 0); err != nil {
+	if s.options.Upgrades {
+		if s.launcher, err = newLauncher(s.rng.Intn(2) == 0); err != nil {
 			return err
 		}
-		w.listen = w.launcher.addr
-	} else if w.listen, err = fleet.FreePort(); err != nil {
+		s.listen = s.launcher.addr
+	} else if s.listen, err = fleet.FreePort(); err != nil {
 		return err
 	}
-	for dest := range int64(w.destinations()) {
-		n := 1 + w.rng.Intn(3)
-		if w.options.Destinations > 0 {
-			n = 2
+	for dest := range int64(s.destinations()) {
+		count := 1 + s.rng.Intn(3)
+		if s.options.Destinations > 0 {
+			count = 2
 		}
-		for range n {
-			if err := w.add(dest + 1); err != nil {
+		for range count {
+			if err := s.addEndpoint(dest + 1); err != nil {
 				return err
 			}
 		}
 	}
-	addr, err := w.discovery.agent()
+	addr, err := s.discovery.startAgent()
 	if err != nil {
 		return err
 	}
-	if err := w.configure(addr); err != nil {
+	if err := s.configure(addr); err != nil {
 		return err
 	}
-	return w.start()
+	return s.start()
 }
 
-// crew is how many clients hand messages in.
-const crew = 8
+// clientCount is the number of clients that submit messages.
+const clientCount = 8
 
-// play lets clients come and troubles happen, and then waits for all ends in quiet.
-func (w *world) play() error {
-	ctx, cancel := context.WithTimeout(context.Background(), w.options.Length)
+// runScenario runs clients and injects faults, and then waits without faults for all final answers.
+func (s *simulation) runScenario() error {
+	ctx, cancel := context.WithTimeout(context.Background(), s.options.Length)
 	defer cancel()
-	var all sync.WaitGroup
-	for n := range crew {
-		c := &client{world: w, number: n, rng: rand.New(rand.NewSource(w.options.Seed*100 + int64(n)))}
-		all.Add(1)
-		go func() { defer all.Done(); c.run(ctx) }()
+	var pending sync.WaitGroup
+	for i := range clientCount {
+		submitter := &client{simulation: s, number: i, rng: rand.New(rand.NewSource(s.options.Seed*100 + int64(i)))}
+		pending.Add(1)
+		go func() { defer pending.Done(); submitter.run(ctx) }()
 	}
-	for range w.openClients() {
-		all.Add(1)
-		go func() { defer all.Done(); w.pingOpenConnection(ctx) }()
+	for range s.pingClientCount() {
+		pending.Add(1)
+		go func() { defer pending.Done(); s.pingOpenConnection(ctx) }()
 	}
 	for ctx.Err() == nil {
-		if w.crashed() {
+		if s.crashed() {
 			break
 		}
-		for n := 1 + w.rng.Intn(3); n > 0; n-- { // several in one window
-			if err := w.trouble(); err != nil {
+		for i := 1 + s.rng.Intn(3); i > 0; i-- { // several faults at once
+			if err := s.injectFault(); err != nil {
 				return err
 			}
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(time.Duration(100+w.rng.Intn(900)) * time.Millisecond):
+		case <-time.After(time.Duration(100+s.rng.Intn(900)) * time.Millisecond):
 		}
 	}
 	cancel()
-	all.Wait()
-	w.calm()
-	// All deadlines, a restart's grace and the slack are over by then.
+	pending.Wait()
+	s.endFaults()
+	// Long enough for all deadlines, the grace period of a restart and the slack.
 	lastDeadline := time.Duration(classes[len(classes)-1].DeadlineUs) * time.Microsecond
 	time.Sleep(lastDeadline + finalAnswerSlack + 2*slack + restartGrace)
-	w.crashed()
+	s.crashed()
 	return nil
 }
 
-// calm ends all troubles.
-func (w *world) calm() {
-	w.act("calm")
-	_ = os.Remove(w.diskFails())
-	_ = os.Remove(w.diskFails() + "-to-cut")
-	w.discovery.setDown(false)
-	for _, e := range w.endpoints {
-		e.setBehavior(answering)
+// endFaults ends all faults.
+func (s *simulation) endFaults() {
+	s.recordAction("calm")
+	_ = os.Remove(s.diskFaultFile())
+	_ = os.Remove(s.diskFaultFile() + "-to-cut")
+	s.discovery.setDown(false)
+	for _, endpoint := range s.endpoints {
+		endpoint.setBehavior(normal)
 	}
 }
 
-// trouble is one, drawn.
-func (w *world) trouble() error {
-	if w.options.Upgrades && w.rng.Intn(3) == 0 {
-		return w.upgradeTrouble()
+// injectFault injects a random fault.
+func (s *simulation) injectFault() error {
+	if s.options.Upgrades && s.rng.Intn(3) == 0 {
+		return s.injectUpgradeFault()
 	}
-	e := w.endpoints[w.rng.Intn(len(w.endpoints))]
-	switch n := w.rng.Intn(20); n {
+	chosen := s.endpoints[s.rng.Intn(len(s.endpoints))]
+	switch kind := s.rng.Intn(20); kind {
 	case 0, 1, 2, 3, 4, 5:
-		m := behavior(w.rng.Intn(int(behaviors)))
-		w.act("%s of %d: mood %d", e.name, e.dest, m)
-		e.setBehavior(m)
-		time.AfterFunc(time.Duration(500+w.rng.Intn(4000))*time.Millisecond, func() { e.setBehavior(answering) })
+		mode := behavior(s.rng.Intn(int(behaviorCount)))
+		s.recordAction("%s of %d: mood %d", chosen.name, chosen.dest, mode)
+		chosen.setBehavior(mode)
+		time.AfterFunc(time.Duration(500+s.rng.Intn(4000))*time.Millisecond, func() { chosen.setBehavior(normal) })
 	case 6:
-		m := behavior(w.rng.Intn(int(behaviors)))
-		w.act("all of %d: mood %d", e.dest, m)
-		for _, o := range w.endpoints {
-			if o.dest == e.dest {
-				o.setBehavior(m)
-				time.AfterFunc(time.Duration(1000+w.rng.Intn(5000))*time.Millisecond, func() { o.setBehavior(answering) })
+		mode := behavior(s.rng.Intn(int(behaviorCount)))
+		s.recordAction("all of %d: mood %d", chosen.dest, mode)
+		for _, other := range s.endpoints {
+			if other.dest == chosen.dest {
+				other.setBehavior(mode)
+				time.AfterFunc(time.Duration(1000+s.rng.Intn(5000))*time.Millisecond, func() { other.setBehavior(normal) })
 			}
 		}
 	case 7:
-		w.act("connections to %s are reset", e.name)
-		e.dropAll()
+		s.recordAction("connections to %s are reset", chosen.name)
+		chosen.resetConnections()
 	case 8, 9:
-		return w.replace()
+		return s.replaceEndpoint()
 	case 10:
-		d := time.Duration(300+w.rng.Intn(5000)*(1+w.rng.Intn(3))) * time.Millisecond
-		w.act("discovery is down for %v", d)
-		w.discovery.setDown(true)
-		time.AfterFunc(d, func() { w.discovery.setDown(false) })
+		duration := time.Duration(300+s.rng.Intn(5000)*(1+s.rng.Intn(3))) * time.Millisecond
+		s.recordAction("discovery is down for %v", duration)
+		s.discovery.setDown(true)
+		time.AfterFunc(duration, func() { s.discovery.setDown(false) })
 	case 11:
-		w.act("open watches fall silent")
-		w.discovery.fallSilent()
+		s.recordAction("open watches fall silent")
+		s.discovery.makeWatchesUnresponsive()
 	case 12, 13:
-		return w.reload()
+		return s.reload()
 	case 14, 15:
-		w.diskTrouble()
+		s.diskFault()
 	case 16:
-		w.crowd()
+		s.connectionFlood()
 	case 17:
-		return w.kill()
+		return s.kill()
 	case 18:
-		return w.restart()
+		return s.gracefulRestart()
 	default:
-		w.wall = []time.Duration{0, time.Hour, -time.Hour, 3 * time.Second, -3 * time.Second}[w.rng.Intn(5)]
-		w.act("the wall clock of the next process is off by %v", w.wall)
+		s.wallStep = []time.Duration{0, time.Hour, -time.Hour, 3 * time.Second, -3 * time.Second}[s.rng.Intn(5)]
+		s.recordAction("the wall clock of the next process is off by %v", s.wallStep)
 	}
 	return nil
 }
 
-// String is a line for the list of seeds.
+// String returns a one-line summary.
 func (r Report) String() string {
 	verdict := "passed"
-	if len(r.Broken) > 0 {
+	if len(r.Violations) > 0 {
 		verdict = "FAILED"
 	}
-	return fmt.Sprintf("seed %d: %s, %d acts, %v", r.Seed, verdict, len(r.Acts), r.Counts)
+	return fmt.Sprintf("seed %d: %s, %d acts, %v", r.Seed, verdict, len(r.Actions), r.Counts)
 }
--- a/internal/testing/soak/upgrade.go
+++ b/internal/testing/soak/upgrade.go
@@ -19,35 +19,35 @@
 	"golang.org/x/sys/unix"
 )
 
-// launcher holds the clients' socket, which all processes inherit.
+// launcher owns the listening socket for clients, which all processes inherit.
 type launcher struct {
 	addr    string
 	socket  *net.TCPListener
 	file    *os.File
-	control string // the second address of the last process
+	control string // control address of the latest process
 }
 
-// inheritedFD is the clients' socket in a process.
+// inheritedFD is the descriptor of the inherited socket in a process.
 const inheritedFD = 3
 
-// newLauncher listens. clears: each start returns the socket to blocking mode, as os/exec does with a file from
-// net.TCPListener.File.
-func newLauncher(clears bool) (*launcher, error) {
+// newLauncher opens the socket. clearNonblock: each start of a process returns the socket to blocking mode, as os/exec
+// does with a file from net.TCPListener.File.
+func newLauncher(clearNonblock bool) (*launcher, error) {
 	socket, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return nil, err
 	}
-	l := &launcher{addr: socket.Addr().String(), socket: socket}
-	if l.file, err = socket.File(); err != nil || clears {
-		return l, err
+	created := &launcher{addr: socket.Addr().String(), socket: socket}
+	if created.file, err = socket.File(); err != nil || clearNonblock {
+		return created, err
 	}
-	plain, err := unix.FcntlInt(l.file.Fd(), unix.F_DUPFD_CLOEXEC, inheritedFD)
+	fd, err := unix.FcntlInt(created.file.Fd(), unix.F_DUPFD_CLOEXEC, inheritedFD)
 	if err != nil {
-		return l, err
+		return created, err
 	}
-	_ = l.file.Close()
-	l.file = os.NewFile(uintptr(plain), "clients")
-	return l, unix.SetNonblock(plain, true)
+	_ = created.file.Close()
+	created.file = os.NewFile(uintptr(fd), "clients")
+	return created, unix.SetNonblock(fd, true)
 }
 
 func (l *launcher) close() {
@@ -55,7 +55,7 @@
 	_ = l.socket.Close()
 }
 
-// env lets a process take the socket, and gives it a second address.
+// env returns the environment that makes a process use the socket, with a new control address.
 func (l *launcher) env() (env []string, err error) {
 	if l.control, err = fleet.FreePort(); err != nil {
 		return nil, err
@@ -65,16 +65,16 @@
 
 // clearNonblock returns the socket to blocking mode.
 func (l *launcher) clearNonblock() error {
-	raw, err := l.socket.SyscallConn()
+	conn, err := l.socket.SyscallConn()
 	if err != nil {
 		return err
 	}
-	var failed error
-	err = raw.Control(func(fd uintptr) { failed = unix.SetNonblock(int(fd), false) })
-	return errors.Join(err, failed)
+	var setErr error
+	err = conn.Control(func(fd uintptr) { setErr = unix.SetNonblock(int(fd), false) })
+	return errors.Join(err, setErr)
 }
 
-// ready tells whether the last process serves.
+// ready reports whether the latest process is ready to serve.
 func (l *launcher) ready() bool {
 	client := http.Client{Timeout: time.Second}
 	resp, err := client.Get("http://" + l.control + "/api/ready")
@@ -85,66 +85,66 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// upgradeTrouble is one of the troubles of a day with upgrades.
-func (w *world) upgradeTrouble() error {
-	switch w.rng.Intn(6) {
+// injectUpgradeFault injects a random fault of the runs with upgrades.
+func (s *simulation) injectUpgradeFault() error {
+	switch s.rng.Intn(6) {
 	case 0, 1, 2:
-		return w.upgrade()
+		return s.upgrade()
 	case 3:
-		w.act("the socket is made a blocking one")
-		return w.launcher.clearNonblock()
+		s.recordAction("the socket is made a blocking one")
+		return s.launcher.clearNonblock()
 	case 4:
-		n := 20 + w.rng.Intn(80)
-		w.act("%d clients that never end a command", n)
-		w.crowdOf(n, w.dribble)
+		count := 20 + s.rng.Intn(80)
+		s.recordAction("%d clients that never end a command", count)
+		s.runBadClients(count, s.slowClient)
 	default:
-		w.act("SIGHUP in series")
-		w.discovery.recordReload()
+		s.recordAction("SIGHUP in series")
+		s.discovery.recordReload()
 		for range 5 {
-			_ = w.proc.Signal(syscall.SIGHUP)
+			_ = s.proc.Signal(syscall.SIGHUP)
 		}
 	}
 	return nil
 }
 
-// upgrade starts a new process beside the one that serves and ends that, by signals in series in some, and by SIGKILL
-// at the earliest.
-func (w *world) upgrade() error {
-	form := w.rng.Intn(4)
-	w.act("upgrade, form %d", form)
-	ready := w.discovery.recordUpgrade()
-	old := w.proc
-	next, err := w.launch(w.drawFaults())
+// upgrade starts a successor beside the serving process, waits until it is ready and stops the predecessor. Random
+// forms add more signals or return the inherited socket to blocking mode.
+func (s *simulation) upgrade() error {
+	form := s.rng.Intn(4)
+	s.recordAction("upgrade, form %d", form)
+	ready := s.discovery.recordUpgrade()
+	predecessor := s.proc
+	successor, err := s.launch(s.drawFaults())
 	if err != nil {
 		return err
 	}
 	if form == 1 {
-		if err := w.launcher.clearNonblock(); err != nil {
+		if err := s.launcher.clearNonblock(); err != nil {
 			return err
 		}
 	}
-	began := time.Now()
-	for !w.launcher.ready() { // the old process may have left by then
-		if ended, err := old.Ended(); ended && err != nil {
-			w.judge.Violate("crash: the old process of an upgrade ended by itself: %v\n%s", err, w.tail())
+	startTime := time.Now()
+	for !s.launcher.ready() { // the predecessor may have ended by then
+		if ended, err := predecessor.Ended(); ended && err != nil {
+			s.judge.Violate("crash: the old process of an upgrade ended by itself: %v\n%s", err, s.tail())
 		}
-		if ended, err := next.Ended(); ended || time.Since(began) > upgradeReadyDue {
+		if ended, err := successor.Ended(); ended || time.Since(startTime) > upgradeReadyTimeout {
 			ready()
-			w.judge.Violate("ready: the new process of an upgrade is not ready after %v: %v", time.Since(began), err)
-			next.Kill()
+			s.judge.Violate("ready: the new process of an upgrade is not ready after %v: %v", time.Since(startTime), err)
+			successor.Kill()
 			return nil
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	ready()
-	w.act("the new process is ready after %v", time.Since(began).Round(time.Millisecond))
-	w.proc = next
-	w.endPredecessor(old, form)
+	s.recordAction("the new process is ready after %v", time.Since(startTime).Round(time.Millisecond))
+	s.proc = successor
+	s.endPredecessor(predecessor, form)
 	return nil
 }
 
-// endPredecessor sends SIGTERM, and SIGKILL at the page's earliest.
-func (w *world) endPredecessor(old *fleet.Proc, form int) {
+// endPredecessor sends SIGTERM, and SIGKILL after termToKill, the shortest time that the protocol allows.
+func (s *simulation) endPredecessor(predecessor *fleet.Proc, form int) {
 	signals := []syscall.Signal{syscall.SIGTERM}
 	switch form {
 	case 2:
@@ -152,120 +152,120 @@
 	case 3:
 		signals = []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM}
 	}
-	for _, s := range signals {
-		_ = old.Signal(s)
+	for _, signal := range signals {
+		_ = predecessor.Signal(signal)
 	}
 	select {
-	case <-old.Done():
+	case <-predecessor.Done():
 	case <-time.After(termToKill):
-		w.act("the old process is still there at the kill")
-		w.judge.recordKill()
+		s.recordAction("the old process is still there at the kill")
+		s.judge.recordKill()
 	}
-	old.Kill()
+	predecessor.Kill()
 }
 
-// openClients is how many clients only ask whether the sender is there.
-func (w *world) openClients() int {
-	if w.options.Upgrades {
+// pingClientCount returns the number of clients that only send PING.
+func (s *simulation) pingClientCount() int {
+	if s.options.Upgrades {
 		return 4
 	}
 	return 0
 }
 
-// pingGap is between two requests of an open connection.
-const pingGap = 30 * time.Millisecond
+// pingInterval is the interval between two requests on an open connection.
+const pingInterval = 30 * time.Millisecond
 
 // pingOpenConnection sends PING on a connection that it keeps until the sender closes it, and then on another one. A
-// reply that does not come is a broken rule: the connection is open, and nothing is asked but that.
-func (w *world) pingOpenConnection(ctx context.Context) {
+// missing reply is a violation, as the connection is open and has no other request.
+func (s *simulation) pingOpenConnection(ctx context.Context) {
 	for ctx.Err() == nil {
-		conn, err := net.DialTimeout("tcp", w.listen, answerWait)
+		conn, err := net.DialTimeout("tcp", s.listen, replyTimeout)
 		if err != nil {
 			continue
 		}
-		in := bufio.NewReader(conn)
-		for ctx.Err() == nil && w.ping(conn, in) {
-			time.Sleep(pingGap)
+		reader := bufio.NewReader(conn)
+		for ctx.Err() == nil && s.ping(conn, reader) {
+			time.Sleep(pingInterval)
 		}
 		_ = conn.Close()
 	}
 }
 
-// ping sends one request; false: the connection has ended.
-func (w *world) ping(conn net.Conn, in *bufio.Reader) bool {
-	began := time.Now()
-	_ = conn.SetDeadline(began.Add(badClientDue))
-	_, _ = io.WriteString(conn, command("PING"))
-	line, err := in.ReadString('\n')
-	w.judge.mu.Lock()
-	defer w.judge.mu.Unlock()
+// ping sends one request. It returns false if the connection must be replaced.
+func (s *simulation) ping(conn net.Conn, reader *bufio.Reader) bool {
+	startTime := time.Now()
+	_ = conn.SetDeadline(startTime.Add(badClientTimeout))
+	_, _ = io.WriteString(conn, encodeCommand("PING"))
+	line, err := reader.ReadString('\n')
+	s.judge.mu.Lock()
+	defer s.judge.mu.Unlock()
 	if err == nil {
-		w.judge.counts["pings answered"]++
+		s.judge.counts["pings answered"]++
 		return line == pong
 	}
-	isDown := w.judge.down(time.Now(), badClientDue) || w.judge.down(began, badClientDue)
-	if errors.Is(err, os.ErrDeadlineExceeded) && !isDown {
-		w.judge.violate("silence: an open connection got no reply for %v", time.Since(began))
+	restarting := s.judge.down(time.Now(), badClientTimeout) || s.judge.down(startTime, badClientTimeout)
+	if errors.Is(err, os.ErrDeadlineExceeded) && !restarting {
+		s.judge.violate("silence: an open connection got no reply for %v", time.Since(startTime))
 	}
 	return false
 }
 
-// crowdOf runs clients that misbehave, in the background.
-func (w *world) crowdOf(count int, client func()) {
-	w.judge.mu.Lock()
-	w.judge.floodUntil = time.Now().Add(time.Duration(count)*2*time.Millisecond + badClientDue)
-	w.judge.mu.Unlock()
-	var all sync.WaitGroup
+// runBadClients starts count misbehaving clients in the background.
+func (s *simulation) runBadClients(count int, client func()) {
+	s.judge.mu.Lock()
+	s.judge.floodUntil = time.Now().Add(time.Duration(count)*2*time.Millisecond + badClientTimeout)
+	s.judge.mu.Unlock()
+	var pending sync.WaitGroup
 	for i := range count {
-		all.Add(1)
+		pending.Add(1)
 		go func() {
-			defer all.Done()
+			defer pending.Done()
 			time.Sleep(time.Duration(i) * 2 * time.Millisecond)
 			client()
 		}()
 	}
 }
 
-// dribbleGap is between two bytes of a client that never ends its command.
-const dribbleGap = time.Millisecond
+// slowClientInterval is the interval between two bytes of a slowClient.
+const slowClientInterval = time.Millisecond
 
-// dribble is a client that never ends its command, and sends a byte now and then: the sender must answer an error or
-// close in the time that it has for other bad clients.
-func (w *world) dribble() {
-	began := time.Now()
-	conn, err := net.DialTimeout("tcp", w.listen, answerWait)
+// slowClient sends a command byte by byte and never completes it: the sender must reply with an error or close the
+// connection within badClientTimeout, as for other bad clients.
+func (s *simulation) slowClient() {
+	startTime := time.Now()
+	conn, err := net.DialTimeout("tcp", s.listen, replyTimeout)
 	if err != nil {
 		return
 	}
 	defer conn.Close()
 	_, _ = io.WriteString(conn, "*1\r\n$60000\r\n")
-	closed := make(chan string, 1)
+	firstLine := make(chan string, 1)
 	go func() {
 		line, _ := bufio.NewReader(conn).ReadString('\n')
-		closed <- line
+		firstLine <- line
 	}()
 	for {
 		select {
-		case line := <-closed:
+		case line := <-firstLine:
 			if strings.HasPrefix(line, "+") {
-				w.judge.Violate("bad client: one that never ended its command was taken on")
+				s.judge.Violate("bad client: one that never ended its command was taken on")
 			}
-			w.judge.count("dribblers closed", 1)
+			s.judge.count("dribblers closed", 1)
 			return
-		case <-time.After(dribbleGap):
+		case <-time.After(slowClientInterval):
 			_, _ = io.WriteString(conn, "x")
 		}
-		if time.Since(began) > badClientDue+slack {
-			w.judgeOpenDribbler(began)
+		if time.Since(startTime) > badClientTimeout+slack {
+			s.checkOpenSlowClient(startTime)
 			return
 		}
 	}
 }
 
-func (w *world) judgeOpenDribbler(began time.Time) {
-	w.judge.mu.Lock()
-	defer w.judge.mu.Unlock()
-	if !w.judge.down(time.Now(), badClientDue) && !w.judge.down(began, badClientDue) {
-		w.judge.violate("bad client: one that never ends its command is still open after %v", time.Since(began))
+func (s *simulation) checkOpenSlowClient(startTime time.Time) {
+	s.judge.mu.Lock()
+	defer s.judge.mu.Unlock()
+	if !s.judge.down(time.Now(), badClientTimeout) && !s.judge.down(startTime, badClientTimeout) {
+		s.judge.violate("bad client: one that never ends its command is still open after %v", time.Since(startTime))
 	}
 }
--- a/internal/testing/soak/world.go
+++ b/internal/testing/soak/world.go
@@ -24,68 +24,68 @@
 	"brackendale/scheduler"
 )
 
-// Options is one run.
+// Options are the settings of one run.
 type Options struct {
 	Seed    int64
-	Program string   // the sender's
-	Args    []string // that let it serve
+	Program string   // path of the sender's executable
+	Args    []string // arguments with which it serves
 	Env     []string
-	Dir     string // for its folder, its configuration and its log
+	Dir     string // for its state folder, configuration and log
 	Length  time.Duration
 
-	// Upgrades: a launcher holds the clients' socket, which the processes inherit, and among the troubles are upgrades in
-	// series, with the socket made a blocking one in some, and crowds of clients that never end a command.
+	// Upgrades: a launcher owns the listening socket, which the processes inherit. The faults include upgrades in quick
+	// succession, a socket that is returned to blocking mode, and many clients that never complete a command.
 	Upgrades bool
 
-	// A fleet of another size: destinations with two endpoints each, and senders that share them, in place of those drawn.
+	// The number of destinations, with two endpoints each, and of senders that share them, in place of the defaults.
 	Destinations int
 	Senders      int
 }
 
 // Report is the result of one run.
 type Report struct {
-	Seed   int64
-	Acts   []string // what was done, and when
-	Counts map[string]int
-	Broken []string
+	Seed       int64
+	Actions    []string // injected faults and other actions, with their times
+	Counts     map[string]int
+	Violations []string
 }
 
-// world is one run while it is played.
-type world struct {
-	options   Options
-	judge     *Judge
-	discovery *discovery
-	rng       *rand.Rand // the director's
-	listen    string
-	endpoints []*endpoint
-	named     int
-	proc      *fleet.Proc
-	log       *os.File
-	acts      []string
-	expected  bool // the process is being ended
-	sockets   int
-	wall      time.Duration // of the processes that start from now on
-	errno     bool          // and some of their socket calls fail
-	launcher  *launcher     // nil: each process listens by itself
+// simulation is the state of one run.
+type simulation struct {
+	options       Options
+	judge         *Judge
+	discovery     *discovery
+	rng           *rand.Rand // for the choice of faults
+	listen        string
+	endpoints     []*endpoint
+	endpointCount int
+	proc          *fleet.Proc
+	log           *os.File
+	actions       []string
+	expected      bool // the end of the process is expected
+	sockets       int
+	wallStep      time.Duration // wall clock offset of processes started from now on
+	socketFaults  bool          // some socket calls of the processes fail
+	launcher      *launcher     // nil: each process opens its own listening socket
 }
 
-// The deployment: one class of each effect, three destinations with one to three endpoints, calls
+// The deployment has one class of each idempotency, three destinations with one to three endpoints each, and calls
 // of up to two messages.
 const (
-	grace  = 2 * time.Second
-	window = 4 * time.Second
+	drainGrace = 2 * time.Second
+	keyWindow  = 4 * time.Second
 )
 
 var classes = []scheduler.Class{
 	{Name: "safe", Idempotency: "repeatable", LatencyObjectiveUs: 1.5e6, DeadlineUs: 5e6, PriorityWeight: 1},
 	{
 		Name: "key", Idempotency: "by_key", KeyScope: "all", LatencyObjectiveUs: 2e6, DeadlineUs: 8e6,
-		KeyWindowUs: window.Microseconds(), PriorityWeight: 2,
+		KeyWindowUs: keyWindow.Microseconds(), PriorityWeight: 2,
 	},
 	{Name: "charge", Idempotency: "once", LatencyObjectiveUs: 2e6, DeadlineUs: 9e6, PriorityWeight: 4},
 }
 
-// wireSettings is the settings of the sender under test in the form of the configuration file.
+// wireSettings returns the settings of the sender under test in the form of the configuration file.
 func wireSettings(senders int) settings.Settings {
 	s := schedulerSettings(senders)
 	return settings.Wire(&s)
@@ -101,81 +101,81 @@
 	s.Limits.ConnectTimeoutUs, s.Limits.KeepAliveUs, s.Limits.StreamsPerConnection = 1500e3, 5e6, 1
 	s.Rules.OverloadWindowUs, s.Rules.SlowStartInitialShare, s.Rules.OverloadMultiple, s.Rules.SlowStartUs = 2e6,
 		0.2, 2, 4e6
-	s.Rules.DrainWithinUs, s.Rules.AnswerMarginUs = grace.Microseconds(), 20e3
+	s.Rules.DrainWithinUs, s.Rules.AnswerMarginUs = drainGrace.Microseconds(), 20e3
 	return s
 }
 
-// message draws one for a client.
-func (w *world) message(id string, rng *rand.Rand) *message {
-	l := classes[rng.Intn(len(classes))]
-	d := time.Duration(l.DeadlineUs) * time.Microsecond
-	if rng.Intn(4) == 0 { // little time left
-		d = time.Duration(30+rng.Intn(1500)) * time.Millisecond
+// newMessage draws a message for a client.
+func (s *simulation) newMessage(id string, rng *rand.Rand) *message {
+	class := classes[rng.Intn(len(classes))]
+	deadline := time.Duration(class.DeadlineUs) * time.Microsecond
+	if rng.Intn(4) == 0 { // a short deadline
+		deadline = time.Duration(30+rng.Intn(1500)) * time.Millisecond
 	}
-	m := &message{
-		id: fmt.Sprintf("%x-%s", w.options.Seed, id), class: l.Name,
-		dest: int64(1 + rng.Intn(w.destinations())), deadline: time.Now().Add(d),
+	msg := &message{
+		id: fmt.Sprintf("%x-%s", s.options.Seed, id), class: class.Name,
+		dest: int64(1 + rng.Intn(s.destinations())), deadline: time.Now().Add(deadline),
 	}
-	m.body = fmt.Sprintf("body of %s\r\n", m.id)
-	if l.Idempotency == scheduler.IdempotentByKey {
-		m.key = "k" + m.id
+	msg.body = fmt.Sprintf("body of %s\r\n", msg.id)
+	if class.Idempotency == scheduler.IdempotentByKey {
+		msg.key = "k" + msg.id
 	}
-	return m
+	return msg
 }
 
-// usualDestinations is how many there are on an ordinary day.
-const usualDestinations = 3
+// defaultDestinations is the number of destinations if Options does not set it.
+const defaultDestinations = 3
 
-func (w *world) destinations() int { return cmp.Or(w.options.Destinations, usualDestinations) }
+func (s *simulation) destinations() int { return cmp.Or(s.options.Destinations, defaultDestinations) }
 
-// act records what the director does.
-func (w *world) act(format string, args ...any) {
-	w.acts = append(w.acts, fmt.Sprintf("%.3f ", time.Since(w.judge.began).Seconds())+fmt.Sprintf(format, args...))
+// recordAction records an injected fault or another action for the report.
+func (s *simulation) recordAction(format string, args ...any) {
+	s.actions = append(s.actions, fmt.Sprintf("%.3f ", time.Since(s.judge.start).Seconds())+fmt.Sprintf(format, args...))
 }
 
-func (w *world) path(name string) string { return filepath.Join(w.options.Dir, name) }
+func (s *simulation) path(name string) string { return filepath.Join(s.options.Dir, name) }
 
-// diskFails is the path of a file that exists while writes to the journal fail.
-func (w *world) diskFails() string { return w.path("disk-fails") }
+// diskFaultFile returns the path of a file that exists while writes to the journal fail.
+func (s *simulation) diskFaultFile() string { return s.path("disk-fails") }
 
-// configure replaces the configuration's file.
-func (w *world) configure(addr string) error {
+// configure replaces the configuration file; addr is the discovery agent's.
+func (s *simulation) configure(addr string) error {
 	raw, err := json.Marshal(map[string]any{
-		"name": "n1", "listen": w.listen, "discovery": addr, "seed": fmt.Sprintf("%x", w.rng.Int63()),
-		"limits": config.Limits{Cores: 1, MemoryMB: 64, Sockets: w.sockets, DiskMB: 1}, "known": w.discovery.known(),
-		"settings": wireSettings(max(1, w.options.Senders)),
+		"name": "n1", "listen": s.listen, "discovery": addr, "seed": fmt.Sprintf("%x", s.rng.Int63()),
+		"limits": config.Limits{Cores: 1, MemoryMB: 64, Sockets: s.sockets, DiskMB: 1}, "known": s.discovery.currentList(),
+		"settings": wireSettings(max(1, s.options.Senders)),
 	})
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(w.path("next.json"), raw, 0o600); err != nil {
+	if err := os.WriteFile(s.path("next.json"), raw, 0o600); err != nil {
 		return err
 	}
-	return os.Rename(w.path("next.json"), w.path("config.json"))
+	return os.Rename(s.path("next.json"), s.path("config.json"))
 }
 
 // launch starts a process.
-func (w *world) launch(injected faults.Faults) (*fleet.Proc, error) {
-	env := []string{"LB_CONFIG=" + w.path("config.json"), "LB_STATE=" + w.path("state"), injected.Env()}
-	env = append(env, w.options.Env...)
-	if w.launcher == nil {
-		return fleet.Start(w.options.Program, w.options.Args, env, w.log)
+func (s *simulation) launch(injected faults.Faults) (*fleet.Proc, error) {
+	env := []string{"LB_CONFIG=" + s.path("config.json"), "LB_STATE=" + s.path("state"), injected.Env()}
+	env = append(env, s.options.Env...)
+	if s.launcher == nil {
+		return fleet.Start(s.options.Program, s.options.Args, env, s.log)
 	}
-	own, err := w.launcher.env()
+	own, err := s.launcher.env()
 	if err != nil {
 		return nil, err
 	}
-	return fleet.Start(w.options.Program, w.options.Args, append(env, own...), w.log, w.launcher.file)
+	return fleet.Start(s.options.Program, s.options.Args, append(env, own...), s.log, s.launcher.file)
 }
 
-// drawFaults are those of the next process.
-func (w *world) drawFaults() faults.Faults {
-	f := faults.Faults{WallStep: w.wall, Folder: []faults.Folder{
-		{Call: statefs.CallWrite, Name: "spool", Errno: syscall.EIO, After: w.rng.Intn(300), While: w.diskFails()},
-		{Call: statefs.CallTruncate, Name: "spool", Errno: syscall.EIO, While: w.diskFails() + "-to-cut"},
-		{Call: statefs.CallWrite, Name: "memory.new", Errno: syscall.ENOSPC, While: w.diskFails()},
+// drawFaults draws the system call faults of the next process.
+func (s *simulation) drawFaults() faults.Faults {
+	drawn := faults.Faults{WallStep: s.wallStep, Folder: []faults.Folder{
+		{Call: statefs.CallWrite, Name: "spool", Errno: syscall.EIO, After: s.rng.Intn(300), While: s.diskFaultFile()},
+		{Call: statefs.CallTruncate, Name: "spool", Errno: syscall.EIO, While: s.diskFaultFile() + "-to-cut"},
+		{Call: statefs.CallWrite, Name: "memory.new", Errno: syscall.ENOSPC, While: s.diskFaultFile()},
 	}}
-	if w.errno {
+	if s.socketFaults {
 		for i, call := range []reactor.SocketCall{
 			reactor.CallConnect, reactor.CallAccept, reactor.CallRead,
 			reactor.CallWrite, reactor.CallPoll,
@@ -190,51 +190,51 @@
 				reactor.CallWrite:  {0, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, 0},
 				reactor.CallPoll:   {syscall.ENOMEM, syscall.ENOSPC},
 			}[call]
-			after := w.rng.Intn(200)
+			after := s.rng.Intn(200)
 			if call == reactor.CallRead {
-				after = 1 << 20 // what has come is read before the error
+				after = 1 << 20 // data that has arrived is read before the error
 			}
-			f.Sockets = append(f.Sockets, faults.Socket{
-				Call: call, Errno: errnos[w.rng.Intn(len(errnos))], After: after,
-				First: 5 + w.rng.Intn(20), Count: 1 + w.rng.Intn(3), Every: 23 + 10*i + w.rng.Intn(40),
+			drawn.Sockets = append(drawn.Sockets, faults.Socket{
+				Call: call, Errno: errnos[s.rng.Intn(len(errnos))], After: after,
+				First: 5 + s.rng.Intn(20), Count: 1 + s.rng.Intn(3), Every: 23 + 10*i + s.rng.Intn(40),
 			})
 		}
 	}
-	return f
+	return drawn
 }
 
-// start starts a process and waits until it answers PING, in the background.
-func (w *world) start() error {
-	f := w.drawFaults()
-	p, err := w.launch(f)
+// start starts a process and waits until it replies to PING.
+func (s *simulation) start() error {
+	injected := s.drawFaults()
+	process, err := s.launch(injected)
 	if err != nil {
 		return err
 	}
-	w.proc, w.expected = p, false
-	w.judge.recordStart()
-	began := time.Now()
-	for !w.pings() {
-		if time.Since(began) > readyDue {
-			w.judge.Violate("ready: not within %v", readyDue)
+	s.proc, s.expected = process, false
+	s.judge.recordStart()
+	startTime := time.Now()
+	for !s.repliesToPing() {
+		if time.Since(startTime) > readyTimeout {
+			s.judge.Violate("ready: not within %v", readyTimeout)
 			return nil
 		}
-		if w.crashed() {
+		if s.crashed() {
 			return nil
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	w.judge.recordReady()
-	w.act("ready after %v", time.Since(began).Round(time.Millisecond))
+	s.judge.recordReady()
+	s.recordAction("ready after %v", time.Since(startTime).Round(time.Millisecond))
 	return nil
 }
 
-// crashed tells whether the process has ended with nobody asking for it, and books it.
-func (w *world) crashed() bool {
+// crashed reports whether the process has ended, and records a violation if that was not expected.
+func (s *simulation) crashed() bool {
 	select {
-	case <-w.proc.Done():
-		if !w.expected {
-			w.expected = true
-			w.judge.Violate("crash: the process ended by itself\n%s", w.tail())
+	case <-s.proc.Done():
+		if !s.expected {
+			s.expected = true
+			s.judge.Violate("crash: the process ended by itself\n%s", s.tail())
 		}
 		return true
 	default:
@@ -242,146 +242,147 @@
 	}
 }
 
-// tail is the end of the log.
-func (w *world) tail() string {
-	raw, _ := os.ReadFile(w.log.Name())
+// tail returns the last lines of the log.
+func (s *simulation) tail() string {
+	raw, _ := os.ReadFile(s.log.Name())
 	lines := bytes.Split(raw, []byte("\n"))
 	return string(bytes.Join(lines[max(0, len(lines)-12):], []byte("\n")))
 }
 
-func (w *world) pings() bool {
-	c, err := net.DialTimeout("tcp", w.listen, 100*time.Millisecond)
+func (s *simulation) repliesToPing() bool {
+	conn, err := net.DialTimeout("tcp", s.listen, 100*time.Millisecond)
 	if err != nil {
 		return false
 	}
-	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(answerWait))
-	_, _ = io.WriteString(c, command("PING"))
-	line, _ := bufio.NewReader(c).ReadString('\n')
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(replyTimeout))
+	_, _ = io.WriteString(conn, encodeCommand("PING"))
+	line, _ := bufio.NewReader(conn).ReadString('\n')
 	return line == pong
 }
 
-// kill ends the process as a crash, and starts the next one.
-func (w *world) kill() error {
-	w.act("SIGKILL")
-	w.judge.recordStop()
-	w.expected = true
-	w.proc.Kill()
+// kill kills the process and starts the next one.
+func (s *simulation) kill() error {
+	s.recordAction("SIGKILL")
+	s.judge.recordStop()
+	s.expected = true
+	s.proc.Kill()
 	time.Sleep(killToStart)
-	return w.start()
+	return s.start()
 }
 
-// restart is a planned one: SIGTERM, twice in some, or behind a SIGHUP, and SIGKILL at the page's earliest.
-func (w *world) restart() error {
-	n := w.rng.Intn(4)
-	w.act("SIGTERM, form %d", n)
-	w.judge.recordStop()
-	w.expected = true
-	began := time.Now()
-	_ = w.proc.Signal(syscall.SIGTERM)
-	switch n {
+// gracefulRestart restarts the process with SIGTERM, in random forms with a second SIGTERM or a SIGHUP after it, and
+// SIGKILL after termToKill, the shortest time that the protocol allows.
+func (s *simulation) gracefulRestart() error {
+	form := s.rng.Intn(4)
+	s.recordAction("SIGTERM, form %d", form)
+	s.judge.recordStop()
+	s.expected = true
+	startTime := time.Now()
+	_ = s.proc.Signal(syscall.SIGTERM)
+	switch form {
 	case 1:
-		_ = w.proc.Signal(syscall.SIGTERM)
+		_ = s.proc.Signal(syscall.SIGTERM)
 	case 2:
-		_ = w.proc.Signal(syscall.SIGHUP)
+		_ = s.proc.Signal(syscall.SIGHUP)
 	case 3:
-		time.Sleep(time.Duration(w.rng.Intn(3000)) * time.Millisecond)
-		_ = w.proc.Signal(syscall.SIGTERM)
+		time.Sleep(time.Duration(s.rng.Intn(3000)) * time.Millisecond)
+		_ = s.proc.Signal(syscall.SIGTERM)
 	}
 	select {
-	case <-w.proc.Done():
-	case <-time.After(termToKill - time.Since(began)):
-		w.act("still there at the kill")
+	case <-s.proc.Done():
+	case <-time.After(termToKill - time.Since(startTime)):
+		s.recordAction("still there at the kill")
 	}
-	w.proc.Kill()
+	s.proc.Kill()
 	time.Sleep(killToStart)
-	return w.start()
+	return s.start()
 }
 
-// reload moves discovery, several times in a row in some.
-func (w *world) reload() error {
-	for n := 1 + w.rng.Intn(3); n > 0; n-- {
-		addr, err := w.discovery.agent()
+// reload moves the discovery agent to a new address and sends SIGHUP, up to three times in quick succession.
+func (s *simulation) reload() error {
+	for count := 1 + s.rng.Intn(3); count > 0; count-- {
+		addr, err := s.discovery.startAgent()
 		if err != nil {
 			return err
 		}
-		if err := w.configure(addr); err != nil {
+		if err := s.configure(addr); err != nil {
 			return err
 		}
-		w.discovery.recordReload()
-		w.act("SIGHUP")
-		_ = w.proc.Signal(syscall.SIGHUP)
-		time.Sleep(time.Duration(w.rng.Intn(300)) * time.Millisecond)
+		s.discovery.recordReload()
+		s.recordAction("SIGHUP")
+		_ = s.proc.Signal(syscall.SIGHUP)
+		time.Sleep(time.Duration(s.rng.Intn(300)) * time.Millisecond)
 	}
 	return nil
 }
 
-// add lists a new endpoint.
-func (w *world) add(dest int64) error {
-	w.named++
-	e, err := newEndpoint(fmt.Sprintf("e%d", w.named), dest, grace, w.judge,
-		rand.New(rand.NewSource(w.options.Seed*1000+int64(w.named))))
+// addEndpoint adds a new endpoint to the list.
+func (s *simulation) addEndpoint(dest int64) error {
+	s.endpointCount++
+	added, err := newEndpoint(fmt.Sprintf("e%d", s.endpointCount), dest, drainGrace, s.judge,
+		rand.New(rand.NewSource(s.options.Seed*1000+int64(s.endpointCount))))
 	if err != nil {
 		return err
 	}
-	w.endpoints = append(w.endpoints, e)
-	w.discovery.update(w.host(e, healthActive), e)
+	s.endpoints = append(s.endpoints, added)
+	s.discovery.update(s.hostEntry(added, healthActive), added)
 	return nil
 }
 
-func (w *world) host(e *endpoint, health string) config.Host {
+func (s *simulation) hostEntry(e *endpoint, health string) config.Host {
 	return config.Host{Host: e.name, Dial: e.dial(), Site: "a", Class: "k", Block: e.dest, Health: health, Share: 1}
 }
 
-// replace drains an endpoint, in some lets it go at once, and lists another in its place.
-func (w *world) replace() error {
-	i := w.rng.Intn(len(w.endpoints))
-	e := w.endpoints[i]
-	w.act("%s of %d is replaced", e.name, e.dest)
-	if err := w.add(e.dest); err != nil {
+// replaceEndpoint drains an endpoint, or removes it from the list at once, and adds another one in its place.
+func (s *simulation) replaceEndpoint() error {
+	i := s.rng.Intn(len(s.endpoints))
+	replaced := s.endpoints[i]
+	s.recordAction("%s of %d is replaced", replaced.name, replaced.dest)
+	if err := s.addEndpoint(replaced.dest); err != nil {
 		return err
 	}
-	w.endpoints = append(w.endpoints[:i:i], w.endpoints[i+1:]...)
-	health := []string{healthLeaving, healthLeft}[w.rng.Intn(2)]
-	w.discovery.update(w.host(e, health), e)
+	s.endpoints = append(s.endpoints[:i:i], s.endpoints[i+1:]...)
+	health := []string{healthLeaving, healthLeft}[s.rng.Intn(2)]
+	s.discovery.update(s.hostEntry(replaced, health), replaced)
 	time.AfterFunc(9*time.Second, func() {
 		if health == healthLeaving {
-			w.discovery.update(w.host(e, healthLeft), e)
+			s.discovery.update(s.hostEntry(replaced, healthLeft), replaced)
 		}
-		e.close()
+		replaced.close()
 	})
 	return nil
 }
 
-// crowd fills descriptors with clients that say nothing, and in some with bad ones.
-func (w *world) crowd() {
-	n := 50 + w.rng.Intn(2*w.sockets)
-	w.act("a crowd of %d", n)
-	w.judge.mu.Lock()
-	w.judge.floodUntil = time.Now().Add(time.Duration(n)*2*time.Millisecond + badClientDue)
-	w.judge.mu.Unlock()
-	var all sync.WaitGroup
-	for i := range n {
-		all.Add(1)
-		text := badText[w.rng.Intn(len(badText))]
+// connectionFlood opens many connections of bad clients, some of which send nothing, to exhaust descriptors.
+func (s *simulation) connectionFlood() {
+	count := 50 + s.rng.Intn(2*s.sockets)
+	s.recordAction("a crowd of %d", count)
+	s.judge.mu.Lock()
+	s.judge.floodUntil = time.Now().Add(time.Duration(count)*2*time.Millisecond + badClientTimeout)
+	s.judge.mu.Unlock()
+	var pending sync.WaitGroup
+	for i := range count {
+		pending.Add(1)
+		input := badInputs[s.rng.Intn(len(badInputs))]
 		go func() {
-			defer all.Done()
+			defer pending.Done()
 			time.Sleep(time.Duration(i) * 2 * time.Millisecond)
-			w.bad(text)
+			s.badClient(input)
 		}()
 	}
 }
 
-// diskTrouble lets writes to the folder fail for a while; in some the cut behind them too.
-func (w *world) diskTrouble() {
-	d := []time.Duration{20 * time.Millisecond, 300 * time.Millisecond, 3 * time.Second}[w.rng.Intn(3)]
-	names := []string{w.diskFails()}
-	if w.rng.Intn(2) == 0 {
-		names = append(names, w.diskFails()+"-to-cut")
+// diskFault makes writes to the state folder fail for a random time, and at random also the truncation after them.
+func (s *simulation) diskFault() {
+	duration := []time.Duration{20 * time.Millisecond, 300 * time.Millisecond, 3 * time.Second}[s.rng.Intn(3)]
+	names := []string{s.diskFaultFile()}
+	if s.rng.Intn(2) == 0 {
+		names = append(names, s.diskFaultFile()+"-to-cut")
 	}
-	w.act("the folder fails for %v, the cuts too: %v", d, len(names) == 2)
+	s.recordAction("the folder fails for %v, the cuts too: %v", duration, len(names) == 2)
 	for _, name := range names {
 		_ = os.WriteFile(name, nil, 0o600)
-		time.AfterFunc(d, func() { _ = os.Remove(name) })
+		time.AfterFunc(duration, func() { _ = os.Remove(name) })
 	}
 }
