--- a/internal/net/amqpfront/front_test.go
+++ b/internal/net/amqpfront/front_test.go
@@ -644,5 +644,5 @@
 	for n := 1; n > 0; n = <-count { // ends with the broker's close-ok, or the test's time runs out
 		at.Post(func() { count <- len(e.attempts) })
 	}
-	standin.Shows(t, core, "lb_upstream_tries_total 1")
+	standin.ExpectMetric(t, core, "lb_upstream_tries_total 1")
 }
--- a/internal/net/platform/platform_test.go
+++ b/internal/net/platform/platform_test.go
@@ -159,7 +159,7 @@
 		t.Fatal(r.URL, r.Header)
 	}
 	w.submit(addr, "m1", "key", "9000") // handed in twice: held or over, and never a second call at once
-	standin.Shows(t, w.core, "lb_upstream_tries_total 1")
+	standin.ExpectMetric(t, w.core, "lb_upstream_tries_total 1")
 	kill()
 	_, kill = w.start()
 	kill()
--- a/internal/testing/ci/judge_test.go
+++ b/internal/testing/ci/judge_test.go
@@ -1,4 +1,4 @@
-// Package ci tests the landing check's own tools.
+// Package ci tests the tools of the CI checks.
 package ci
 
 import (
@@ -9,9 +9,8 @@
 	"testing"
 )
 
-// The known failures are exactly the tests that may fail: any other failure, a listed test that
-// passes or does not exist, a line of another form, a fifth line and a failure that names no test
-// are refused.
+// Only the tests in the list of known failures may fail. The check refuses any other failure, a listed test that
+// passes or does not exist, a malformed line, a fifth line, and a failure without the name of a test.
 func TestKnownFailures(t *testing.T) {
 	const one, two = "TestOne | go test, seed 1 | a cause | 33\n", "TestTwo | go test | a cause | 34\n"
 	const sometimes = "TestKnownFailures | go test, seed 1 | intermittent: a cause | 33\n"
@@ -20,7 +19,7 @@
 	for _, letter := range []string{"A", "B", "C"} {
 		threeMore += strings.ReplaceAll(one, "One", letter)
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, list, output, status string
 		passes                     bool
 	}{
@@ -48,17 +47,17 @@
 		{"beside a listed one a failure that names nobody", one, failsOne + "FAIL\tother/package\t0.1s\n", "1", false},
 		{"only a part of a test fails", one, "    --- FAIL: TestOne/part (0.01s)\n" + failsOne, "1", true},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			dir := t.TempDir()
 			list, output := filepath.Join(dir, "list"), filepath.Join(dir, "output")
-			for file, text := range map[string]string{list: c.list, output: c.output} {
+			for file, text := range map[string]string{list: test.list, output: test.output} {
 				if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 					t.Fatal(err)
 				}
 			}
-			said, err := exec.Command("bash", "../../../.ci/judge-tests", list, output, c.status).CombinedOutput()
-			if passes := err == nil; passes != c.passes {
-				t.Errorf("passes: %v\n%s", passes, said)
+			combined, err := exec.Command("bash", "../../../.ci/judge-tests", list, output, test.status).CombinedOutput()
+			if passes := err == nil; passes != test.passes {
+				t.Errorf("the check passes: %v\n%s", passes, combined)
 			}
 		})
 	}
--- a/internal/testing/fleet/massrestart.go
+++ b/internal/testing/fleet/massrestart.go
@@ -75,7 +75,7 @@
 // binLength is the length of a CallBin.
 const binLength = 100 * time.Millisecond
 
-// peakWindow is the time over which MassRestartReport.Most counts.
+// peakWindow is the time over which MassRestartReport.PeakCalls counts.
 const peakWindow = 500 * time.Millisecond
 
 // restartRun is one run of a MassRestart. Only submitted is safe for concurrent use.
@@ -167,7 +167,7 @@
 	return err
 }
 
-// watch samples the endpoint's counters for WatchFor, peakSamples times in a peakWindow.
+// watch samples the endpoint's counters for ObservationTime, peakSamples times in a peakWindow.
 func (r *restartRun) watch() (report MassRestartReport) {
 	start := time.Now()
 	calls := func() int { return int(r.endpoint.Accepted.Load() + r.endpoint.Refused.Load()) }
--- a/internal/testing/fleet/scenario.go
+++ b/internal/testing/fleet/scenario.go
@@ -144,7 +144,7 @@
 		return report, timeline, err
 	}
 	defer cluster.Close()
-	cluster.Resolve = func(word string) string { return cluster.resolve(word) }
+	cluster.Resolve = func(target string) string { return cluster.resolve(target) }
 	if err := cluster.StartMembers(); err != nil {
 		return report, timeline, err
 	}
--- a/internal/testing/fleet/world.go
+++ b/internal/testing/fleet/world.go
@@ -34,7 +34,7 @@
 	Members []*Member
 	// Resolve returns the member that a target of a plan (leader, holder:DUTY) stands for at present; empty: none. If
 	// nil, targets are names of members only.
-	Resolve func(word string) string
+	Resolve func(target string) string
 
 	program   string
 	dir       string
--- a/internal/testing/golden/golden.go
+++ b/internal/testing/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden compares what tests produce with files that were made from the program before, so that names and bytes
-// that users and other programs see do not change unnoticed. Only tests import it.
+// Package golden compares the output of tests with files that an earlier version of the program produced, so that
+// names and bytes that users and other programs depend on do not change unnoticed. Only tests import it.
 package golden
 
 import (
@@ -16,16 +16,16 @@
 	"time"
 )
 
-// update is the only way to make the files anew: go test ./internal/config -run Golden -update-golden
+// update regenerates the files, which nothing else does: go test ./internal/config -run Golden -update-golden
 var update = flag.Bool("update-golden", false, "write the package's golden files anew instead of comparing with them")
 
-// Check fails the test unless got equals the file testdata/golden/NAME of the package under test. A missing file is a
-// failure.
+// Check fails the test unless got equals the file testdata/golden/NAME of the package under test, or if there is no
+// such file.
 func Check(t testing.TB, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
 	if *update {
-		write(t, path, got)
+		writeGolden(t, path, got)
 		return
 	}
 	want, err := os.ReadFile(path)
@@ -33,11 +33,11 @@
 		t.Fatalf("no golden file (-update-golden writes it): %v", err)
 	}
 	if got != string(want) {
-		t.Errorf("%s differs from what the program gives now:\n%s", path, difference(string(want), got))
+		t.Errorf("%s differs from the current output:\n%s", path, difference(string(want), got))
 	}
 }
 
-func write(t testing.TB, path, text string) {
+func writeGolden(t testing.TB, path, text string) {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		t.Fatal(err)
@@ -47,87 +47,87 @@
 	}
 }
 
-// difference lists the first lines that are not the same, by their numbers.
+// difference lists the first lines that differ, with their numbers.
 func difference(want, got string) string {
-	const most = 20
+	const maxLines = 20
 	var out strings.Builder
-	w, g := strings.Split(want, "\n"), strings.Split(got, "\n")
-	for i, n := 0, 0; i < max(len(w), len(g)) && n < most; i++ {
-		a, b := line(w, i), line(g, i)
-		if a != b {
-			from := same(a, b)
-			fmt.Fprintf(&out, "%d: want %q\n%d:  got %q\n", i+1, a[from:], i+1, b[from:])
-			n++
+	wantLines, gotLines := strings.Split(want, "\n"), strings.Split(got, "\n")
+	for i, shown := 0, 0; i < max(len(wantLines), len(gotLines)) && shown < maxLines; i++ {
+		wantLine, gotLine := lineAt(wantLines, i), lineAt(gotLines, i)
+		if wantLine != gotLine {
+			start := differenceStart(wantLine, gotLine)
+			fmt.Fprintf(&out, "%d: want %q\n%d:  got %q\n", i+1, wantLine[start:], i+1, gotLine[start:])
+			shown++
 		}
 	}
 	return out.String()
 }
 
-func line(list []string, i int) string {
-	if i >= len(list) {
+func lineAt(lines []string, i int) string {
+	if i >= len(lines) {
 		return "(no such line)"
 	}
-	return list[i]
+	return lines[i]
 }
 
-// same is where two lines are shown from: a little before the first byte that differs.
-func same(a, b string) int {
-	const before = 30
-	n := 0
-	for n < min(len(a), len(b)) && a[n] == b[n] {
-		n++
+// differenceStart returns the offset from which two lines are shown: a little before the first byte that differs.
+func differenceStart(a, b string) int {
+	const context = 30
+	equal := 0
+	for equal < min(len(a), len(b)) && a[equal] == b[equal] {
+		equal++
 	}
-	return max(0, n-before)
+	return max(0, equal-context)
 }
 
-// Fields lists each key that a decoder for the struct tag (json or toml) knows below a type, one a line with the kind
-// of its value. Keys of lists end in [] and keys of maps in {}. A field without a tag has its Go name, as encoding/json
-// does it.
-func Fields(of reflect.Type, tag string) string {
+// Fields lists each key that a decoder for the struct tag (json or toml) accepts for a type and the types in it, one
+// per line with the kind of its value. Keys of lists end in [] and keys of maps in {}. A field without a tag has its
+// Go name, as in encoding/json.
+func Fields(typ reflect.Type, tag string) string {
 	var out strings.Builder
-	fields(&out, of, tag, "")
+	fields(&out, typ, tag, "")
 	return out.String()
 }
 
-func fields(out *strings.Builder, of reflect.Type, tag, path string) {
+func fields(out *strings.Builder, typ reflect.Type, tag, path string) {
 	switch {
-	case of.Kind() == reflect.Pointer:
-		fields(out, of.Elem(), tag, path)
-	case of == reflect.TypeFor[time.Time]():
+	case typ.Kind() == reflect.Pointer:
+		fields(out, typ.Elem(), tag, path)
+	case typ == reflect.TypeFor[time.Time]():
 		fmt.Fprintln(out, path, "time")
-	case of.Kind() == reflect.Slice:
-		fields(out, of.Elem(), tag, path+"[]")
-	case of.Kind() == reflect.Map:
-		fields(out, of.Elem(), tag, path+"{}")
-	case of.Kind() == reflect.Struct:
-		for f := range structFields(of) {
-			if name, options := key(f, tag); name != "" {
-				fields(out, f.Type, tag, strings.TrimPrefix(path+"."+name+options, "."))
+	case typ.Kind() == reflect.Slice:
+		fields(out, typ.Elem(), tag, path+"[]")
+	case typ.Kind() == reflect.Map:
+		fields(out, typ.Elem(), tag, path+"{}")
+	case typ.Kind() == reflect.Struct:
+		for field := range structFields(typ) {
+			if name, options := key(field, tag); name != "" {
+				fields(out, field.Type, tag, strings.TrimPrefix(path+"."+name+options, "."))
 			}
 		}
 	default:
-		fmt.Fprintln(out, path, of.Kind())
+		fmt.Fprintln(out, path, typ.Kind())
 	}
 }
 
-func structFields(of reflect.Type) func(yield func(reflect.StructField) bool) {
+func structFields(typ reflect.Type) func(yield func(reflect.StructField) bool) {
 	return func(yield func(reflect.StructField) bool) {
-		for i := range of.NumField() {
-			if !yield(of.Field(i)) {
+		for i := range typ.NumField() {
+			if !yield(typ.Field(i)) {
 				return
 			}
 		}
 	}
 }
 
-// key is the name of a field in a text, and its options; empty: the text does not have it.
-func key(f reflect.StructField, tag string) (name, options string) {
-	name, options, _ = strings.Cut(f.Tag.Get(tag), ",")
-	if name == "-" || !f.IsExported() {
+// key returns the encoded name of a field, and its options; empty: the field is not encoded.
+func key(field reflect.StructField, tag string) (name, options string) {
+	name, options, _ = strings.Cut(field.Tag.Get(tag), ",")
+	if name == "-" || !field.IsExported() {
 		return "", ""
 	}
 	if name == "" {
-		name = f.Name
+		name = field.Name
 	}
 	if options != "" {
 		options = "(" + options + ")"
@@ -135,57 +135,57 @@
 	return name, options
 }
 
-// Fill gives every field below a pointer a value that is not zero and is the same each time: numbers count up from 1,
-// strings are s1, s2 and so on, and lists and maps have one entry.
+// Fill sets every field below a pointer to a value that is not zero and the same in every run: numbers count up from
+// 1, strings are s1, s2 and so on, and lists and maps have one entry.
 func Fill(pointer any) {
-	n := 0
-	fill(reflect.ValueOf(pointer).Elem(), &n)
+	count := 0
+	fill(reflect.ValueOf(pointer).Elem(), &count)
 }
 
-func fill(v reflect.Value, n *int) {
-	*n++
+func fill(value reflect.Value, count *int) {
+	*count++
 	switch {
-	case v.Type() == reflect.TypeFor[time.Time]():
-		v.Set(reflect.ValueOf(time.Date(1970, 1, 1, 0, 0, *n, 0, time.UTC)))
-	case v.Kind() == reflect.Pointer:
-		v.Set(reflect.New(v.Type().Elem()))
-		fill(v.Elem(), n)
-	case v.Kind() == reflect.Struct:
-		for i := range v.NumField() {
-			if v.Type().Field(i).IsExported() {
-				fill(v.Field(i), n)
+	case value.Type() == reflect.TypeFor[time.Time]():
+		value.Set(reflect.ValueOf(time.Date(1970, 1, 1, 0, 0, *count, 0, time.UTC)))
+	case value.Kind() == reflect.Pointer:
+		value.Set(reflect.New(value.Type().Elem()))
+		fill(value.Elem(), count)
+	case value.Kind() == reflect.Struct:
+		for i := range value.NumField() {
+			if value.Type().Field(i).IsExported() {
+				fill(value.Field(i), count)
 			}
 		}
-	case v.Kind() == reflect.Slice:
-		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
-		fill(v.Index(0), n)
-	case v.Kind() == reflect.Map:
-		k, e := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
-		fill(k, n)
-		fill(e, n)
-		v.Set(reflect.MakeMap(v.Type()))
-		v.SetMapIndex(k, e)
+	case value.Kind() == reflect.Slice:
+		value.Set(reflect.MakeSlice(value.Type(), 1, 1))
+		fill(value.Index(0), count)
+	case value.Kind() == reflect.Map:
+		key, element := reflect.New(value.Type().Key()).Elem(), reflect.New(value.Type().Elem()).Elem()
+		fill(key, count)
+		fill(element, count)
+		value.Set(reflect.MakeMap(value.Type()))
+		value.SetMapIndex(key, element)
 	default:
-		scalar(v, *n)
+		fillScalar(value, *count)
 	}
 }
 
-func scalar(v reflect.Value, n int) {
+func fillScalar(value reflect.Value, count int) {
 	switch {
-	case v.Kind() == reflect.String:
-		v.SetString(fmt.Sprintf("s%d", n))
-	case v.Kind() == reflect.Bool:
-		v.SetBool(true)
-	case v.CanInt():
-		v.SetInt(int64(n))
-	case v.CanUint():
-		v.SetUint(uint64(n))
-	case v.CanFloat():
-		v.SetFloat(float64(n) + 0.5)
+	case value.Kind() == reflect.String:
+		value.SetString(fmt.Sprintf("s%d", count))
+	case value.Kind() == reflect.Bool:
+		value.SetBool(true)
+	case value.CanInt():
+		value.SetInt(int64(count))
+	case value.CanUint():
+		value.SetUint(uint64(count))
+	case value.CanFloat():
+		value.SetFloat(float64(count) + 0.5)
 	}
 }
 
-// Mask replaces what differs from run to run: for each pair the matches of a pattern by a replacement, as regexp does.
+// Mask replaces text that differs from run to run. pairs alternates regular expressions and their replacements.
 func Mask(text string, pairs ...string) string {
 	for i := 0; i+1 < len(pairs); i += 2 {
 		text = regexp.MustCompile(pairs[i]).ReplaceAllString(text, pairs[i+1])
@@ -193,7 +193,7 @@
 	return text
 }
 
-// Fingerprint appends a line to out: a scenario's name, its number of steps, and a hash of what each step gave.
+// Fingerprint appends a line to out: a scenario's name, its number of steps, and a hash of the results of all steps.
 func Fingerprint(out *bytes.Buffer, name string, steps int, step func(i int) string) {
 	hash := sha256.New()
 	for i := range steps {
--- a/internal/testing/standin/standin.go
+++ b/internal/testing/standin/standin.go
@@ -18,13 +18,13 @@
 	"github.com/rs/zerolog"
 )
 
-// Long is the time limit of waits; it only ends a hang.
+// Long is the time limit of waits; it only fails a test that hangs.
 const Long = 20 * time.Second
 
 // reactorMemory is the buffer memory of a sender's reactor, in bytes.
 const reactorMemory = 8 << 20
 
-// Settings is a small deployment with a class of each effect and one kind of destination.
+// Settings returns a small deployment with a class of each idempotency and one kind of destination.
 func Settings() (s scheduler.Settings) {
 	s.Senders, s.TickUs, s.Discovery, s.CapacityHints, s.MachineTypes = 1, 1000, "pushed", "silent", []string{"k"}
 	for _, class := range [][2]string{{"safe", "repeatable"}, {"key", "by_key"}, {"once", "once"}} {
@@ -99,11 +99,11 @@
 	return ln.Addr().String(), kill
 }
 
-// Shows fails the test unless the sender's metrics have the line.
-func Shows(t testing.TB, core *sender.Sender, line string) {
+// ExpectMetric fails the test unless the sender's metrics contain the line.
+func ExpectMetric(t testing.TB, core *sender.Sender, line string) {
 	t.Helper()
 	var text strings.Builder
 	if err := core.WriteMetrics(&text); err != nil || !strings.Contains(text.String(), "\n"+line+"\n") {
-		t.Errorf("no %q in the figures, %v\n%s", line, err, &text)
+		t.Errorf("no line %q in the metrics, error %v\n%s", line, err, &text)
 	}
 }
--- a/internal/testing/testkit/testkit.go
+++ b/internal/testing/testkit/testkit.go
@@ -1,4 +1,4 @@
-// Package testkit holds what the tests of several packages need and that knows none of them.
+// Package testkit has helpers for the tests of several packages and depends on none of them.
 package testkit
 
 import (
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Seeded runs a package's tests with property tests that draw the same cases every time, checks of them for each.
+// Seeded runs a package's tests; its property tests draw the same cases in every run, as many as checks says.
 func Seeded(m *testing.M, checks string) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": checks} {
 		if err := flag.Set(name, value); err != nil {
@@ -18,7 +18,7 @@
 	os.Exit(m.Run())
 }
 
-// HeapBytes is what the heap holds once all that nobody needs is gone.
+// HeapBytes returns the number of bytes in use on the heap after a garbage collection.
 func HeapBytes() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
