--- a/internal/testing/fleet/cost.go
+++ b/internal/testing/fleet/cost.go
@@ -21,17 +21,17 @@
 
 // MeasureCost runs the members without faults and measures their resource use over duration, as a group or as
 // senders without one.
-func (g Scenario) MeasureCost(duration time.Duration, withoutGroup bool) (cost Cost, err error) {
+func (s Scenario) MeasureCost(duration time.Duration, withoutGroup bool) (cost Cost, err error) {
 	timeline := NewTimeline()
 	receiver, err := NewReceiver(timeline)
 	if err != nil {
 		return cost, err
 	}
 	defer receiver.Close()
-	members, duties := g.Names()
-	cluster, err := NewCluster(g.Program, g.Dir, members, members[:voters(len(members))], g.Seed, timeline,
+	members, duties := s.Names()
+	cluster, err := NewCluster(s.Program, s.Dir, members, members[:voters(len(members))], s.Seed, timeline,
 		func(m *Member) string {
-			text := g.config(m, members, duties, receiver.Addr())
+			text := s.config(m, members, duties, receiver.Addr())
 			if withoutGroup {
 				text, _, _ = strings.Cut(text, "[group]")
 			}
--- a/internal/testing/fleet/limitscenario.go
+++ b/internal/testing/fleet/limitscenario.go
@@ -50,18 +50,18 @@
 
 // start starts the senders and their endpoint. ports has the client address of each sender by name; in a
 // group the first three senders are voters.
-func (g LimitScenario) start() (endpoint *Endpoint, cluster *Cluster, names []string, ports map[string]string,
+func (s LimitScenario) start() (endpoint *Endpoint, cluster *Cluster, names []string, ports map[string]string,
 	err error,
 ) {
-	if endpoint, err = NewEndpoint(g.LimitPerS); err != nil {
+	if endpoint, err = NewEndpoint(s.LimitPerS); err != nil {
 		return nil, nil, nil, nil, err
 	}
-	names, _ = Scenario{Members: g.Senders}.Names()
+	names, _ = Scenario{Members: s.Senders}.Names()
 	ports = map[string]string{}
 	voting := names[:min(3, len(names))]
-	cluster, err = NewCluster(g.Program, g.Dir, names, voting, 1, NewTimeline(), func(m *Member) string {
+	cluster, err = NewCluster(s.Program, s.Dir, names, voting, 1, NewTimeline(), func(m *Member) string {
 		ports[m.Name] = "127.0.0.1:" + m.freeClientPort()
-		return g.config(m, voting, ports[m.Name], endpoint.Addr())
+		return s.config(m, voting, ports[m.Name], endpoint.Addr())
 	})
 	if err == nil {
 		if err = cluster.StartMembers(); err != nil {
@@ -108,8 +108,8 @@
 }
 
 // Run runs the scenario and returns its phases, also those before an error.
-func (g LimitScenario) Run() (phases []Phase, err error) {
-	endpoint, cluster, names, ports, err := g.start()
+func (s LimitScenario) Run() (phases []Phase, err error) {
+	endpoint, cluster, names, ports, err := s.start()
 	if err != nil {
 		return nil, err
 	}
@@ -120,30 +120,30 @@
 	defer clients.Wait()
 	defer cancel()
 	run := &limitRun{
-		LimitScenario: g, endpoint: endpoint, cluster: cluster, names: names,
+		LimitScenario: s, endpoint: endpoint, cluster: cluster, names: names,
 		rates: map[string]*atomic.Int64{},
 	}
 	for _, name := range names {
 		run.rates[name] = &atomic.Int64{}
 	}
-	run.setRates(g.Senders)
+	run.setRates(s.Senders)
 	for _, name := range names {
 		clients.Add(1)
 		go func() { defer clients.Done(); Load(ctx, ports[name], name, run.rates[name]) }()
 	}
-	run.measure("all", g.WarmUp)
-	if g.EndpointDowntime > 0 {
+	run.measure("all", s.WarmUp)
+	if s.EndpointDowntime > 0 {
 		var fatal bool
 		if fatal, err = run.endpointReturn(); fatal {
 			return run.phases, err
 		}
 	}
-	if g.Kill > 0 {
-		for _, name := range names[g.Senders-g.Kill:] {
+	if s.Kill > 0 {
+		for _, name := range names[s.Senders-s.Kill:] {
 			cluster.Proc(name).Kill()
 		}
-		run.setRates(g.Senders - g.Kill)
-		run.measure(fmt.Sprintf("%d of %d killed", g.Kill, g.Senders), g.WarmUp)
+		run.setRates(s.Senders - s.Kill)
+		run.measure(fmt.Sprintf("%d of %d killed", s.Kill, s.Senders), s.WarmUp)
 	} else {
 		err = errors.Join(err, cluster.crashed())
 	}
@@ -217,10 +217,10 @@
 }
 
 // config returns the text of a member's configuration file.
-func (g LimitScenario) config(member *Member, voters []string, listen, endpoint string) string {
+func (s LimitScenario) config(member *Member, voters []string, listen, endpoint string) string {
 	senders := "" // without KnownCount the key is left out, as older versions of the program reject it
-	if g.KnownCount {
-		senders = fmt.Sprintf("senders = %d\n", g.Senders)
+	if s.KnownCount {
+		senders = fmt.Sprintf("senders = %d\n", s.Senders)
 	}
 	text := fmt.Sprintf(`name = %q
 [limits]
@@ -245,8 +245,8 @@
 dest = 1
 proto = "http"
 dial = %q
-`, member.Name, listen, senders, cmp.Or(g.MaxRetryAfter, 3*time.Second).Milliseconds(), endpoint)
-	if !g.Group {
+`, member.Name, listen, senders, cmp.Or(s.MaxRetryAfter, 3*time.Second).Milliseconds(), endpoint)
+	if !s.Group {
 		return text
 	}
 	text += fmt.Sprintf("[group]\nname = %q\nlisten = %q\nlease_ms = 1000\nmembers = [", member.Name, member.Listen)
@@ -254,5 +254,5 @@
 		text += fmt.Sprintf("%q, ", voter+"="+member.Addrs[voter])
 	}
 	return text + fmt.Sprintf("]\n[[duty]]\nname = \"sum\"\nkind = \"limit\"\ndest = 1\nper_s = %g\n[[duty]]\nname "+
-		"= \"back\"\nkind = \"return\"\n", g.LimitPerS)
+		"= \"back\"\nkind = \"return\"\n", s.LimitPerS)
 }
--- a/internal/testing/fleet/massrestart.go
+++ b/internal/testing/fleet/massrestart.go
@@ -91,10 +91,10 @@
 }
 
 // Run runs the scenario.
-func (g MassRestart) Run() (report MassRestartReport, err error) {
+func (r MassRestart) Run() (report MassRestartReport, err error) {
 	endpoint, cluster, names, ports, err := LimitScenario{
-		Program: g.Program, Dir: g.Dir, Senders: g.Senders, LimitPerS: g.LimitPerS,
-		Group: g.Group, KnownCount: g.KnownCount,
+		Program: r.Program, Dir: r.Dir, Senders: r.Senders, LimitPerS: r.LimitPerS,
+		Group: r.Group, KnownCount: r.KnownCount,
 	}.start()
 	if err != nil {
 		return report, err
@@ -103,15 +103,15 @@
 	defer cluster.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	run := &restartRun{
-		MassRestart: g, endpoint: endpoint, cluster: cluster, killed: names[:g.Kill],
-		rng: rand.New(rand.NewSource(g.Seed)),
+		MassRestart: r, endpoint: endpoint, cluster: cluster, killed: names[:r.Kill],
+		rng: rand.New(rand.NewSource(r.Seed)),
 	}
 	defer run.tasks.Wait()
 	defer cancel()
 	for _, name := range names {
 		delay := time.Duration(run.rng.Int63n(int64(time.Second)))
 		run.tasks.Add(1)
-		go func() { defer run.tasks.Done(); g.client(ctx, ports[name], name, delay, &run.submitted) }()
+		go func() { defer run.tasks.Done(); r.client(ctx, ports[name], name, delay, &run.submitted) }()
 	}
 	err = run.killAll()
 	if err = errors.Join(err, run.startWaves(ctx)); err != nil {
@@ -203,8 +203,8 @@
 }
 
 // changeFolder changes a stopped member's folder as Folders specifies.
-func (g MassRestart) changeFolder(cluster *Cluster, member *Member, rng *rand.Rand) (err error) {
-	switch g.Folders {
+func (r MassRestart) changeFolder(cluster *Cluster, member *Member, rng *rand.Rand) (err error) {
+	switch r.Folders {
 	case foldersEmptied:
 		return Empty(member.StateDir)
 	case foldersOld:
@@ -221,8 +221,8 @@
 
 // client submits messages to one sender at an even rate, from delay on. Messages that are due while the sender
 // is down are submitted together once it is available. Each message is added to submitted when it is due.
-func (g MassRestart) client(ctx context.Context, addr, name string, delay time.Duration, submitted *atomic.Int64) {
-	interval := time.Duration(float64(time.Second) * float64(g.Senders) / g.MessagesPerS)
+func (r MassRestart) client(ctx context.Context, addr, name string, delay time.Duration, submitted *atomic.Int64) {
+	interval := time.Duration(float64(time.Second) * float64(r.Senders) / r.MessagesPerS)
 	next := time.Now().Add(delay)
 	var conn net.Conn
 	var replies *bufio.Reader
--- a/internal/testing/fleet/scenario.go
+++ b/internal/testing/fleet/scenario.go
@@ -50,11 +50,11 @@
 }
 
 // Names returns the names of the scenario's members and duties.
-func (g Scenario) Names() (members, duties []string) {
-	for i := range g.Members {
+func (s Scenario) Names() (members, duties []string) {
+	for i := range s.Members {
 		members = append(members, string(rune('a'+i%26))+strings.Repeat("x", i/26))
 	}
-	for i := range g.Duties {
+	for i := range s.Duties {
 		duties = append(duties, fmt.Sprintf("duty%d", i+1))
 	}
 	return members, duties
@@ -72,7 +72,7 @@
 }
 
 // config returns the text of a member's configuration file.
-func (g Scenario) config(member *Member, members, duties []string, receiver string) string {
+func (s Scenario) config(member *Member, members, duties []string, receiver string) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, `name = %q
 [limits]
@@ -98,7 +98,7 @@
 listen = %q
 lease_ms = %d
 drift = 0.01
-members = [`, member.Name, member.freeClientPort(), member.Name, member.Listen, g.Lease.Milliseconds())
+members = [`, member.Name, member.freeClientPort(), member.Name, member.Listen, s.Lease.Milliseconds())
 	for _, voter := range members[:voters(len(members))] {
 		fmt.Fprintf(&text, "%q, ", voter+"="+member.Addrs[voter])
 	}
@@ -106,7 +106,7 @@
 	for _, duty := range duties {
 		fmt.Fprintf(&text,
 			"[[duty]]\nname = %q\nkind = \"call\"\nurl = \"http://%s/act\"\nevery_ms = %d\nlongest_ms = %d\n",
-			duty, receiver, g.Interval.Milliseconds(), g.MaxDuration.Milliseconds())
+			duty, receiver, s.Interval.Milliseconds(), s.MaxDuration.Milliseconds())
 	}
 	return text.String()
 }
@@ -125,10 +125,10 @@
 const executionTimeout = 30 * time.Second
 
 // Run waits until all duties are executed, runs the plan, and waits until all duties are executed again.
-func (g Scenario) Run() (Report, *Timeline, error) {
+func (s Scenario) Run() (Report, *Timeline, error) {
 	timeline := NewTimeline()
-	report := Report{Seed: g.Seed}
-	for _, step := range g.Plan {
+	report := Report{Seed: s.Seed}
+	for _, step := range s.Plan {
 		report.Plan = append(report.Plan, step.String())
 	}
 	receiver, err := NewReceiver(timeline)
@@ -136,10 +136,10 @@
 		return report, timeline, err
 	}
 	defer receiver.Close()
-	receiver.SetBehavior(g.ExecutionTime, 0, g.AcceptStaleEpochs)
-	members, duties := g.Names()
-	cluster, err := NewCluster(g.Program, g.Dir, members, nil, g.Seed, timeline,
-		func(member *Member) string { return g.config(member, members, duties, receiver.Addr()) })
+	receiver.SetBehavior(s.ExecutionTime, 0, s.AcceptStaleEpochs)
+	members, duties := s.Names()
+	cluster, err := NewCluster(s.Program, s.Dir, members, nil, s.Seed, timeline,
+		func(member *Member) string { return s.config(member, members, duties, receiver.Addr()) })
 	if err != nil {
 		return report, timeline, err
 	}
@@ -151,13 +151,13 @@
 	if err := waitForExecutions(timeline, duties, 0); err != nil {
 		return report, timeline, errors.Join(err, cluster.logTails())
 	}
-	err = cluster.Run(g.Plan)
+	err = cluster.Run(s.Plan)
 	if err == nil {
 		err = waitForExecutions(timeline, duties, timeline.Now())
 	}
 	err = errors.Join(err, cluster.crashed())
 	events := timeline.Events()
-	report.Verdict, report.Handovers = Check(events), Handovers(events, g.Lease)
+	report.Verdict, report.Handovers = Check(events), Handovers(events, s.Lease)
 	report.Pauses = Pauses(report.Handovers)
 	if err != nil {
 		err = errors.Join(err, cluster.logTails())
