--- a/internal/app/back_test.go
+++ b/internal/app/back_test.go
@@ -46,7 +46,7 @@
 		case "lost":
 			err = os.Remove(snapshot)
 		case "torn":
-			_, err = fleet.Tear(snapshot, rng)
+			_, err = fleet.Corrupt(snapshot, rng)
 		case "earlier":
 			if earlierData, readErr := os.ReadFile(earlier); readErr == nil {
 				err = os.WriteFile(snapshot, earlierData, 0o600)
@@ -87,8 +87,8 @@
 	report, err := fleet.ConnectionFlood{
 		Program: os.Args[0], Dir: dir, Clients: 1000, LimitPerS: 400, WarmUp: time.Second,
 		MaxRetryAfter: 5 * time.Second, Seed: 1,
-	}.Play()
-	if err != nil || report.Taken != 1000 || report.Lost != 0 || report.Tries <= 1 {
+	}.Run()
+	if err != nil || report.Accepted != 1000 || report.Lost != 0 || report.MeanSubmits <= 1 {
 		t.Fatalf("%+v %v", report, err)
 	}
 }
--- a/internal/app/faults_test.go
+++ b/internal/app/faults_test.go
@@ -201,12 +201,12 @@
 	if err := os.WriteFile(env.configFile(), changed, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := fleet.NoDescriptors(proc.Process.Pid, true); err != nil {
+	if err := fleet.ExhaustDescriptors(proc.Process.Pid, true); err != nil {
 		t.Fatal(err)
 	}
 	_ = proc.Process.Signal(syscall.SIGHUP)
 	time.Sleep(200 * time.Millisecond)
-	if err := fleet.NoDescriptors(proc.Process.Pid, false); err != nil {
+	if err := fleet.ExhaustDescriptors(proc.Process.Pid, false); err != nil {
 		t.Fatal(err)
 	}
 	select {
--- a/internal/app/group_test.go
+++ b/internal/app/group_test.go
@@ -23,7 +23,7 @@
 	t.Parallel()
 	const lease = 500 * time.Millisecond
 	step := func(action string, members ...string) fleet.Step {
-		return fleet.Step{Do: action, Whom: members, For: 2 * lease}
+		return fleet.Step{Fault: action, Targets: members, Length: 2 * lease}
 	}
 	plan := []fleet.Step{
 		step("stop", "holder:duty1"), step("kill", "leader"), step("cut", "holder:duty1"), step("mute", "holder:duty2"),
@@ -41,13 +41,13 @@
 	}
 	defer os.RemoveAll(dir)
 	report, _, err := fleet.Scenario{
-		Program: os.Args[0], Dir: dir, Members: 5, Duties: 2, Lease: lease, Every: lease / 10, Longest: lease / 4,
-		Takes: 5 * time.Millisecond, Seed: 1, Plan: plan,
-	}.Play()
+		Program: os.Args[0], Dir: dir, Members: 5, Duties: 2, Lease: lease, Interval: lease / 10, MaxDuration: lease / 4,
+		ExecutionTime: 5 * time.Millisecond, Seed: 1, Plan: plan,
+	}.Run()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if verdict := report.Verdict; !verdict.Right() || verdict.Acts < 50 || len(report.Handovers) < 3 {
+	if verdict := report.Verdict; !verdict.Passed() || verdict.Executions < 50 || len(report.Handovers) < 3 {
 		t.Errorf("%+v, %d hand-overs", verdict, len(report.Handovers))
 	}
 	logs, err := filepath.Glob(filepath.Join(dir, "*.log"))
@@ -61,7 +61,8 @@
 	}
 	t.Logf("%d disk failures logged", failed)
 	t.Logf("%d executions, %d rejected, %d hand-overs, %v",
-		report.Verdict.Acts, report.Verdict.Refused, len(report.Handovers), report.Pauses)
+		report.Verdict.Executions, report.Verdict.Refused,
+		len(report.Handovers), report.Pauses)
 }
 
 // A partner that was unavailable recovers in slow start, just when the member that probes it for the group is stopped
@@ -79,14 +80,14 @@
 			phases, err := fleet.LimitScenario{
 				Program: os.Args[0], Dir: dir, Senders: 4, LimitPerS: 60, Demand: 0.6, Group: true,
 				ColdReturn: true, ProbeFault: fault,
-				WarmUp: 2 * time.Second, Each: 8 * time.Second, PartnerDowntime: 2 * time.Second,
-			}.Play()
+				WarmUp: 2 * time.Second, PhaseLength: 8 * time.Second, EndpointDowntime: 2 * time.Second,
+			}.Run()
 			if err != nil {
 				t.Fatal(err)
 			}
 			// Probes by all members, as without a group, are several calls per second. If the group has lost its leader, too,
 			// each member may probe by itself.
-			if recovery := phases[1]; recovery.Falls != 0 || recovery.SoleProbes < 2 && !recovery.WasLeader ||
+			if recovery := phases[1]; recovery.Collapses != 0 || recovery.SoleProbes < 2 && !recovery.WasLeader ||
 				recovery.Lost > 1.5 || recovery.Used < 0.1 {
 				t.Errorf("%+v", recovery)
 			}
@@ -105,26 +106,27 @@
 	}
 	defer os.RemoveAll(dir)
 	names := []string{"a", "b", "c"}
-	cluster, err := fleet.NewWorld(os.Args[0], dir, names, nil, 1, fleet.NewTimeline(), func(member *fleet.Member) string {
-		respAddr, err := fleet.FreePort()
-		if err != nil {
-			t.Error(err)
-		}
-		text := fmt.Sprintf("name = %q\n[limits]\ndisk_mb = 16\n[console]\nsocket = \"b.sock\"\n[resp]\nlisten = %q\n"+
-			"finals = \"127.0.0.1:1\"\n[[class]]\nname = \"safe\"\neffect = \"repeatable\"\n"+
-			"aim_ms = 2000\ndeadline_ms = 20000\nworth = 1\n[[route]]\nname = \"r\"\ndest = 1\nproto = \"http\"\ndial = "+
-			"\"127.0.0.1:1\"\n"+
-			"[group]\nname = %q\nlisten = %q\nlease_ms = 500\nmembers = [", member.Name, respAddr, member.Name, member.Listen)
-		for _, name := range names {
-			text += fmt.Sprintf("%q, ", name+"="+member.Reach[name])
-		}
-		return text + "]\n[[duty]]\nname = \"restarts\"\nkind = \"roll\"\n"
-	})
+	cluster, err := fleet.NewCluster(os.Args[0], dir, names, nil, 1, fleet.NewTimeline(),
+		func(member *fleet.Member) string {
+			respAddr, err := fleet.FreePort()
+			if err != nil {
+				t.Error(err)
+			}
+			text := fmt.Sprintf("name = %q\n[limits]\ndisk_mb = 16\n[console]\nsocket = \"b.sock\"\n[resp]\nlisten = %q\n"+
+				"finals = \"127.0.0.1:1\"\n[[class]]\nname = \"safe\"\neffect = \"repeatable\"\n"+
+				"aim_ms = 2000\ndeadline_ms = 20000\nworth = 1\n[[route]]\nname = \"r\"\ndest = 1\nproto = \"http\"\ndial = "+
+				"\"127.0.0.1:1\"\n"+
+				"[group]\nname = %q\nlisten = %q\nlease_ms = 500\nmembers = [", member.Name, respAddr, member.Name, member.Listen)
+			for _, name := range names {
+				text += fmt.Sprintf("%q, ", name+"="+member.Addrs[name])
+			}
+			return text + "]\n[[duty]]\nname = \"restarts\"\nkind = \"roll\"\n"
+		})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer cluster.Close()
-	if err := cluster.Up(); err != nil {
+	if err := cluster.StartMembers(); err != nil {
 		t.Fatal(err)
 	}
 	restarted, lastReasons := map[string]int{}, []string(nil)
@@ -169,7 +171,7 @@
 				break
 			}
 		}
-		if err := cluster.Up(draining); err != nil {
+		if err := cluster.StartMembers(draining); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/app/idle_test.go
+++ b/internal/app/idle_test.go
@@ -165,7 +165,7 @@
 	if clearAt := os.Getenv(clearNonblockEnv); clearAt != "" {
 		clearNonblockAt(clearAt)
 	}
-	faults.Meet()
+	faults.Inject()
 	if file == "platform" { // LB_CONFIG alone configures the sender
 		file = ""
 	}
--- a/internal/app/versions_test.go
+++ b/internal/app/versions_test.go
@@ -448,7 +448,7 @@
 // rollingUpgrade is a group of three senders whose members are upgraded one by one.
 type rollingUpgrade struct {
 	t           *testing.T
-	cluster     *fleet.World
+	cluster     *fleet.Cluster
 	timeline    *fleet.Timeline
 	program     string            // path of a symbolic link to the program that members run when they are started
 	clientAddrs map[string]string // addresses for clients, by member
@@ -515,12 +515,12 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(receiver.Close)
-	receiver.Behave(5*time.Millisecond, 0, false)
+	receiver.SetBehavior(5*time.Millisecond, 0, false)
 	partner := httptest.NewServer(http.HandlerFunc(upgrade.serveCall))
 	finalAnswers := httptest.NewServer(http.HandlerFunc(upgrade.serveFinals))
 	t.Cleanup(func() { partner.CloseClientConnections(); finalAnswers.CloseClientConnections() })
 	upgrade.setProgram(program)
-	upgrade.cluster, err = fleet.NewWorld(upgrade.program, dir, memberNames, nil, 1, upgrade.timeline, func(
+	upgrade.cluster, err = fleet.NewCluster(upgrade.program, dir, memberNames, nil, 1, upgrade.timeline, func(
 		member *fleet.Member,
 	) string {
 		clientAddr, err := fleet.FreePort()
@@ -530,7 +530,7 @@
 		upgrade.clientAddrs[member.Name] = clientAddr
 		var members []string
 		for _, name := range memberNames {
-			members = append(members, fmt.Sprintf("%q", name+"="+member.Reach[name]))
+			members = append(members, fmt.Sprintf("%q", name+"="+member.Addrs[name]))
 		}
 		return fmt.Sprintf(memberConfig, member.Name, clientAddr, finalAnswers.Listener.Addr(), partner.Listener.Addr(),
 			member.Listen,
@@ -627,7 +627,7 @@
 	for deadline := time.Now().Add(standin.Long); !isMet(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			for _, member := range upgrade.cluster.Members {
-				log, _ := os.ReadFile(member.Log)
+				log, _ := os.ReadFile(member.LogFile)
 				upgrade.t.Logf("%s:\n%s", member.Name, log[max(0, len(log)-4000):])
 			}
 			upgrade.t.Fatalf("condition not met in time: %s", condition)
@@ -641,7 +641,7 @@
 	start := upgrade.timeline.Now()
 	upgrade.waitFor("an act of the duty", func() bool {
 		return slices.ContainsFunc(upgrade.timeline.Events(),
-			func(event fleet.Event) bool { return event.What == "act" && event.At > start })
+			func(event fleet.Event) bool { return event.Kind == "act" && event.At > start })
 	})
 }
 
@@ -671,7 +671,7 @@
 	if _, err := proc.Ended(); err != nil {
 		upgrade.t.Fatal(name, err)
 	}
-	if err := upgrade.cluster.Up(name); err != nil {
+	if err := upgrade.cluster.StartMembers(name); err != nil {
 		upgrade.t.Fatal(err)
 	}
 	upgrade.waitAccepting(name)
@@ -720,7 +720,7 @@
 // outcome.
 func runRollingUpgrade(t *testing.T, programs versionOrder) {
 	upgrade := newRollingUpgrade(t, programs.first)
-	if err := upgrade.cluster.Up(); err != nil {
+	if err := upgrade.cluster.StartMembers(); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range memberNames {
@@ -734,7 +734,7 @@
 	}
 	stopLoad()
 	upgrade.checkFinalAnswers()
-	if verdict := fleet.Check(upgrade.timeline.Events()); !verdict.Right() {
+	if verdict := fleet.Check(upgrade.timeline.Events()); !verdict.Passed() {
 		t.Errorf("%+v", verdict)
 	}
 }
--- a/internal/net/amqpfront/front_test.go
+++ b/internal/net/amqpfront/front_test.go
@@ -678,5 +678,5 @@
 	for n := 1; n > 0; n = <-count { // ends with the broker's channel.close-ok
 		loopReactor.Post(func() { count <- len(egress.attempts) })
 	}
-	standin.Shows(t, core, "lb_upstream_tries_total 1")
+	standin.ExpectMetric(t, core, "lb_upstream_tries_total 1")
 }
--- a/internal/net/platform/platform_test.go
+++ b/internal/net/platform/platform_test.go
@@ -168,7 +168,7 @@
 	}
 	// Submitted again, there is no second call, whether the first submission is pending or has ended.
 	env.submit(addr, "m1", "key", "9000")
-	standin.Shows(t, env.core, "lb_upstream_tries_total 1")
+	standin.ExpectMetric(t, env.core, "lb_upstream_tries_total 1")
 	kill()
 	_, kill = env.startSender()
 	kill()
