--- a/internal/net/connlimit/limiter.go
+++ b/internal/net/connlimit/limiter.go
@@ -1,5 +1,5 @@
-// Package connlimit applies the decisions of a connection table to an ingress: it admits newcomers, closes the
-// connections evicted for them, and regularly evicts those that exceed a limit.
+// Package connlimit applies the decisions of a connection table to an ingress: it admits new connections, closes the
+// connections evicted for them, and periodically evicts those that exceed a limit.
 package connlimit
 
 import (
@@ -10,14 +10,15 @@
 	"brackendale/internal/timers"
 )
 
-// evictionsPerSweep bounds the connections that are closed in one go; the loop handles what has arrived before it
-// closes the next.
+// evictionsPerSweep is the number of connections that are closed at a time; the loop handles the input that has arrived
+// before it closes more.
 const evictionsPerSweep = 64
 
-// spareInterval is the time between checks for connections that are over a limit and were spared for what had arrived.
-const spareInterval = 25 * time.Millisecond
+// deferredInterval is the time between checks of the connections that are over a limit and whose eviction was deferred
+// because they had unhandled input.
+const deferredInterval = 25 * time.Millisecond
 
-// Limiter is the connection limit of one ingress. Its methods are for the loop's goroutine.
+// Limiter enforces the connection limits of one ingress. Its methods must be called on the loop's goroutine.
 type Limiter struct {
 	Table *conntable.Table
 
@@ -26,13 +27,13 @@
 	timer         timers.Timer // set while the table holds connections
 }
 
-// New makes a limiter that looks for connections over a limit at the given interval.
+// New returns a limiter that checks for connections over a limit at the given interval.
 func New(r *reactor.Reactor, table *conntable.Table, sweepInterval time.Duration) *Limiter {
 	return &Limiter{Table: table, reactor: r, sweepInterval: sweepInterval}
 }
 
-// Admit enters a newcomer into the table and closes the connection that is evicted for it. It returns false if
-// there is no room; the caller closes the newcomer.
+// Admit adds a new connection to the table and closes the connection that is evicted for it. It returns false if the
+// new connection is rejected; the caller then closes it.
 func (l *Limiter) Admit(entry *conntable.Entry, owner conntable.Owner, conn *reactor.Conn) bool {
 	victim, _, ok := l.Table.Admit(entry, owner, conn.From(), l.reactor.Now())
 	if victim != nil {
@@ -44,15 +45,15 @@
 	return ok
 }
 
-// Due evicts the connections over a limit; it is the timer's callback. A connection is spared until what had arrived at
-// its limit was handled, and after a pause of the process nobody is evicted for a while: the requests may have arrived
-// during it.
+// Due evicts the connections over a limit; it is the timer's callback. The eviction of a connection is deferred until
+// the input that had arrived when it reached its limit is handled. Shortly after a pause of the process no connection
+// is evicted, because requests may have arrived during the pause.
 func (l *Limiter) Due(*timers.Timer) {
 	next, slack := l.sweepInterval, timers.Coarse
 	if !l.reactor.Stalled() && l.Table.Expire(l.reactor.Now(), evictionsPerSweep, conntable.Unread, conntable.End) {
 		next, slack = 0, timers.Soft
 	} else if l.Table.Spared() > 0 {
-		next, slack = spareInterval, timers.Soft
+		next, slack = deferredInterval, timers.Soft
 	}
 	if l.Table.Len() > 0 {
 		l.reactor.Arm(&l.timer, next, slack, l)
--- a/internal/net/conntable/entry.go
+++ b/internal/net/conntable/entry.go
@@ -5,115 +5,116 @@
 	"time"
 )
 
-// Class is what a connection is doing.
+// Class is the activity of a connection.
 type Class uint8
 
-// The classes. A request is open until its answer was written.
+// The classes. A request is open until its reply has been written.
 const (
-	Fresh   Class = iota // it has sent no complete first frame, or is in its handshake
-	Idle                 // no request is open, and its client repeats a request that crosses the close
-	Held                 // no request is open, but its protocol promises that the connection stays
-	Partial              // no request is open, and a frame has come in part
-	Stuck                // requests are open, and a frame has come in part
+	Fresh   Class = iota // no complete first frame has arrived, or the handshake is in progress
+	Idle                 // no request is open, and the client repeats a request that it sends while this side closes
+	Held                 // no request is open, but the protocol promises that the connection stays open
+	Partial              // no request is open, and part of a frame has arrived
+	Stuck                // requests are open, and part of a further frame has arrived
 	Busy                 // requests are open
 	classes = iota
 )
 
 var classNames = [classes]string{"fresh", "idle", "held", "partial", "stuck", "busy"}
 
-// String is the class's key in the console's reply.
+// String returns the class's key in the console's reply.
 func (c Class) String() string { return classNames[c] }
 
-// Reason is why a connection was evicted, or a newcomer not admitted.
+// Reason is the cause of an eviction, or of the rejection of a new connection.
 type Reason uint8
 
 // The reasons.
 const (
-	ForNewcomer Reason = iota // evicted for a newcomer
+	ForNewcomer Reason = iota // evicted to admit a new connection
 	Silent                    // no complete first frame within Limits.First
 	Slow                      // a frame was not complete within Limits.Whole
-	Unused                    // idle for Limits.Unused, or for Limits.Patience while little room is left
-	Lowered                   // the bound has been lowered
-	Full                      // a newcomer: there is no room and nobody may be evicted
-	Crowd                     // a newcomer: its address has too many connections
+	Unused                    // idle for Limits.Unused, or for Limits.Patience while the table is nearly full
+	Lowered                   // evicted because a connection limit was lowered
+	Full                      // rejected: the limit is reached and no connection may be evicted
+	Crowd                     // rejected: its address has too many connections
 	reasons     = iota
 
-	notSpared = ForNewcomer // in place of a limit, in the record of a connection that is not spared
+	notDeferred = ForNewcomer // Entry.reason of a connection whose eviction is not deferred
 )
 
 var reasonNames = [reasons]string{
 	"for a newcomer", "silent", "slow", "unused", "bound lowered", "no room", "too many of its address",
 }
 
-// String is the reason's key in the console's reply.
+// String returns the reason's key in the console's reply.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Owner is the connection that a record belongs to.
+// Owner is the connection that an entry belongs to.
 type Owner interface {
-	// Evict closes a connection that has left its table.
-	Evict(why Reason)
-	// MarkArrived marks the place in the peer's byte stream behind all that has arrived. known is false where that
-	// cannot be told for the moment.
-	MarkArrived() (known bool)
-	// MarkHandled tells whether all bytes before the mark were handled.
+	// Evict closes a connection that has been removed from its table.
+	Evict(reason Reason)
+	// MarkArrived records the position in the peer's byte stream after everything that has arrived. ok is false if
+	// that position cannot be determined at present.
+	MarkArrived() (ok bool)
+	// MarkHandled reports whether all bytes before the recorded position have been handled.
 	MarkHandled() bool
 }
 
-// Entry is one connection's record, 64 bytes. It is a field of its owner and must not be copied.
+// Entry is the table's record of one connection, 64 bytes. It is a field of its owner and must not be copied.
 type Entry struct {
-	prev, next *Entry // neighbors in the list of its class, or of the spared ones
-
-	table   *Table
-	owner   Owner
-	since   time.Duration // when it entered its class, on the owner's clock
-	origin  *origin       // nil where the address is not known
-	class   Class
-	why     Reason // of a spared one: the limit; notSpared
-	marked  bool   // of a spared one: what had arrived at its limit is marked
-	inTable bool
+	prev, next *Entry // neighbors in the list of its class, or in the list of deferred evictions
+
+	table     *Table
+	owner     Owner
+	enteredAt time.Duration // when it entered its class, on the owner's clock
+	source    *source       // nil if the peer's address is unknown
+	class     Class
+	reason    Reason // of a deferred eviction: the limit that was exceeded; otherwise notDeferred
+	marked    bool   // of a deferred eviction: the position of the input at that time was recorded
+	inTable   bool
 }
 
-// origin counts the connections of one address.
-type origin struct {
+// source counts the connections from one address.
+type source struct {
 	addr  netip.Addr
 	conns int
 }
 
-// Unread marks what has arrived of a connection, and tells whether some of it was not handled yet. Given to Expire as
-// keep, it spares a connection whose request arrived while the process paused or was overrun.
+// Unread records how much input of a connection has arrived, and reports whether some of it has not been handled.
+// Passed to Expire as shouldDefer, it keeps a connection open whose request arrived while the process was paused or
+// overloaded.
 func Unread(e *Entry) bool {
 	e.marked = e.owner.MarkArrived()
-	return e.unread()
+	return e.hasUnhandled()
 }
 
-// unread tells whether bytes are unhandled that had arrived when Unread was called last.
-func (e *Entry) unread() bool { return !e.marked || !e.owner.MarkHandled() }
+// hasUnhandled reports whether input that had arrived at the last call of Unread is still unhandled.
+func (e *Entry) hasUnhandled() bool { return !e.marked || !e.owner.MarkHandled() }
 
-// End evicts a connection; given to Expire as end.
-func End(e *Entry, why Reason) { e.owner.Evict(why) }
+// End closes an evicted connection; it is passed to Expire as onEvict.
+func End(e *Entry, reason Reason) { e.owner.Evict(reason) }
 
-// Move records what the connection does from now on, if it is in a table.
-func (e *Entry) Move(to Class, now time.Duration) {
+// Move records the connection's new class, if it is in a table.
+func (e *Entry) Move(newClass Class, now time.Duration) {
 	if e.inTable {
-		e.table.Move(e, to, now)
+		e.table.Move(e, newClass, now)
 	}
 }
 
-// Remove takes the connection out of its table, if it is in one.
+// Remove removes the connection from its table, if it is in one.
 func (e *Entry) Remove() {
 	if e.inTable {
 		e.table.Remove(e)
 	}
 }
 
-// Owner is the owner that Admit was given.
+// Owner returns the owner that was passed to Admit.
 func (e *Entry) Owner() Owner { return e.owner }
 
-// Class is what the connection is doing.
+// Class returns the connection's current class.
 func (e *Entry) Class() Class { return e.class }
 
-// Since is when it entered its class.
-func (e *Entry) Since() time.Duration { return e.since }
+// Since returns the time at which the connection entered its class.
+func (e *Entry) Since() time.Duration { return e.enteredAt }
 
-// In tells whether the connection is in a table.
+// In reports whether the connection is in a table.
 func (e *Entry) In() bool { return e.inTable }
--- a/internal/net/conntable/expire.go
+++ b/internal/net/conntable/expire.go
@@ -2,47 +2,51 @@
 
 import "time"
 
-// Expire evicts the connections that exceed a limit, at most budget of them, and calls end for each after it
-// has left the table. Where keep is not nil and returns true, the connection is spared: bytes that have arrived were
-// not handled yet. Once they were, a later call evicts it, unless it has changed its class by then; bytes that arrive
-// after the limit give it no more time. keep isn't called when the bound was lowered. more tells whether further
-// connections are due.
-func (t *Table) Expire(now time.Duration, budget int, keep func(*Entry) bool, end func(*Entry, Reason)) (more bool) {
-	budget -= t.evictSpared(budget, keep, end)
+// Expire evicts the connections that exceed a limit, at most budget of them. It calls onEvict for each, after removing
+// it from the table. If shouldDefer is not nil and returns true, because input that has arrived is still unhandled, the
+// eviction is deferred: a later call evicts the connection once that input has been handled, unless its class has
+// changed by then. Input that arrives after the limit was exceeded does not defer the eviction further. shouldDefer is
+// not called for connections that are evicted because a limit was lowered. more reports whether further connections
+// exceed a limit.
+func (t *Table) Expire(now time.Duration, budget int, shouldDefer func(*Entry) bool,
+	onEvict func(*Entry, Reason),
+) (more bool) {
+	budget -= t.evictDeferred(budget, shouldDefer, onEvict)
 	for ; ; budget-- {
-		e, why := t.due(now)
+		e, reason := t.nextOverLimit(now)
 		if e == nil {
 			return false
 		}
 		if budget <= 0 {
 			return true
 		}
-		if why != Lowered && keep != nil && keep(e) {
-			t.spare(e, why)
+		if reason != Lowered && shouldDefer != nil && shouldDefer(e) {
+			t.deferEviction(e, reason)
 			continue
 		}
-		t.evict(e, why)
-		end(e, why)
+		t.evict(e, reason)
+		onEvict(e, reason)
 	}
 }
 
-// spare moves a connection from the list of its class to that of the spared ones. Move takes it out of there.
-func (t *Table) spare(e *Entry, why Reason) {
+// deferEviction moves a connection from the list of its class to the list of deferred evictions. Move returns it to
+// the list of a class.
+func (t *Table) deferEviction(e *Entry, reason Reason) {
 	e.prev.next, e.next.prev = e.next, e.prev
-	e.why = why
-	t.spared.append(e)
-	t.sparedCount++
+	e.reason = reason
+	t.deferred.append(e)
+	t.deferredCount++
 }
 
-// evictSpared evicts the spared connections of which all was handled that had arrived at their limit, at most budget of
-// them, and returns their number.
-func (t *Table) evictSpared(budget int, keep func(*Entry) bool, end func(*Entry, Reason)) (evicted int) {
-	for e := t.spared.next; e != &t.spared && evicted < budget; {
+// evictDeferred evicts the deferred connections whose input from before their limit has all been handled, at most
+// budget of them, and returns their number.
+func (t *Table) evictDeferred(budget int, shouldDefer func(*Entry) bool, onEvict func(*Entry, Reason)) (evicted int) {
+	for e := t.deferred.next; e != &t.deferred && evicted < budget; {
 		next := e.next
-		if keep == nil || !t.stillUnread(e, keep) {
-			why := e.why
-			t.evict(e, why)
-			end(e, why)
+		if shouldDefer == nil || !t.staysDeferred(e, shouldDefer) {
+			reason := e.reason
+			t.evict(e, reason)
+			onEvict(e, reason)
 			evicted++
 		}
 		e = next
@@ -50,23 +54,24 @@
 	return evicted
 }
 
-// stillUnread tells whether a spared connection stays spared.
-func (t *Table) stillUnread(e *Entry, keep func(*Entry) bool) bool {
+// staysDeferred reports whether the eviction of a connection remains deferred.
+func (t *Table) staysDeferred(e *Entry, shouldDefer func(*Entry) bool) bool {
 	if e.marked {
-		return e.unread()
+		return e.hasUnhandled()
 	}
-	return keep(e)
+	return shouldDefer(e)
 }
 
-// Spared is the number of connections over a limit that have to be looked at again soon.
-func (t *Table) Spared() int { return t.sparedCount }
+// Spared returns the number of deferred evictions; while it is not 0, Expire has to be called again soon.
+func (t *Table) Spared() int { return t.deferredCount }
 
-// due is the next connection that exceeds a limit, and the reason for its eviction; nil if there is none.
-func (t *Table) due(now time.Duration) (*Entry, Reason) {
+// nextOverLimit returns the next connection that exceeds a limit and the reason for its eviction, or nil if there is
+// none.
+func (t *Table) nextOverLimit(now time.Duration) (*Entry, Reason) {
 	timeouts := [...]struct {
-		class Class
-		limit time.Duration
-		why   Reason
+		class  Class
+		limit  time.Duration
+		reason Reason
 	}{
 		{Partial, t.limits.Whole, Slow},
 		{Stuck, t.limits.Whole, Slow},
@@ -76,7 +81,7 @@
 	}
 	for _, timeout := range timeouts {
 		if e := t.overdue(timeout.class, timeout.limit, now); e != nil {
-			return e, timeout.why
+			return e, timeout.reason
 		}
 	}
 	if t.limits.Keep < 1 && float64(t.size) > t.limits.Keep*float64(t.limits.Most) {
@@ -84,7 +89,7 @@
 			return e, Unused
 		}
 	}
-	if t.size > t.limits.Most || t.room.used > t.room.most {
+	if t.size > t.limits.Most || t.room.used > t.room.maxConns {
 		for _, class := range [...]Class{Idle, Fresh, Held, Partial} {
 			if e := t.front(class); e != nil {
 				return e, Lowered
@@ -94,9 +99,10 @@
 	return nil, 0
 }
 
-// overdue is the oldest connection of a class if it has been in it for the limit; a limit of 0 is none.
+// overdue returns the oldest connection of a class if it has been in that class for at least limit, and nil otherwise.
+// A limit of 0 means none.
 func (t *Table) overdue(class Class, limit, now time.Duration) *Entry {
-	if e := t.front(class); e != nil && limit > 0 && now-e.since >= limit {
+	if e := t.front(class); e != nil && limit > 0 && now-e.enteredAt >= limit {
 		return e
 	}
 	return nil
--- a/internal/net/conntable/golden_test.go
+++ b/internal/net/conntable/golden_test.go
@@ -8,9 +8,9 @@
 	"brackendale/internal/testing/golden"
 )
 
-// The words for classes and reasons are keys of the console's reply. After a change that is meant,
-// go test ./internal/net/conntable -run Golden -update-golden writes them anew.
-func TestGoldenWords(t *testing.T) {
+// The names of classes and reasons are keys of the console's reply. After an intended change,
+// go test ./internal/net/conntable -run Golden -update-golden rewrites the golden file.
+func TestGoldenNames(t *testing.T) {
 	var out strings.Builder
 	for c := range Class(classes) {
 		fmt.Fprintf(&out, "class %s\n", c)
--- a/internal/net/conntable/list.go
+++ b/internal/net/conntable/list.go
@@ -1,8 +1,8 @@
 package conntable
 
-// The methods of an entry that is the sentinel of a circular list.
+// The methods of an entry that serves as the sentinel of a circular list.
 
-// makeEmpty makes the sentinel's list one without entries.
+// makeEmpty initializes the list without entries.
 func (sentinel *Entry) makeEmpty() { sentinel.prev, sentinel.next = sentinel, sentinel }
 
 // append adds an entry at the end of the list.
@@ -12,7 +12,7 @@
 	sentinel.prev = e
 }
 
-// each calls visit for each entry; visit may remove the one that it is given.
+// each calls visit for each entry; visit may remove the entry that it is given.
 func (sentinel *Entry) each(visit func(*Entry)) {
 	for e := sentinel.next; e != sentinel; {
 		next := e.next
--- a/internal/net/conntable/table.go
+++ b/internal/net/conntable/table.go
@@ -1,11 +1,12 @@
-// Package conntable keeps the table of connections and decides which one is evicted when room is short. It does
-// no I/O and reads no clock: the owner reports what a connection does and when, and closes the connections that
-// the table evicts. Times are durations on the owner's monotonic clock. All calls on the tables of one Room are
-// for one goroutine.
+// Package conntable keeps the table of connections and decides which one is evicted when a connection limit is
+// reached. It does no I/O and reads no clock: the owner reports the class of each connection and the time at which it
+// changes, and closes the connections that the table evicts. Times are durations on the owner's monotonic clock. The
+// tables that share one Room are together not safe for concurrent use.
 //
-// Each connection is in one list, that of its class, in the order in which they entered it. The next one to
-// expire or to be evicted is thus at the front of a list, and nothing is searched: the cost of a call doesn't
-// grow with the number of connections, but for Expire and Each, which cost what they evict and visit.
+// Each connection is in one list, that of its class, ordered by the time at which it entered the class. The next
+// connection to expire or to be evicted is thus at the front of a list, and no list is searched: the cost of a call
+// does not grow with the number of connections, except for Expire and Each, whose cost is proportional to the
+// connections that they evict or visit.
 package conntable
 
 import (
@@ -14,93 +15,93 @@
 	"time"
 )
 
-// Limits bound one table. A time of 0 is no limit.
+// Limits are the connection limits of one table. A duration of 0 means no limit.
 type Limits struct {
-	Most    int     // connections
-	PerAddr int     // connections of one address; 0: any number
-	Keep    float64 // share of Most above which connections idle for Patience are evicted; 1: never
-
-	Patience time.Duration // a connection idle for so long is evicted before all others
-	Grace    time.Duration // so does a newcomer that has been silent for so long
-	First    time.Duration // until the first complete frame
-	Whole    time.Duration // for one frame, from its first byte to its last
-	Unused   time.Duration // idle
+	Most    int     // the number of connections
+	PerAddr int     // the number of connections from one address; 0: no limit
+	Keep    float64 // the share of Most above which connections idle for Patience are evicted; 1: never
+
+	Patience time.Duration // a connection that has been idle or partial for this long is among the first to be evicted
+	Grace    time.Duration // so is a connection that has been open for this long without a complete frame
+	First    time.Duration // from the accept to the first complete frame
+	Whole    time.Duration // from the first byte of a frame to its last
+	Unused   time.Duration // without an open request
 }
 
-// Room is the bound that several tables share: descriptors.
+// Room is the connection limit that several tables share, which is set by the process's file descriptors.
 type Room struct {
-	most   int
-	used   int
-	tables []*Table
+	maxConns int
+	used     int
+	tables   []*Table
 }
 
-// NewRoom makes room for the given number of connections.
-func NewRoom(most int) *Room { return &Room{most: most} }
+// NewRoom returns a shared limit of the given number of connections.
+func NewRoom(maxConns int) *Room { return &Room{maxConns: maxConns} }
 
-// SetMost changes the bound. Expire evicts the connections above it.
-func (r *Room) SetMost(most int) { r.most = most }
+// SetMost changes the limit. Expire evicts the connections above it.
+func (r *Room) SetMost(maxConns int) { r.maxConns = maxConns }
 
-// Most is the bound.
-func (r *Room) Most() int { return r.most }
+// Most returns the limit.
+func (r *Room) Most() int { return r.maxConns }
 
-// Used is the number of connections in all tables.
+// Used returns the number of connections in all tables.
 func (r *Room) Used() int { return r.used }
 
-// Table holds the connections of one ingress or of the egresses.
+// Table holds the connections of one ingress, or those of the egresses.
 type Table struct {
 	room   *Room
 	limits Limits
 
-	lists   [classes]Entry // sentinels of circular lists
-	spared  Entry          // sentinel of the list of those over a limit of which something is unread
-	counts  [classes]int
-	size    int
-	origins map[netip.Addr]*origin
+	lists    [classes]Entry // sentinels of circular lists
+	deferred Entry          // sentinel of the list of deferred evictions: over a limit, with unhandled input
+	counts   [classes]int
+	size     int
+	sources  map[netip.Addr]*source
 
-	sparedCount int
+	deferredCount int
 
-	evicted  [reasons]uint64 // also newcomers that were not admitted
+	evicted  [reasons]uint64 // includes new connections that were rejected
 	admitted uint64
 }
 
-// NewTargets adds a table of dialed connections: idle ones are evicted, the oldest first, and only the room bounds
-// their number.
+// NewTargets adds a table of dialed connections. Only the shared limit applies to them, and idle ones are evicted, the
+// oldest first.
 func (r *Room) NewTargets() *Table { return r.NewTable(Limits{Most: math.MaxInt, Keep: 1}) }
 
-// NewTable adds a table.
+// NewTable adds a table with its own limits to those that share r.
 func (r *Room) NewTable(limits Limits) *Table {
-	t := &Table{room: r, limits: limits, origins: map[netip.Addr]*origin{}}
+	t := &Table{room: r, limits: limits, sources: map[netip.Addr]*source{}}
 	for i := range t.lists {
 		t.lists[i].makeEmpty()
 	}
-	t.spared.makeEmpty()
+	t.deferred.makeEmpty()
 	r.tables = append(r.tables, t)
 	return t
 }
 
-// SetLimits changes the limits. Expire evicts the connections above them.
+// SetLimits changes the limits. Expire evicts the connections that exceed them.
 func (t *Table) SetLimits(limits Limits) { t.limits = limits }
 
-// Len is the number of connections.
+// Len returns the number of connections.
 func (t *Table) Len() int { return t.size }
 
-// Counts is the number of connections of each class.
+// Counts returns the number of connections in each class.
 func (t *Table) Counts() [classes]int { return t.counts }
 
 // Stats is the console's reply about a table.
 type Stats struct {
 	Open  int            `json:"open"`
-	Most  int            `json:"most"`  // the table's own limit, or the room's if that is lower
-	Doing map[string]int `json:"doing"` // connections by class
-	Came  uint64         `json:"came"`  // admitted newcomers
-	Gone  map[string]int `json:"gone"`  // evicted connections and newcomers not admitted, by reason
+	Most  int            `json:"most"`  // the table's own limit, or the shared one if that is lower
+	Doing map[string]int `json:"doing"` // open connections by class
+	Came  uint64         `json:"came"`  // connections admitted since the start
+	Gone  map[string]int `json:"gone"`  // connections evicted or rejected since the start, by reason
 }
 
-// Stats returns the table's figures.
+// Stats returns the table's statistics.
 func (t *Table) Stats() Stats {
 	stats := Stats{
 		Open:  t.size,
-		Most:  min(t.limits.Most, t.room.most),
+		Most:  min(t.limits.Most, t.room.maxConns),
 		Doing: map[string]int{},
 		Came:  t.admitted,
 		Gone:  map[string]int{},
@@ -118,24 +119,24 @@
 	return stats
 }
 
-// Each calls visit for each connection; visit may remove the connection that it is given.
+// Each calls visit for each connection; visit may remove the connection that it is given from the table.
 func (t *Table) Each(visit func(*Entry)) {
 	for i := range t.lists {
 		t.lists[i].each(visit)
 	}
-	t.spared.each(visit)
+	t.deferred.each(visit)
 }
 
-// Admit enters a newcomer, as Fresh. victim, if not nil, has left its table to make room, and the caller closes
-// it. ok is false if the newcomer is not admitted, for the reason given.
-func (t *Table) Admit(entry *Entry, owner Owner, from netip.Addr, now time.Duration) (
-	victim *Entry, why Reason, ok bool,
+// Admit adds a new connection, as Fresh. A victim that is not nil was evicted for it and removed from its table; the
+// caller closes it. If ok is false, the new connection was rejected for the returned reason.
+func (t *Table) Admit(entry *Entry, owner Owner, peerAddr netip.Addr, now time.Duration) (
+	victim *Entry, reason Reason, ok bool,
 ) {
-	if t.crowded(from) {
+	if t.addressLimitReached(peerAddr) {
 		t.evicted[Crowd]++
 		return nil, Crowd, false
 	}
-	tableFull, roomFull := t.size >= t.limits.Most, t.room.used >= t.room.most
+	tableFull, roomFull := t.size >= t.limits.Most, t.room.used >= t.room.maxConns
 	switch {
 	case tableFull:
 		victim = t.chooseVictim(now)
@@ -149,10 +150,10 @@
 	if victim != nil {
 		victim.table.evict(victim, ForNewcomer)
 	}
-	if from.IsValid() {
-		entry.origin = t.countOrigin(from)
+	if peerAddr.IsValid() {
+		entry.source = t.countSource(peerAddr)
 	}
-	entry.table, entry.owner, entry.since, entry.class, entry.inTable = t, owner, now, Fresh, true
+	entry.table, entry.owner, entry.enteredAt, entry.class, entry.inTable = t, owner, now, Fresh, true
 	t.link(entry)
 	t.size++
 	t.room.used++
@@ -160,24 +161,24 @@
 	return victim, 0, true
 }
 
-// crowded tells whether an address has as many connections as one may have.
-func (t *Table) crowded(from netip.Addr) bool {
-	if t.limits.PerAddr <= 0 || !from.IsValid() {
+// addressLimitReached reports whether an address has as many connections as the limit allows.
+func (t *Table) addressLimitReached(peerAddr netip.Addr) bool {
+	if t.limits.PerAddr <= 0 || !peerAddr.IsValid() {
 		return false
 	}
-	known := t.origins[from]
-	return known != nil && known.conns >= t.limits.PerAddr
+	src := t.sources[peerAddr]
+	return src != nil && src.conns >= t.limits.PerAddr
 }
 
-// countOrigin counts one more connection of an address.
-func (t *Table) countOrigin(from netip.Addr) *origin {
-	known := t.origins[from]
-	if known == nil {
-		known = &origin{addr: from}
-		t.origins[from] = known
+// countSource counts one more connection from an address.
+func (t *Table) countSource(peerAddr netip.Addr) *source {
+	src := t.sources[peerAddr]
+	if src == nil {
+		src = &source{addr: peerAddr}
+		t.sources[peerAddr] = src
 	}
-	known.conns++
-	return known
+	src.conns++
+	return src
 }
 
 // link appends a connection to the list of its class.
@@ -186,28 +187,28 @@
 	t.counts[e.class]++
 }
 
-// unlink takes a connection out of the list of its class, or of the spared ones.
+// unlink removes a connection from the list of its class, or from the list of deferred evictions.
 func (t *Table) unlink(e *Entry) {
 	e.prev.next, e.next.prev = e.next, e.prev
 	t.counts[e.class]--
-	if e.why != notSpared {
-		e.why = notSpared
-		t.sparedCount--
+	if e.reason != notDeferred {
+		e.reason = notDeferred
+		t.deferredCount--
 	}
 }
 
-// Move records what a connection does from now on, and appends it to the list of that class, also where the class
-// is the one it has. A connection that is no longer in the table is ignored.
-func (t *Table) Move(e *Entry, to Class, now time.Duration) {
+// Move records the connection's new class and appends it to the list of that class, even if its class stays the same.
+// A connection that is no longer in the table is ignored.
+func (t *Table) Move(e *Entry, newClass Class, now time.Duration) {
 	if !e.inTable {
 		return
 	}
 	t.unlink(e)
-	e.class, e.since = to, now
+	e.class, e.enteredAt = newClass, now
 	t.link(e)
 }
 
-// Remove takes a connection out, if it is in the table.
+// Remove removes a connection, if it is in the table.
 func (t *Table) Remove(entry *Entry) {
 	if !entry.inTable {
 		return
@@ -215,16 +216,16 @@
 	t.unlink(entry)
 	t.size--
 	t.room.used--
-	if known := entry.origin; known != nil {
-		if known.conns--; known.conns == 0 {
-			delete(t.origins, known.addr)
+	if src := entry.source; src != nil {
+		if src.conns--; src.conns == 0 {
+			delete(t.sources, src.addr)
 		}
 	}
-	entry.inTable, entry.prev, entry.next, entry.origin = false, nil, nil, nil
+	entry.inTable, entry.prev, entry.next, entry.source = false, nil, nil, nil
 }
 
-// evict removes a connection and counts the reason. The caller closes it.
-func (t *Table) evict(e *Entry, why Reason) {
+// evict removes a connection and counts the reason. The caller closes the connection.
+func (t *Table) evict(e *Entry, reason Reason) {
 	t.Remove(e)
-	t.evicted[why]++
+	t.evicted[reason]++
 }
--- a/internal/net/conntable/table_test.go
+++ b/internal/net/conntable/table_test.go
@@ -14,105 +14,109 @@
 
 func TestMain(m *testing.M) { testkit.Seeded(m, "100") }
 
-// fake is a connection that only writes down how it went.
-type fake struct {
+// fakeConn is a connection that records how often and why it was evicted.
+type fakeConn struct {
 	Entry
-	from    netip.Addr
-	gone    int
-	reason  Reason
-	sent    int64 // bytes that have arrived
-	read    int64 // of them, those that were handled
-	mark    int64
-	unsure  bool  // what has arrived can't be told
-	atLimit int64 // what had arrived when it was found over a limit; of the model
-	isOver  bool  // it was found over a limit; of the model
+	peerAddr    netip.Addr
+	evictions   int
+	evictReason Reason
+	sent        int64 // bytes that have arrived
+	read        int64 // of these, the bytes that were handled
+	mark        int64
+	unknown     bool  // the number of bytes that have arrived cannot be determined
+	sentAtLimit int64 // in the model: bytes that had arrived when it was found over a limit
+	overLimit   bool  // in the model: it was found over a limit
 }
 
-func (f *fake) Evict(why Reason)  { f.gone, f.reason = f.gone+1, why }
-func (f *fake) MarkArrived() bool { f.mark = f.sent; return !f.unsure }
-func (f *fake) MarkHandled() bool { return f.read >= f.mark }
+func (f *fakeConn) Evict(reason Reason) { f.evictions, f.evictReason = f.evictions+1, reason }
+func (f *fakeConn) MarkArrived() bool   { f.mark = f.sent; return !f.unknown }
+func (f *fakeConn) MarkHandled() bool   { return f.read >= f.mark }
 
 var limits = Limits{
 	Most: 3, Keep: 0.75, Patience: 2 * time.Second, Grace: 100 * time.Millisecond, First: 2 * time.Second,
 	Whole: 2 * time.Second,
 }
 
-// Newcomers of one moment took each other's places before their first commands were read.
-func TestNewcomersSpareEachOther(t *testing.T) {
+// Connections that were opened at the same time were evicted for each other before their first commands were read.
+// Those past their grace period and the recently active ones are to be evicted before them.
+func TestNewConnectionsDoNotEvictEachOther(t *testing.T) {
 	tb := NewRoom(4).NewTable(Limits{Most: 4, Patience: limits.Patience, Grace: limits.Grace})
-	list := make([]fake, 6)
-	at := func(i int, d time.Duration) *Entry {
+	list := make([]fakeConn, 6)
+	admitted := func(i int, d time.Duration) *Entry {
 		e := &list[i].Entry
-		if v, _, ok := tb.Admit(e, &list[i], netip.Addr{}, d); v != nil || !ok {
-			t.Fatal("no room", i)
+		if victim, _, ok := tb.Admit(e, &list[i], netip.Addr{}, d); victim != nil || !ok {
+			t.Fatal("not admitted, or another connection was evicted:", i)
 		}
 		return e
 	}
-	silent, asked := at(0, 0), at(1, 0)
-	tb.Move(asked, Idle, time.Second)
-	fresh, newer := at(2, time.Second), at(3, time.Second)
-	for i, want := range []*Entry{silent, asked, fresh, newer} {
+	withoutFrame, withRequest := admitted(0, 0), admitted(1, 0)
+	tb.Move(withRequest, Idle, time.Second)
+	fresh, newest := admitted(2, time.Second), admitted(3, time.Second)
+	for i, want := range []*Entry{withoutFrame, withRequest, fresh, newest} {
 		if got := tb.chooseVictim(time.Second + 50*time.Millisecond); got != want {
-			t.Fatal("another one would go, in turn", i)
+			t.Fatal("another connection would be evicted as number", i)
 		}
 		tb.Remove(want)
 	}
 }
 
-// What is open, or promised to stay, is never evicted for a newcomer; a newcomer's rejection has a reason.
-func TestTurnedAway(t *testing.T) {
+// Connections with open requests, and those that the protocol promises to keep, are never evicted for a new one; the
+// rejection of a new connection has a reason.
+func TestOpenRequestsAreNotEvicted(t *testing.T) {
 	room := NewRoom(3)
 	lim := limits
 	lim.PerAddr = 2
 	a, b := room.NewTable(lim), room.NewTable(lim)
-	one, two := netip.MustParseAddr("127.0.0.1"), netip.MustParseAddr("127.0.0.2")
-	list := make([]fake, 9)
-	admit := func(tb *Table, i int, from netip.Addr) (*Entry, Reason, bool) {
-		return tb.Admit(&list[i].Entry, &list[i], from, time.Duration(i))
+	firstAddr, secondAddr := netip.MustParseAddr("127.0.0.1"), netip.MustParseAddr("127.0.0.2")
+	list := make([]fakeConn, 9)
+	admit := func(tb *Table, i int, peerAddr netip.Addr) (*Entry, Reason, bool) {
+		return tb.Admit(&list[i].Entry, &list[i], peerAddr, time.Duration(i))
 	}
 	for i, c := range []Class{Busy, Held} {
-		admit(a, i, one)
+		admit(a, i, firstAddr)
 		a.Move(&list[i].Entry, c, time.Duration(i))
 	}
-	if _, why, ok := admit(a, 2, one); ok || why != Crowd {
-		t.Fatal(why, ok)
+	if _, reason, ok := admit(a, 2, firstAddr); ok || reason != Crowd {
+		t.Fatal(reason, ok)
 	}
-	admit(b, 3, two)
+	admit(b, 3, secondAddr)
 	b.Move(&list[3].Entry, Stuck, 3)
-	if v, why, ok := admit(a, 4, two); ok || why != Full || v != nil {
-		t.Fatal(v, why, ok)
+	if victim, reason, ok := admit(a, 4, secondAddr); ok || reason != Full || victim != nil {
+		t.Fatal(victim, reason, ok)
 	}
-	b.Move(&list[3].Entry, Idle, 4) // of the other table, but of the same room
-	if v, _, ok := admit(a, 5, two); !ok || v != &list[3].Entry || b.Len() != 0 || room.Used() != 3 {
-		t.Fatal(v, ok)
+	b.Move(&list[3].Entry, Idle, 4) // in the other table, which shares the limit
+	if victim, _, ok := admit(a, 5, secondAddr); !ok || victim != &list[3].Entry || b.Len() != 0 || room.Used() != 3 {
+		t.Fatal(victim, ok)
 	}
 }
 
-// A lowered bound is reached from the idle on, in portions, and never ends what is open.
-func TestLowered(t *testing.T) {
+// After a limit was lowered, connections are evicted in batches, the idle ones first, and never those with open
+// requests.
+func TestLoweredLimit(t *testing.T) {
 	room := NewRoom(100)
 	tb := room.NewTable(Limits{Most: 100, Keep: 1})
-	list := make([]fake, 100)
+	list := make([]fakeConn, 100)
 	for i := range list {
 		tb.Admit(&list[i].Entry, &list[i], netip.Addr{}, 0)
 		tb.Move(&list[i].Entry, []Class{Idle, Held, Busy, Partial}[i%4], 0)
 	}
 	room.SetMost(10)
-	rounds := 0
+	calls := 0
 	for tb.Expire(1, 16, nil, End) {
-		rounds++
+		calls++
 	}
-	if tb.Len() != 25 || tb.Counts()[Busy] != 25 || rounds != 4 {
-		t.Fatal(tb.Len(), tb.Counts(), rounds)
+	if tb.Len() != 25 || tb.Counts()[Busy] != 25 || calls != 4 {
+		t.Fatal(tb.Len(), tb.Counts(), calls)
 	}
-	tb.Move(&list[2].Entry, Idle, 2) // answered: now it goes
-	if tb.Expire(2, 16, nil, End); tb.Len() != 24 || list[2].gone != 1 {
+	tb.Move(&list[2].Entry, Idle, 2) // its request was answered, so it may be evicted
+	if tb.Expire(2, 16, nil, End); tb.Len() != 24 || list[2].evictions != 1 {
 		t.Fatal(tb.Len())
 	}
 }
 
-// Against a plain slice: the counts, the room, who goes for a newcomer and who expires. Who is over a limit is spared
-// until what had arrived by then is read, and no longer for what comes later.
+// Compares the table with a model that is a plain slice: the counts, the limits, which connection is evicted for a new
+// one and which expire. The eviction of a connection over a limit is deferred until the input that had arrived by then
+// is read, and not for input that arrives later.
 func TestAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		room := NewRoom(rapid.IntRange(1, 6).Draw(t, "room"))
@@ -120,19 +124,19 @@
 		lim.Unused = rapid.SampledFrom([]time.Duration{0, 5 * time.Second}).Draw(t, "unused")
 		lim.PerAddr = rapid.IntRange(0, 3).Draw(t, "per address")
 		tables := []*Table{room.NewTable(lim), room.NewTable(lim)}
-		var live []*fake
+		var live []*fakeConn
 		now := time.Duration(0)
-		drop := func(f *fake) {
-			for i, o := range live {
-				if o == f {
+		drop := func(f *fakeConn) {
+			for i, other := range live {
+				if other == f {
 					live = append(live[:i:i], live[i+1:]...)
 					return
 				}
 			}
-			t.Fatal("ended, and not there")
+			t.Fatal("evicted a connection that is not in the table")
 		}
-		kind := func(f *fake) int { // in the order in which they give way
-			age := now - f.since
+		rank := func(f *fakeConn) int { // the order of eviction; 9: never
+			age := now - f.enteredAt
 			switch {
 			case f.class >= Stuck || f.class == Held:
 				return 9
@@ -146,38 +150,38 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"admit": func(t *rapid.T) {
 				tb := tables[rapid.IntRange(0, 1).Draw(t, "table")]
-				f := &fake{from: netip.AddrFrom4([4]byte{127, 0, 0, byte(rapid.IntRange(1, 2).Draw(t, "from"))})}
-				n, same := 0, 0
-				for _, o := range live {
-					if o.table == tb {
-						if n++; o.from == f.from {
-							same++
+				f := &fakeConn{peerAddr: netip.AddrFrom4([4]byte{127, 0, 0, byte(rapid.IntRange(1, 2).Draw(t, "from"))})}
+				n, sameAddr := 0, 0
+				for _, other := range live {
+					if other.table == tb {
+						if n++; other.peerAddr == f.peerAddr {
+							sameAddr++
 						}
 					}
 				}
-				crowd := lim.PerAddr > 0 && same >= lim.PerAddr
-				full := n >= lim.Most || len(live) >= room.most
-				best := 9
-				for _, o := range live {
-					if o.table == tb || n < lim.Most {
-						best = min(best, kind(o))
+				addressFull := lim.PerAddr > 0 && sameAddr >= lim.PerAddr
+				full := n >= lim.Most || len(live) >= room.maxConns
+				lowest := 9
+				for _, other := range live {
+					if other.table == tb || n < lim.Most {
+						lowest = min(lowest, rank(other))
 					}
 				}
-				v, _, ok := tb.Admit(&f.Entry, f, f.from, now)
-				if ok == (crowd || full && best == 9) || (v != nil) != (ok && full) {
-					t.Fatal("ok", ok, "victim", v != nil, "crowd", crowd, "full", full, "best", best)
+				victim, _, ok := tb.Admit(&f.Entry, f, f.peerAddr, now)
+				if ok == (addressFull || full && lowest == 9) || (victim != nil) != (ok && full) {
+					t.Fatal("ok", ok, "victim", victim != nil, "address full", addressFull, "full", full, "lowest", lowest)
 				}
-				if v != nil {
-					o := v.owner.(*fake)
-					if kind(o) != best {
-						t.Fatal("another should have gone")
+				if victim != nil {
+					other := victim.owner.(*fakeConn)
+					if rank(other) != lowest {
+						t.Fatal("a connection of a lower rank should have been evicted")
 					}
-					for _, p := range live {
-						if (p.table == tb || n < lim.Most) && kind(p) == best && p.since < o.since {
-							t.Fatal("an older one should have gone")
+					for _, another := range live {
+						if (another.table == tb || n < lim.Most) && rank(another) == lowest && another.enteredAt < other.enteredAt {
+							t.Fatal("an older connection should have been evicted")
 						}
 					}
-					drop(o)
+					drop(other)
 				}
 				if ok {
 					live = append(live, f)
@@ -186,7 +190,7 @@
 			"move": func(t *rapid.T) {
 				if len(live) > 0 {
 					f := live[rapid.IntRange(0, len(live)-1).Draw(t, "i")]
-					f.isOver = false
+					f.overLimit = false
 					f.table.Move(&f.Entry, Class(rapid.IntRange(0, int(classes)-1).Draw(t, "to")), now)
 				}
 			},
@@ -213,37 +217,37 @@
 			"expire": func(t *rapid.T) {
 				now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
 				for _, tb := range tables {
-					tb.Expire(now, 100, Unread, func(e *Entry, why Reason) {
-						f := e.owner.(*fake)
+					tb.Expire(now, 100, Unread, func(e *Entry, reason Reason) {
+						f := e.owner.(*fakeConn)
 						arrived := f.sent
-						if f.isOver {
-							arrived = f.atLimit
+						if f.overLimit {
+							arrived = f.sentAtLimit
 						}
-						if f.read < arrived || now-e.since < lim.Patience || e.class == Busy {
-							t.Fatal("ended too early:", why)
+						if f.read < arrived || now-e.enteredAt < lim.Patience || e.class == Busy {
+							t.Fatal("evicted too early:", reason)
 						}
 						drop(f)
 					})
 				}
 				for _, f := range live {
-					if f.why != notSpared && !f.isOver {
-						f.isOver, f.atLimit = true, f.sent
+					if f.reason != notDeferred && !f.overLimit {
+						f.overLimit, f.sentAtLimit = true, f.sent
 					}
-					if (f.class == Fresh || f.class == Partial || f.class == Stuck) && now-f.since >= 2*time.Second &&
-						(!f.isOver || f.read >= f.atLimit) {
-						t.Fatal("forgotten", f.class)
+					if (f.class == Fresh || f.class == Partial || f.class == Stuck) && now-f.enteredAt >= 2*time.Second &&
+						(!f.overLimit || f.read >= f.sentAtLimit) {
+						t.Fatal("over its limit and not evicted:", f.class)
 					}
 				}
 			},
 			"": func(t *rapid.T) {
-				if room.Used() != len(live) || tables[0].Len()+tables[1].Len() != len(live) || room.Used() > room.most {
+				if room.Used() != len(live) || tables[0].Len()+tables[1].Len() != len(live) || room.Used() > room.maxConns {
 					t.Fatal(room.Used(), tables[0].Len(), tables[1].Len(), len(live))
 				}
 				for _, tb := range tables {
 					n := 0
 					tb.Each(func(*Entry) { n++ })
-					if len(tb.origins) > n || n != tb.Len() {
-						t.Fatal("addresses are kept of nobody")
+					if len(tb.sources) > n || n != tb.Len() {
+						t.Fatal("the table counts addresses without a connection, or its length is wrong")
 					}
 				}
 			},
@@ -251,60 +255,61 @@
 	})
 }
 
-// A connection that is over its limit is given time for what had arrived by then, and none for what it sends later; one
-// that makes progress is over no limit. Where it cannot be told what has arrived, it is asked again.
-func TestSparedForWhatHadArrived(t *testing.T) {
+// The eviction of a connection over its limit is deferred for the input that had arrived by then, and not for input
+// that it sends later; a connection that completes its frame is no longer over the limit. While the amount of input
+// that has arrived cannot be determined, MarkArrived is called again.
+func TestDeferredEviction(t *testing.T) {
 	tb := NewRoom(4).NewTable(limits)
-	slow, late, unsure := &fake{sent: 2, read: 1}, &fake{sent: 2, read: 1}, &fake{unsure: true}
-	for _, f := range []*fake{slow, late, unsure} {
+	slow, progressing, unknown := &fakeConn{sent: 2, read: 1}, &fakeConn{sent: 2, read: 1}, &fakeConn{unknown: true}
+	for _, f := range []*fakeConn{slow, progressing, unknown} {
 		tb.Admit(&f.Entry, f, netip.Addr{}, 0)
 		tb.Move(&f.Entry, Partial, 0)
 	}
-	expire := func(want ...*fake) {
+	expire := func(want ...*fakeConn) {
 		t.Helper()
 		tb.Expire(2*time.Second, 16, Unread, End)
-		for _, f := range []*fake{slow, late, unsure} {
-			gone := 0
+		for _, f := range []*fakeConn{slow, progressing, unknown} {
+			evictions := 0
 			if slices.Contains(want, f) {
-				gone = 1
+				evictions = 1
 			}
-			if f.gone != gone {
-				t.Fatal(f.gone, "times evicted, not", gone)
+			if f.evictions != evictions {
+				t.Fatal(f.evictions, "times evicted, not", evictions)
 			}
-			if gone == 1 && f.reason != Slow {
-				t.Fatal(f.reason)
+			if evictions == 1 && f.evictReason != Slow {
+				t.Fatal(f.evictReason)
 			}
 		}
 	}
 	expire()
 	if got := tb.chooseVictim(2 * time.Second); got != &slow.Entry || tb.Spared() != 3 || tb.Counts()[Partial] != 3 {
-		t.Fatal("a spared one is to go first", tb.Spared())
+		t.Fatal("a connection whose eviction was deferred is not the first victim:", tb.Spared())
 	}
-	expire() // what had arrived is not read yet
+	expire() // the input that had arrived is not read yet
 	slow.sent, slow.read = 9, 2
-	unsure.unsure, unsure.sent, unsure.read = false, 5, 4
-	late.read = 2
-	tb.Move(&late.Entry, Partial, 2*time.Second) // it was the end of a frame, and the next one has begun
+	unknown.unknown, unknown.sent, unknown.read = false, 5, 4
+	progressing.read = 2
+	tb.Move(&progressing.Entry, Partial, 2*time.Second) // a frame was completed, and the next one has begun
 	expire(slow)
-	unsure.sent, unsure.read = 9, 5
-	expire(slow, unsure)
+	unknown.sent, unknown.read = 9, 5
+	expire(slow, unknown)
 	if tb.Spared() != 0 || tb.Len() != 1 {
 		t.Fatal(tb.Spared(), tb.Len())
 	}
 }
 
-// An entry's bytes are a part of what every connection costs.
+// The size of an entry is part of the memory that every connection uses.
 func TestSize(t *testing.T) {
 	if n := unsafe.Sizeof(Entry{}); n > 64 {
 		t.Fatalf("an entry takes %d bytes", n)
 	}
 }
 
-// A newcomer that takes the place of another, and one that changes its class, among many.
+// BenchmarkTable measures admitting a connection, and moving one to another class, in tables of two sizes.
 func BenchmarkTable(b *testing.B) {
 	for _, n := range []int{1_000, 250_000} {
 		tb := NewRoom(n).NewTable(Limits{Most: n, Patience: 1, Grace: 1, Keep: 1})
-		list := make([]fake, n)
+		list := make([]fakeConn, n)
 		for i := range list {
 			tb.Admit(&list[i].Entry, &list[i], netip.Addr{}, time.Duration(i))
 		}
--- a/internal/net/conntable/victim.go
+++ b/internal/net/conntable/victim.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// rank orders the connections that may be evicted for a newcomer: the lowest rank goes first.
-type rank int
+// evictionRank orders the connections that may be evicted for a new one: the lowest rank is evicted first.
+type evictionRank int
 
 const (
-	expendable rank = iota // idle or partial for Patience, or fresh and silent for Grace
-	recent                 // idle or partial since shortly; its client repeats what crosses the close
-	newcomer               // fresh since shortly: its first request would fail
-	ranks      = iota
+	pastGrace      evictionRank = iota // idle or partial for Patience, or fresh for Grace; or its eviction was deferred
+	recentlyActive                     // idle or partial for less: the client repeats a request that the close interrupts
+	recentlyOpened                     // fresh for less: the first request would fail
+	ranks          = iota
 )
 
 // candidates holds the oldest connection of each rank; nil where there is none.
 type candidates [ranks]*Entry
 
-// add enters a connection under a rank, if it is older than the one there.
-func (cs *candidates) add(e *Entry, at rank) {
-	if e != nil && (cs[at] == nil || e.since < cs[at].since) {
-		cs[at] = e
+// add stores a connection under a rank if it is older than the one stored there.
+func (cs *candidates) add(e *Entry, rank evictionRank) {
+	if e != nil && (cs[rank] == nil || e.enteredAt < cs[rank].enteredAt) {
+		cs[rank] = e
 	}
 }
 
-// victim is the oldest connection of the lowest rank; nil if nobody may be evicted.
+// victim returns the oldest connection of the lowest rank, or nil if no connection may be evicted.
 func (cs *candidates) victim() *Entry {
 	for _, e := range cs {
 		if e != nil {
@@ -32,32 +32,33 @@
 	return nil
 }
 
-// candidates returns those of this table.
+// candidates returns the table's candidates for eviction.
 func (t *Table) candidates(now time.Duration) candidates {
 	var found candidates
 	for _, class := range [...]Class{Idle, Partial} {
 		if e := t.front(class); e != nil {
-			at := recent
-			if now-e.since >= t.limits.Patience {
-				at = expendable
+			rank := recentlyActive
+			if now-e.enteredAt >= t.limits.Patience {
+				rank = pastGrace
 			}
-			found.add(e, at)
+			found.add(e, rank)
 		}
 	}
 	if e := t.front(Fresh); e != nil {
-		at := newcomer
-		if now-e.since >= t.limits.Grace {
-			at = expendable
+		rank := recentlyOpened
+		if now-e.enteredAt >= t.limits.Grace {
+			rank = pastGrace
 		}
-		found.add(e, at)
+		found.add(e, rank)
 	}
-	found.add(t.sparedVictim(), expendable)
+	found.add(t.deferredVictim(), pastGrace)
 	return found
 }
 
-// sparedVictim is the connection that was spared first, of those whose class may be evicted; nil if there is none.
-func (t *Table) sparedVictim() *Entry {
-	for e := t.spared.next; e != &t.spared; e = e.next {
+// deferredVictim returns the connection whose eviction was deferred first, of those whose class may be evicted; nil if
+// there is none.
+func (t *Table) deferredVictim() *Entry {
+	for e := t.deferred.next; e != &t.deferred; e = e.next {
 		if e.class == Idle || e.class == Partial || e.class == Fresh {
 			return e
 		}
@@ -65,24 +66,25 @@
 	return nil
 }
 
-// chooseVictim returns the connection of this table that is evicted for a newcomer; nil if there is none.
+// chooseVictim returns the connection of this table to evict for a new one, or nil if there is none.
 func (t *Table) chooseVictim(now time.Duration) *Entry {
 	found := t.candidates(now)
 	return found.victim()
 }
 
-// chooseVictim does so over all tables of the room. Of equal ages the earlier table's goes.
+// chooseVictim returns the connection of any of the tables to evict for a new one, or nil if there is none. Between
+// connections of equal age it prefers that of the table that was added first.
 func (r *Room) chooseVictim(now time.Duration) *Entry {
 	var found candidates
 	for _, t := range r.tables {
-		for at, e := range t.candidates(now) {
-			found.add(e, rank(at))
+		for rank, e := range t.candidates(now) {
+			found.add(e, evictionRank(rank))
 		}
 	}
 	return found.victim()
 }
 
-// front is the connection that has been in a class for longest; nil if there is none.
+// front returns the connection that has been in a class longest, or nil if there is none.
 func (t *Table) front(class Class) *Entry {
 	if e := t.lists[class].next; e != &t.lists[class] {
 		return e
