--- a/internal/net/loop/loop.go
+++ b/internal/net/loop/loop.go
@@ -1,5 +1,5 @@
-// Package loop is the goroutine that owns the state of all connections: their parsers, partial frames and timers.
-// Other goroutines enqueue tasks; the tasks need no locks.
+// Package loop is an event loop: one goroutine owns the state of all connections, that is their parsers, partial frames
+// and timers. Other goroutines enqueue tasks, which run on it without locks.
 package loop
 
 import (
@@ -12,17 +12,17 @@
 	"brackendale/internal/timers"
 )
 
-// The number of tasks and timers that run before the loop looks at what was posted meanwhile, so that many reads or
-// timers at once don't delay other work.
+// The number of tasks and timers that run before the loop runs the functions posted in the meantime, so that many reads
+// or timers at once do not delay other work.
 const (
-	readPortion  = 64 // reads
-	timerPortion = 64 // timers with slack
+	readBatch  = 64 // reads
+	timerBatch = 64 // timers with slack
 )
 
-// Task is work whose record is its own, so that enqueueing it allocates no closure.
+// Task is work that carries its own state, so that enqueueing it allocates no closure.
 type Task interface{ Do() }
 
-// Func makes a function a task.
+// Func is a function that is used as a task.
 type Func func()
 
 // Do calls the function.
@@ -31,45 +31,45 @@
 // Loop runs tasks and timers on one goroutine. Use New.
 type Loop struct {
 	mu    sync.Mutex
-	posts []Task // from the core, from dials and accepts
-	reads []Task // what clients and endpoints sent
+	posts []Task // from the core, dials and accepts
+	reads []Task // input from clients and endpoints
 	wake  chan struct{}
 
-	later []Task // to run at the end of this portion
+	deferred []Task // to run at the end of this batch
 
-	start    time.Time // zero of the loop's clock
-	wheel    *timers.Wheel
-	clock    *time.Timer
-	clockDue time.Duration // the time that clock is set to; 0: not set
+	start         time.Time // the zero of the loop's clock
+	wheel         *timers.Wheel
+	sleepTimer    *time.Timer
+	sleepDeadline time.Duration // the time that sleepTimer is set to; 0: not set
 
-	lastTurn     time.Duration // the end of the last turn
-	stalledUntil time.Duration // Stalled returns true before it
+	lastIteration time.Duration // the end of the last iteration
+	stalledUntil  time.Duration // Stalled returns true before it
 
 	fired atomic.Uint64
 }
 
-// New makes a loop; Run must be called.
+// New returns a loop, which runs tasks and timers once Run is called.
 func New() *Loop {
 	l := &Loop{
-		wake:  make(chan struct{}, 1),
-		start: time.Now(),
-		wheel: timers.New(),
-		clock: time.NewTimer(time.Hour),
+		wake:       make(chan struct{}, 1),
+		start:      time.Now(),
+		wheel:      timers.New(),
+		sleepTimer: time.NewTimer(time.Hour),
 	}
-	l.clock.Stop()
+	l.sleepTimer.Stop()
 	return l
 }
 
-// Post lets f run on the loop's goroutine, after what was posted before. Any goroutine may call it.
+// Post enqueues f to run on the loop's goroutine, after the functions posted before it. It is safe for concurrent use.
 func (l *Loop) Post(f func()) { l.enqueue(&l.posts, Func(f)) }
 
-// Read enqueues what a socket has sent; it runs after what is posted. Any goroutine may call it.
-func (l *Loop) Read(t Task) { l.enqueue(&l.reads, t) }
+// Read enqueues a task that handles input of a socket; posted functions run before it. It is safe for concurrent use.
+func (l *Loop) Read(task Task) { l.enqueue(&l.reads, task) }
 
-// enqueue appends a task to a list and wakes the loop.
-func (l *Loop) enqueue(list *[]Task, t Task) {
+// enqueue appends a task to a queue and wakes the loop.
+func (l *Loop) enqueue(queue *[]Task, task Task) {
 	l.mu.Lock()
-	*list = append(*list, t)
+	*queue = append(*queue, task)
 	l.mu.Unlock()
 	select {
 	case l.wake <- struct{}{}:
@@ -77,86 +77,87 @@
 	}
 }
 
-// Later runs a task at the end of the current portion, before the loop yields its processor or sleeps. Only for
-// the loop's goroutine.
-func (l *Loop) Later(t Task) { l.later = append(l.later, t) }
+// Later runs a task at the end of the current batch, before the loop yields its processor or sleeps. It must be called
+// on the loop's goroutine.
+func (l *Loop) Later(task Task) { l.deferred = append(l.deferred, task) }
 
-// runLater runs the tasks of Later, also those that they add.
-func (l *Loop) runLater() {
-	for i := 0; i < len(l.later); i++ {
-		l.later[i].Do()
-		l.later[i] = nil
+// runDeferred runs the deferred tasks, including those that they add.
+func (l *Loop) runDeferred() {
+	for i := 0; i < len(l.deferred); i++ {
+		l.deferred[i].Do()
+		l.deferred[i] = nil
 	}
-	l.later = l.later[:0]
+	l.deferred = l.deferred[:0]
 }
 
-// Now is the monotonic time since the loop was made. Any goroutine may call it.
+// Now returns the monotonic time since the loop was created. It is safe for concurrent use.
 func (l *Loop) Now() time.Duration { return time.Since(l.start) }
 
-// Arm sets a timer to come due after d, never before, and at most slack (or a millisecond) and a turn later.
-// Only for the loop's goroutine, as is Disarm.
-func (l *Loop) Arm(t *timers.Timer, d, slack time.Duration, on timers.Handler) {
-	l.wheel.Start(t, l.Now()+max(0, d), slack, on)
+// Arm sets a timer to be due after d: never earlier, and at most slack (at least a millisecond) plus one iteration
+// later. It must be called on the loop's goroutine, as must Disarm.
+func (l *Loop) Arm(t *timers.Timer, d, slack time.Duration, handler timers.Handler) {
+	l.wheel.Start(t, l.Now()+max(0, d), slack, handler)
 }
 
-// Disarm unsets a timer.
+// Disarm stops a timer.
 func (l *Loop) Disarm(t *timers.Timer) { l.wheel.Stop(t) }
 
-// After runs f on the loop's goroutine once d has passed. Any goroutine may call it; it cannot be stopped.
+// After runs f on the loop's goroutine once d has passed; it cannot be stopped. It is safe for concurrent use.
 func (l *Loop) After(d time.Duration, f func()) {
-	at := l.Now() + max(0, d)
-	l.Post(func() { l.wheel.Start(&timers.Timer{}, at, 0, timers.Func(f)) })
+	due := l.Now() + max(0, d)
+	l.Post(func() { l.wheel.Start(&timers.Timer{}, due, 0, timers.Func(f)) })
 }
 
 const (
-	// stallGap after the last turn, a turn follows a pause of the process, or a time with nothing to do.
-	stallGap = time.Second
-	// stallGrace is how long after a pause the engine may still hold what peers sent during it.
+	// stallThreshold is the time between two iterations above which the process may have been paused; the loop may also
+	// have had nothing to do.
+	stallThreshold = time.Second
+	// stallGrace is the time after a pause during which the engine may still deliver input that arrived during the pause.
 	stallGrace = time.Second
 )
 
-// Stalled tells whether the process may have paused just now: a peer's silence is then no reason to close its
-// connection. Only for the loop's goroutine.
+// Stalled reports whether the process may just have been paused: a connection must then not be closed because its peer
+// seems unresponsive. It must be called on the loop's goroutine.
 func (l *Loop) Stalled() bool { return l.Now() < l.stalledUntil }
 
-// Stats are the figures of a loop.
+// Stats holds statistics of a loop.
 type Stats struct {
 	Timers int    // timers that are set
-	Fired  uint64 // timers that came due since the start
+	Fired  uint64 // timers that have fired since the start
 }
 
-// Stats returns the loop's figures. Only for the loop's goroutine.
+// Stats returns the loop's statistics. It must be called on the loop's goroutine.
 func (l *Loop) Stats() Stats { return Stats{Timers: l.wheel.Len(), Fired: l.fired.Load()} }
 
 // Run runs tasks and timers until ctx ends. It is called once.
 func (l *Loop) Run(ctx context.Context) {
-	defer l.clock.Stop()
+	defer l.sleepTimer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-l.wake:
-		case <-l.clock.C:
-			l.clockDue = 0
+		case <-l.sleepTimer.C:
+			l.sleepDeadline = 0
 		}
-		for l.turn() && ctx.Err() == nil {
+		for l.iterate() && ctx.Err() == nil {
 		}
 		l.sleep()
 	}
 }
 
-// turn runs what is enqueued and due, and returns whether there is more.
-func (l *Loop) turn() bool {
-	if now := l.Now(); now-l.lastTurn > stallGap {
+// iterate runs the tasks that are enqueued and the timers that are due, and reports whether there are more.
+func (l *Loop) iterate() bool {
+	if now := l.Now(); now-l.lastIteration > stallThreshold {
 		l.stalledUntil = now + stallGrace
 	}
-	defer func() { l.lastTurn = l.Now() }()
+	defer func() { l.lastIteration = l.Now() }()
 	l.mu.Lock()
 	reads := l.reads
 	l.reads = nil
 	l.mu.Unlock()
 	for len(reads) > 0 {
-		n := min(len(reads), readPortion)
+		n := min(len(reads), readBatch)
 		l.runPosts()
 		for i, t := range reads[:n] {
 			t.Do()
@@ -164,12 +165,12 @@
 		}
 		reads = reads[n:]
 		l.runTimers()
-		l.runLater()
-		runtime.Gosched() // with one processor the core and the engine wait for this goroutine to yield
+		l.runDeferred()
+		runtime.Gosched() // on one processor, the core and the engine wait for this goroutine to yield
 	}
 	l.runPosts()
 	more := l.runTimers()
-	l.runLater()
+	l.runDeferred()
 	if more {
 		runtime.Gosched()
 	}
@@ -178,7 +179,7 @@
 	return more || len(l.posts) > 0 || len(l.reads) > 0
 }
 
-// runPosts runs what is posted; what these tasks post runs the next time.
+// runPosts runs the posted tasks; tasks that they post run at the next call.
 func (l *Loop) runPosts() {
 	l.mu.Lock()
 	posts := l.posts
@@ -189,22 +190,22 @@
 	}
 }
 
-// runTimers runs the timers that are due, and returns whether there are more.
+// runTimers runs the timers that are due, and reports whether there are more.
 func (l *Loop) runTimers() bool {
 	l.wheel.Advance(l.Now())
-	n, more := l.wheel.Take(timerPortion, func(h timers.Handler, t *timers.Timer) { h.Due(t) })
+	n, more := l.wheel.Take(timerBatch, func(h timers.Handler, t *timers.Timer) { h.Due(t) })
 	if n > 0 {
 		l.fired.Add(uint64(n))
 	}
 	return more
 }
 
-// sleep sets the clock to the next timer, unless it fires before that anyway.
+// sleep sets sleepTimer to the next time at which the wheel has to advance, unless it fires earlier anyway.
 func (l *Loop) sleep() {
-	at, ok := l.wheel.Next()
-	if !ok || l.clockDue != 0 && l.clockDue <= at && l.clockDue > l.Now() {
+	due, ok := l.wheel.Next()
+	if !ok || l.sleepDeadline != 0 && l.sleepDeadline <= due && l.sleepDeadline > l.Now() {
 		return
 	}
-	l.clockDue = max(at, 1)
-	l.clock.Reset(max(0, at-l.Now()))
+	l.sleepDeadline = max(due, 1)
+	l.sleepTimer.Reset(max(0, due-l.Now()))
 }
--- a/internal/net/loop/loop_test.go
+++ b/internal/net/loop/loop_test.go
@@ -9,87 +9,88 @@
 	"brackendale/internal/timers"
 )
 
-// Ten thousand timers of one instant do not hold up what is posted or read meanwhile: it has its turn after one
-// portion of them.
-func TestTimersOfOneInstant(t *testing.T) {
+// Ten thousand timers that are due at the same time do not delay tasks that are enqueued in the meantime: these run
+// after one batch of timers.
+func TestManyTimersDueAtOnce(t *testing.T) {
 	const n = 10_000
 	l := New()
-	fired, askedAt, read, posted := 0, 0, -1, -1
+	fired, enqueuedAt, read, posted := 0, 0, -1, -1
 	list := make([]timers.Timer, n)
 	for i := range list {
 		l.Arm(&list[i], 0, timers.Soft, timers.Func(func() {
 			if fired++; fired == n/2 {
-				askedAt = fired
+				enqueuedAt = fired
 				l.Post(func() { posted = fired })
 				l.Read(Func(func() { read = fired }))
 			}
 		}))
 	}
-	time.Sleep(5 * timers.Tick) // they are due together
-	for l.turn() {
+	time.Sleep(5 * timers.Tick) // now all are due
+	for l.iterate() {
 	}
-	if fired != n || posted < askedAt || posted > askedAt+timerPortion || read < askedAt || read > askedAt+2*timerPortion {
-		t.Fatal("fired", fired, "asked at", askedAt, "posted", posted, "read", read)
+	if fired != n || posted < enqueuedAt || posted > enqueuedAt+timerBatch ||
+		read < enqueuedAt || read > enqueuedAt+2*timerBatch {
+		t.Fatal("fired", fired, "enqueued at", enqueuedAt, "posted", posted, "read", read)
 	}
 }
 
-// After a pause of the process nobody's silence counts for a while; in a loop that turns all the time it does.
+// For some time after a pause of the process the loop is stalled; a loop that iterates all the time is not.
 func TestStalled(t *testing.T) {
 	l := New()
-	l.turn()
+	l.iterate()
 	if l.Stalled() {
-		t.Fatal("a loop that has just begun has missed nothing")
+		t.Fatal("a loop that has just started is stalled")
 	}
-	l.lastTurn -= 2 * stallGap // as if it had stood still
-	if l.turn(); !l.Stalled() {
-		t.Fatal("the pause was not seen")
+	l.lastIteration -= 2 * stallThreshold // as if the process had been paused
+	if l.iterate(); !l.Stalled() {
+		t.Fatal("the pause was not detected")
 	}
 	l.stalledUntil -= 2 * stallGrace
-	if l.turn(); l.Stalled() {
-		t.Fatal("it never ends")
+	if l.iterate(); l.Stalled() {
+		t.Fatal("the stall does not end")
 	}
 }
 
-// What is posted goes before what is read, and a crowd that speaks at once lets it in between.
-func TestPostedGoesFirst(t *testing.T) {
+// Posted functions run before reads, also between the batches of many reads that arrive at once.
+func TestPostsRunBeforeReads(t *testing.T) {
 	l := New()
 	var order []string
-	for range 3 * readPortion {
+	for range 3 * readBatch {
 		l.Read(Func(func() {
 			if order = append(order, "read"); len(order) == 1 {
 				l.Post(func() { order = append(order, "posted") })
 			}
 		}))
 	}
-	for l.turn() {
+	for l.iterate() {
 	}
-	if len(order) != 3*readPortion+1 || order[readPortion] != "posted" {
-		t.Fatal("it waited for the whole crowd")
+	if len(order) != 3*readBatch+1 || order[readBatch] != "posted" {
+		t.Fatal("the posted function did not run after the first batch of reads")
 	}
 }
 
-// Any goroutine may post, read and set timers while the loop runs; all of it is done, and a timer never early.
-func TestFromAllSides(t *testing.T) {
+// Other goroutines post, enqueue reads and set timers while the loop runs: everything runs, and no timer fires early.
+func TestConcurrentUse(t *testing.T) {
 	l := New()
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan bool)
-	go func() { l.Run(ctx); close(ended) }()
-	var all sync.WaitGroup
+	stopped := make(chan bool)
+	go func() { l.Run(ctx); close(stopped) }()
+	var pending sync.WaitGroup
 	for i := range 8 {
 		for range 200 {
-			all.Add(3)
-			l.Post(all.Done)
-			l.Read(Func(all.Done))
-			d, from := time.Duration(i)*time.Millisecond, l.Now()
+			pending.Add(3)
+			l.Post(pending.Done)
+			l.Read(Func(pending.Done))
+			d, start := time.Duration(i)*time.Millisecond, l.Now()
 			l.After(d, func() {
-				if l.Now()-from < d {
-					t.Error("early")
+				if l.Now()-start < d {
+					t.Error("a timer fired early")
 				}
-				all.Done()
+				pending.Done()
 			})
 		}
 	}
-	all.Wait()
+	pending.Wait()
 	cancel()
-	<-ended
+	<-stopped
 }
--- a/internal/net/partial/buffer.go
+++ b/internal/net/partial/buffer.go
@@ -1,78 +1,78 @@
-// Package partial keeps the bytes of a partial frame between two reads. They are kept in buffers of a few sizes
-// that return to a pool as soon as the frame is complete, so that an idle connection holds none.
+// Package partial stores the bytes of a partial frame between two reads. It uses pooled buffers of a few sizes, and
+// returns a buffer to its pool as soon as the frame is complete, so that an idle connection holds none.
 package partial
 
 import "sync"
 
-// The sizes of pooled buffers, in bytes. A larger buffer is left to the garbage collector.
+// sizes are the capacities of pooled buffers, in bytes. A larger buffer is left to the garbage collector.
 var sizes = [...]int{512, 4 << 10, 32 << 10, 160 << 10}
 
 var pools [len(sizes)]sync.Pool
 
-// Get returns an empty buffer with room for the given number of bytes. Any goroutine may call it.
+// Get returns an empty buffer with a capacity of at least the given number of bytes. It is safe for concurrent use.
 func Get(size int) []byte {
-	for i, pooled := range sizes {
-		if size <= pooled {
+	for i, poolSize := range sizes {
+		if size <= poolSize {
 			if buf, ok := pools[i].Get().(*[]byte); ok {
 				return (*buf)[:0]
 			}
-			return make([]byte, 0, pooled)
+			return make([]byte, 0, poolSize)
 		}
 	}
 	return make([]byte, 0, size)
 }
 
-// Put returns a buffer that came from Get. Nobody may use a part of it any more. Any goroutine may call it.
+// Put returns a buffer from Get to its pool; no part of it may be used afterwards. It is safe for concurrent use.
 func Put(buf []byte) {
-	for i, pooled := range sizes {
-		if cap(buf) == pooled {
+	for i, poolSize := range sizes {
+		if cap(buf) == poolSize {
 			pools[i].Put(&buf)
 			return
 		}
 	}
 }
 
-// Buffer holds the bytes that were read and not yet parsed. Its zero value is empty and holds no memory. It is for
-// one goroutine.
-type Buffer struct{ kept []byte }
+// Buffer holds the bytes that were read and not yet parsed. Its zero value is empty and holds no memory. It is not safe
+// for concurrent use.
+type Buffer struct{ data []byte }
 
-// Len is the number of bytes that are kept.
-func (b *Buffer) Len() int { return len(b.kept) }
+// Len returns the number of stored bytes.
+func (b *Buffer) Len() int { return len(b.data) }
 
-// Append returns what is kept, followed by the bytes of read. The result is valid until the next call of Append,
-// Store or Reset. read is not changed, and is itself the result where nothing is kept.
+// Append returns the stored bytes followed by those of read. The result is valid until the next call of Append, Store
+// or Reset. read is not changed; if nothing is stored, the result is read itself.
 func (b *Buffer) Append(read []byte) []byte {
-	if len(b.kept) == 0 {
+	if len(b.data) == 0 {
 		return read
 	}
-	if need := len(b.kept) + len(read); need > cap(b.kept) {
-		larger := append(Get(max(need, 2*cap(b.kept))), b.kept...)
-		Put(b.kept)
-		b.kept = larger
+	if needed := len(b.data) + len(read); needed > cap(b.data) {
+		larger := append(Get(max(needed, 2*cap(b.data))), b.data...)
+		Put(b.data)
+		b.data = larger
 	}
-	b.kept = append(b.kept, read...)
-	return b.kept
+	b.data = append(b.data, read...)
+	return b.data
 }
 
-// Store keeps a tail of what Append returned. Without a tail the buffer returns to its pool.
+// Store stores tail, which is the end of the last result of Append. If it is empty, the memory returns to its pool.
 func (b *Buffer) Store(tail []byte) {
 	switch {
 	case len(tail) == 0:
 		b.Reset()
-	case len(b.kept) == 0:
-		b.kept = append(Get(len(tail)), tail...)
+	case len(b.data) == 0:
+		b.data = append(Get(len(tail)), tail...)
 	default:
-		b.kept = b.kept[:copy(b.kept, tail)]
+		b.data = b.data[:copy(b.data, tail)]
 	}
 }
 
-// Bytes is what is kept; valid until the next call of another method.
-func (b *Buffer) Bytes() []byte { return b.kept }
+// Bytes returns the stored bytes; they are valid until the next call of another method.
+func (b *Buffer) Bytes() []byte { return b.data }
 
-// Reset drops what is kept.
+// Reset discards the stored bytes.
 func (b *Buffer) Reset() {
-	if b.kept != nil {
-		Put(b.kept)
-		b.kept = nil
+	if b.data != nil {
+		Put(b.data)
+		b.data = nil
 	}
 }
