--- a/internal/net/reactor/accept.go
+++ b/internal/net/reactor/accept.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// acceptBurst is the time without newcomers that may be made up for at once.
+// acceptBurst is the most unused time that a pacer credits to later connections.
 const acceptBurst = 100 * time.Millisecond
 
-// pacer spaces newcomers out. It reads no clock.
+// pacer limits the rate of new connections. It reads no clock.
 type pacer struct{ next time.Duration }
 
-// wait returns how long the next newcomer has to wait at a rate. Time in which nobody came is made up for by as much
-// as acceptBurst.
+// wait returns how long the next connection has to wait at a rate. Time without connections is credited, up to
+// acceptBurst, and allows a burst.
 func (p *pacer) wait(now time.Duration, perSecond int) time.Duration {
 	p.next = max(p.next, now-acceptBurst) + time.Second/time.Duration(perSecond)
 	return max(0, p.next-now)
 }
 
-// The bounds of the pause after a failed accept: short after the first, since those in the backlog need an answer in
-// time, and longer while all fail.
+// The bounds of the pause after a failed accept: short after the first failure, because clients in the backlog need a
+// reply in time, and longer while every accept fails.
 const (
 	minAcceptPause = time.Millisecond
 	maxAcceptPause = 20 * time.Millisecond
@@ -29,12 +29,13 @@
 	maxPauseDoublings = 8
 )
 
-// acceptPause is the pause after a failed accept that follows a number of others.
+// acceptPause returns the pause after a failed accept that follows the given number of failed ones.
 func acceptPause(before int) time.Duration {
 	return min(maxAcceptPause, minAcceptPause<<min(before, maxPauseDoublings))
 }
 
-// acceptFailed replies to a newcomer for whom there was no descriptor, if there is a spare one, or pauses.
+// acceptFailed handles a failed accept. If there was no file descriptor for the connection and a spare one is reserved,
+// it replies to the client; otherwise it pauses.
 func (l *Listener) acceptFailed(err error) {
 	if l.spare == nil || !errors.Is(err, syscall.EMFILE) && !errors.Is(err, syscall.ENFILE) {
 		l.reserveSpare()
@@ -46,39 +47,40 @@
 }
 
 const (
-	// spareAcceptLimit bounds the wait for a newcomer who may have gone meanwhile.
-	spareAcceptLimit = time.Millisecond
-	// spareReplyLimit bounds the reply.
-	spareReplyLimit = 5 * time.Millisecond
-	// spareReadSize is how much of the newcomer's request is read before the close, in bytes.
+	// spareAcceptTimeout bounds the wait for a connection, whose client may have closed it in the meantime.
+	spareAcceptTimeout = time.Millisecond
+	// spareReplyTimeout bounds the time for writing the reply and reading the request.
+	spareReplyTimeout = 5 * time.Millisecond
+	// spareReadSize is how much of the client's request is read before the close, in bytes.
 	spareReadSize = 512
 )
 
-// replyWithSpare accepts a newcomer on the spare descriptor for the time of the reply; otherwise it would wait in the
-// backlog without an answer.
+// replyWithSpare accepts a connection on the spare descriptor, sends the rejection and closes it. Otherwise the client
+// would wait in the backlog without a reply.
 func (l *Listener) replyWithSpare() {
 	l.releaseSpare()
-	l.setAcceptDeadline(time.Now().Add(spareAcceptLimit))
+	l.setAcceptDeadline(time.Now().Add(spareAcceptTimeout))
 	if socket, err := l.Accept(); err == nil {
-		_ = socket.SetDeadline(time.Now().Add(spareReplyLimit))
+		_ = socket.SetDeadline(time.Now().Add(spareReplyTimeout))
 		_, _ = socket.Write(l.rejection)
-		_, _ = socket.Read(make([]byte, spareReadSize)) // a close with unread bytes would be a reset and could overtake it
+		_, _ = socket.Read(make([]byte, spareReadSize)) // a close with unread bytes sends a reset and can lose the reply
 		_ = socket.Close()
 	}
 	l.setAcceptDeadline(time.Time{})
 	l.reserveSpare()
 }
 
-// setAcceptDeadline bounds the next accept, unless a pause has begun, whose deadline has passed and stays.
+// setAcceptDeadline sets the deadline of the next accept. During a pause it does nothing: the pause has set a deadline
+// that has passed, and that has to stay.
 func (l *Listener) setAcceptDeadline(deadline time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if listener, ok := l.Listener.(deadliner); ok && l.paused == nil {
+	if listener, ok := l.Listener.(deadlineSetter); ok && l.paused == nil {
 		_ = listener.SetDeadline(deadline)
 	}
 }
 
-// reserveSpare opens the spare descriptor, if the listener has a reply to send on it.
+// reserveSpare opens the spare descriptor if the listener has a rejection to send on it.
 func (l *Listener) reserveSpare() {
 	if l.rejection == nil || l.spare != nil {
 		return
--- a/internal/net/reactor/barrier.go
+++ b/internal/net/reactor/barrier.go
@@ -11,31 +11,32 @@
 	"golang.org/x/sys/unix"
 )
 
-// pollerBarrier keeps events of closed connections away from new ones. The engine's goroutine takes many events at a
-// time and finds their connections by descriptor. A descriptor that another goroutine closes meanwhile can belong to a
-// new connection by then, which would be ended by the old one's event. So a connection whose descriptor was closed
-// outside of the engine's goroutine joins the engine once that has handled all that it had in hand: it is woken by a
-// byte on a connection to itself, whose event comes behind the others. Its methods are for the loop's goroutine, except
-// reached.
+// pollerBarrier prevents events of closed connections from being applied to new ones. The engine's goroutine receives
+// many events at a time and finds their connections by file descriptor. If another goroutine closes a descriptor in the
+// meantime, the descriptor can belong to a new connection when its event is handled, and the event would close that
+// connection. A connection whose descriptor was just closed outside of the engine's goroutine is therefore registered
+// with the engine only after the engine has handled all events that it had received. To detect that, the barrier wakes
+// the engine by a byte on a socket pair, whose event is queued behind the others. Its methods must be called on the
+// loop's goroutine, except onWake.
 type pollerBarrier struct {
 	reactor *Reactor
-	wake    int // the descriptor that wakes the engine; below 0: the system has no such sockets
+	wake    int // the descriptor to write to, which wakes the engine; negative: the system has no socket pairs
 
-	closed  map[int]int // descriptors that were closed, and the round in which they were
-	round   int
-	running bool     // the engine is being woken
-	waiting []func() // that join once it is
-	next    []func() // that join once it is woken again
+	closedAt    map[int]int // the generation in which each descriptor was closed
+	generation  int         // the number of times that the engine was woken
+	waking      bool        // the engine has not handled the last byte yet
+	waiting     []func()    // registrations that wait for that
+	waitingNext []func()    // registrations that wait for the byte after it
 }
 
-// newPollerBarrier connects the engine, which has started, to itself. The error is one that may pass.
-func newPollerBarrier(owner *Reactor) (*pollerBarrier, error) {
-	b := &pollerBarrier{reactor: owner, wake: -1, closed: map[int]int{}}
+// newPollerBarrier connects the engine, which must have been started, to itself. It returns only transient errors.
+func newPollerBarrier(r *Reactor) (*pollerBarrier, error) {
+	b := &pollerBarrier{reactor: r, wake: -1, closedAt: map[int]int{}}
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC|unix.SOCK_NONBLOCK, 0)
 	if err != nil {
 		return b, transientOnly(err)
 	}
-	if err := b.join(pair[0]); err != nil {
+	if err := b.addWakeSocket(pair[0]); err != nil {
 		_ = unix.Close(pair[1])
 		return b, transientOnly(err)
 	}
@@ -43,7 +44,7 @@
 	return b, nil
 }
 
-// transientOnly returns an error that may pass, and nil for one that does not: the barrier is left out then.
+// transientOnly returns a transient error, and nil for a permanent one, after which the barrier is not used.
 func transientOnly(err error) error {
 	if failure.Transient(err) {
 		return fmt.Errorf("connecting the socket engine to itself: %w", err)
@@ -51,8 +52,8 @@
 	return nil
 }
 
-// join adds the engine's end.
-func (b *pollerBarrier) join(descriptor int) error {
+// addWakeSocket registers the engine's end of the socket pair.
+func (b *pollerBarrier) addWakeSocket(descriptor int) error {
 	file := os.NewFile(uintptr(descriptor), "wake")
 	defer file.Close()
 	conn, err := net.FileConn(file)
@@ -69,59 +70,59 @@
 	return err
 }
 
-// stop closes this end.
+// stop closes the writing end of the socket pair.
 func (b *pollerBarrier) stop() {
 	if b.wake >= 0 {
 		_ = unix.Close(b.wake)
 	}
 }
 
-// closedOutside records that a descriptor was closed outside of the engine's goroutine.
-func (b *pollerBarrier) closedOutside(descriptor int) { b.closed[descriptor] = b.round }
+// closedOutsideEngine records that a descriptor was closed outside of the engine's goroutine.
+func (b *pollerBarrier) closedOutsideEngine(descriptor int) { b.closedAt[descriptor] = b.generation }
 
-// whenSafe calls join at once or, where the descriptor was closed just before, once the engine has no event of it in
-// hand.
-func (b *pollerBarrier) whenSafe(descriptor int, join func()) {
-	round, wasClosed := b.closed[descriptor]
+// whenSafe calls register at once or, if the descriptor was just closed, once the engine has handled all events that it
+// had received for it.
+func (b *pollerBarrier) whenSafe(descriptor int, register func()) {
+	generation, wasClosed := b.closedAt[descriptor]
 	switch {
 	case !wasClosed || b.wake < 0:
-		join()
-	case b.running && round == b.round: // it was closed after the engine was woken
-		b.next = append(b.next, join)
-	case b.running:
-		b.waiting = append(b.waiting, join)
+		register()
+	case b.waking && generation == b.generation: // it was closed after the engine was woken
+		b.waitingNext = append(b.waitingNext, register)
+	case b.waking:
+		b.waiting = append(b.waiting, register)
 	default:
-		b.waiting = append(b.waiting, join)
+		b.waiting = append(b.waiting, register)
 		b.start()
 	}
 }
 
-// start wakes the engine, for all that wait by now.
+// start wakes the engine for all connections that are waiting.
 func (b *pollerBarrier) start() {
-	b.running = true
-	b.round++
+	b.waking = true
+	b.generation++
 	if _, err := unix.Write(b.wake, []byte{1}); err != nil {
-		b.passed() // the engine has ended
+		b.complete() // the engine has stopped
 	}
 }
 
-// reached runs on the engine's goroutine.
-func (b *pollerBarrier) reached() { b.reactor.Post(b.passed) }
+// onWake runs on the engine's goroutine, when it handles the byte.
+func (b *pollerBarrier) onWake() { b.reactor.Post(b.complete) }
 
-// passed lets those join that waited for this, and wakes the engine again for the others.
-func (b *pollerBarrier) passed() {
-	b.running = false
-	for descriptor, round := range b.closed {
-		if round < b.round {
-			delete(b.closed, descriptor)
+// complete registers the connections that waited for this wake-up, and wakes the engine again if others are waiting.
+func (b *pollerBarrier) complete() {
+	b.waking = false
+	for descriptor, generation := range b.closedAt {
+		if generation < b.generation {
+			delete(b.closedAt, descriptor)
 		}
 	}
 	waiting := b.waiting
-	b.waiting, b.next = b.next, nil
-	for _, join := range waiting {
-		join()
+	b.waiting, b.waitingNext = b.waitingNext, nil
+	for _, register := range waiting {
+		register()
 	}
-	if len(b.waiting) > 0 && !b.running {
+	if len(b.waiting) > 0 && !b.waking {
 		b.start()
 	}
 }
--- a/internal/net/reactor/conn.go
+++ b/internal/net/reactor/conn.go
@@ -18,47 +18,47 @@
 	"github.com/lesismal/nbio"
 )
 
-// arrivedPeekSize is how much unread input of a connection is looked at, in bytes: more than a usual command.
+// arrivedPeekSize is how much unread input of a socket MarkArrived peeks at, in bytes: more than a typical command.
 const arrivedPeekSize = 32 << 10
 
 // connState is the state of a connection.
 type connState uint8
 
 const (
-	opening           connState = iota // Up was not called yet
-	open                               // its handler reads and writes
-	finishing                          // a graceful close: what was written leaves, what still arrives is ignored
-	awaitingHandshake                  // it has ended, and the result of its handshake is awaited
-	ended                              // Down was called
+	opening           connState = iota // Up has not been called
+	open                               // the handler reads and writes
+	finishing                          // a graceful close: written bytes are still sent, and input is ignored
+	awaitingHandshake                  // the connection has ended, and Down waits for the result of its handshake
+	ended                              // Down has been called
 )
 
-// Conn is one connection. Its methods are for the loop's goroutine.
+// Conn is one connection. Its methods must be called on the loop's goroutine.
 type Conn struct {
 	reactor *Reactor
 	handler Handler
 	state   connState
 
-	closedHere bool // its handler or this package has closed it
-	wantsTLS   bool // a layer follows once the connection is accepted
+	closedHere bool // closed by its handler or by this package, not by the peer
+	wantsTLS   bool // layer is set once the connection is established
 
 	socket      atomic.Pointer[nbio.Conn] // nil until it is connected
 	cancelDial  context.CancelFunc        // nil unless it is being dialed
 	finishTimer *timers.Timer             // set during a graceful close
 
-	queued       int64        // bytes that were written, as the engine is given them
-	written      atomic.Int64 // bytes that the socket has taken
-	awaitsDrain  atomic.Bool  // drained is to be called when the socket takes bytes
-	pendingReads atomic.Int32 // reads in progress, and reads that the handler has not been given
-	pendingBytes atomic.Int32 // bytes that were read, and that the handler has not been given
+	queued       int64        // bytes passed to the engine for writing; under TLS, of ciphertext
+	written      atomic.Int64 // bytes that the engine has written to the socket
+	awaitsDrain  atomic.Bool  // drained is to be called when the engine has written bytes
+	pendingReads atomic.Int32 // reads in progress, plus reads whose bytes the handler has not received
+	pendingBytes atomic.Int32 // bytes that were read and that the handler has not handled
 	reading      atomic.Bool  // a read is in progress
-	beforeMark   int32        // bytes before the mark that the handler has not been given
+	beforeMark   int32        // bytes before the position of MarkArrived that the handler has not handled
 
-	gather *gather   // nil: nothing is gathered
-	layer  *tlsLayer // nil: plain
+	writeBatch *writeBatch // nil: no bytes are batched
+	layer      *tlsLayer   // nil: no TLS
 }
 
-// established passes an open socket to the engine, unless its owner has closed the connection meanwhile. err is the
-// dial's.
+// established continues after a dial or accept, err being the dial's error: it registers the open socket with the
+// engine, unless the handler has closed the connection in the meantime.
 func (c *Conn) established(socket *nbio.Conn, err error, cfg *tls.Config, server bool) {
 	c.cancelDial = nil
 	if err == nil && c.state == ended {
@@ -70,17 +70,17 @@
 		return
 	}
 	c.socket.Store(socket)
-	c.reactor.barrier.whenSafe(socket.Hash(), func() { c.join(socket, cfg, server) })
+	c.reactor.barrier.whenSafe(socket.Hash(), func() { c.register(socket, cfg, server) })
 }
 
-// join passes the socket to the engine, unless its owner has closed the connection meanwhile.
-func (c *Conn) join(socket *nbio.Conn, cfg *tls.Config, server bool) {
+// register registers the socket with the engine, unless the handler has closed the connection in the meantime.
+func (c *Conn) register(socket *nbio.Conn, cfg *tls.Config, server bool) {
 	if c.closedHere {
 		_ = socket.Close()
 		return
 	}
 	if cfg != nil {
-		c.startTLS(cfg, server) // before the engine reads
+		c.startTLS(cfg, server) // before the engine reads from the socket
 	}
 	if err := c.attach(socket); err != nil {
 		c.end(err)
@@ -92,11 +92,11 @@
 	}
 }
 
-// attach adds the socket to the engine's set.
+// attach adds the socket to the engine's poller.
 func (c *Conn) attach(socket *nbio.Conn) error {
-	c.reactor.room.L.Lock() // the engine's goroutine takes it before it looks at c
+	c.reactor.belowLimit.L.Lock() // the engine's goroutine takes this lock before it accesses c
 	socket.SetSession(c)
-	c.reactor.room.L.Unlock()
+	c.reactor.belowLimit.L.Unlock()
 	if err := faultError(CallPoll, socket.RemoteAddr().String()); err != nil {
 		_ = socket.Close()
 		return fmt.Errorf("joining the socket engine: %w", err)
@@ -107,12 +107,12 @@
 	return nil
 }
 
-// end ends the connection, once. The bytes for the result of a handshake in progress may have arrived before the end:
-// Down waits for it.
+// end ends the connection, if it has not ended yet. During a handshake, bytes that decide its result may have arrived
+// before the end, so Down waits for the result.
 func (c *Conn) end(err error) {
 	switch {
 	case c.state >= awaitingHandshake:
-	case c.layer != nil && !c.layer.resultKnown:
+	case c.layer != nil && !c.layer.handshakeEnded:
 		c.state, c.layer.endError = awaitingHandshake, err
 		c.layer.wakeHandshake(net.ErrClosed)
 	default:
@@ -120,14 +120,14 @@
 	}
 }
 
-// finalize records the connection's end and calls Down.
+// finalize records that the connection has ended and calls Down.
 func (c *Conn) finalize(err error) {
 	if c.state == finishing {
 		c.reactor.finishing--
 		c.reactor.Disarm(c.finishTimer)
 	}
 	c.state = ended
-	c.dropGathered()
+	c.dropBatch()
 	if err == nil {
 		err = io.EOF
 	}
@@ -135,13 +135,13 @@
 		if !c.layer.established {
 			err = c.handshakeFailed(err)
 		}
-		c.layer.wakeHandshake(net.ErrClosed) // what is read from here on is the end
+		c.layer.wakeHandshake(net.ErrClosed) // further reads return the end of the stream
 	}
 	c.reactor.unsent.Add(c.written.Load() - c.queued)
 	c.handler.Down(c, err)
 }
 
-// Close ends the connection at once; Down follows.
+// Close closes the connection at once; Down follows.
 func (c *Conn) Close() {
 	c.closedHere = true
 	if c.cancelDial != nil {
@@ -149,7 +149,7 @@
 	}
 	if socket := c.socket.Load(); socket != nil {
 		if !c.Dead() {
-			_ = c.Flush() // the connection ends in any case
+			_ = c.Flush() // the connection is closed in any case
 		}
 		if c.layer != nil && !c.Dead() {
 			c.layer.closeNotify()
@@ -159,19 +159,20 @@
 	c.reactor.Post(func() { c.end(net.ErrClosed) })
 }
 
-// closeSocket closes the socket on the loop's goroutine, while the engine may have events of it in hand.
+// closeSocket closes the socket on the loop's goroutine. The engine may have received events of it that it has not
+// handled yet.
 func (c *Conn) closeSocket(socket *nbio.Conn) {
-	c.reactor.barrier.closedOutside(socket.Hash())
+	c.reactor.barrier.closedOutsideEngine(socket.Hash())
 	_ = socket.Close()
 }
 
-// Cut ends the connection at once and drops what was gathered; Down follows.
+// Cut closes the connection at once and discards the batched bytes; Down follows.
 func (c *Conn) Cut() {
-	c.dropGathered()
+	c.dropBatch()
 	c.Close()
 }
 
-// Reset ends the connection at once by a reset; Down follows.
+// Reset closes the connection at once with a TCP reset; Down follows.
 func (c *Conn) Reset() {
 	if socket, open := c.openSocket(); open && !c.Dead() {
 		_ = socket.SetLinger(1, 0)
@@ -179,8 +180,8 @@
 	c.Close()
 }
 
-// openSocket is the socket, if the engine has not closed it. Calls by its descriptor are to follow at once: from the
-// close on that may be another connection's, though this one's end was not handled yet.
+// openSocket returns the socket and whether it is open. The caller must use its descriptor at once: after the engine
+// has closed the socket, the descriptor can belong to another connection, even before the loop has handled the close.
 func (c *Conn) openSocket() (socket *nbio.Conn, open bool) {
 	socket = c.socket.Load()
 	if socket == nil {
@@ -190,7 +191,7 @@
 	return socket, !closed
 }
 
-// From is the peer's address; the zero address for a socket that has none.
+// From returns the peer's address, or the zero address if the socket has none.
 func (c *Conn) From() netip.Addr {
 	if socket := c.socket.Load(); socket != nil {
 		if addr, ok := socket.RemoteAddr().(*net.TCPAddr); ok {
@@ -200,13 +201,14 @@
 	return netip.Addr{}
 }
 
-// Loop is the loop that the connection's handler runs on.
+// Loop returns the loop that the connection's handler runs on.
 func (c *Conn) Loop() *loop.Loop { return c.reactor.Loop }
 
-// Dead tells whether the connection has ended or is being closed: nothing more can be written or is received.
+// Dead reports whether the connection has ended or is being closed: it can no longer be written to, and the handler
+// receives no more input.
 func (c *Conn) Dead() bool { return c.state >= finishing }
 
-// Quiet tells whether the handler has been given all that the peer has sent, its end included.
+// Quiet reports whether the handler has received all input that has arrived, including the end of the stream.
 func (c *Conn) Quiet() bool {
 	if c.socket.Load() == nil || c.Dead() {
 		return false
@@ -215,19 +217,19 @@
 	return errors.Is(err, syscall.EAGAIN) && c.pendingReads.Load() == 0
 }
 
-// Unread tells whether the peer has sent bytes that the handler has not been given, also such as a read has taken out
-// of the socket already. The peer's end alone doesn't count.
+// Unread reports whether bytes from the peer have arrived that the handler has not received, including bytes that were
+// already read from the socket. The end of the stream alone does not count.
 func (c *Conn) Unread() bool {
 	if c.socket.Load() == nil || c.Dead() {
 		return false
 	}
-	size, _ := c.peekSocket(make([]byte, 1)) // first: a read is counted before it takes anything
+	size, _ := c.peekSocket(make([]byte, 1)) // first, because a read is counted before it takes bytes from the socket
 	return size > 0 || c.pendingReads.Load() > 0
 }
 
-// MarkArrived marks the place in the peer's byte stream, under TLS that of the ciphertext, behind all that has arrived.
-// known is false where a read is in progress, or more has arrived than is looked at.
-func (c *Conn) MarkArrived() (known bool) {
+// MarkArrived records the position in the peer's byte stream (under TLS, of the ciphertext) behind all bytes that have
+// arrived. ok is false if a read is in progress, or if more has arrived than arrivedPeekSize.
+func (c *Conn) MarkArrived() (ok bool) {
 	if c.socket.Load() == nil || c.Dead() {
 		c.beforeMark = 0
 		return true
@@ -240,7 +242,7 @@
 	defer partial.Put(peeked)
 	size, err := c.peekSocket(peeked[:arrivedPeekSize])
 	if err != nil {
-		size = 0 // nothing, or the end
+		size = 0 // nothing has arrived, or only the end of the stream
 	}
 	if size == arrivedPeekSize || c.reading.Load() || c.pendingBytes.Load() != pending {
 		return false
@@ -249,12 +251,14 @@
 	return true
 }
 
-// MarkHandled tells whether the handler was given all bytes before the mark, and what a handshake makes of them.
+// MarkHandled reports whether the handler has handled all bytes before the position of MarkArrived, and no handshake is
+// still processing them.
 func (c *Conn) MarkHandled() bool {
-	return c.beforeMark == 0 && (c.layer == nil || !c.layer.computing())
+	return c.beforeMark == 0 && (c.layer == nil || !c.layer.isComputing())
 }
 
-// peekSocket copies what the socket holds into buf, and leaves it there. It returns the number of bytes, or the error.
+// peekSocket copies the socket's unread input into buf without consuming it. It returns the number of bytes, or an
+// error.
 func (c *Conn) peekSocket(buf []byte) (int, error) {
 	socket, open := c.openSocket()
 	if !open {
--- a/internal/net/reactor/dial.go
+++ b/internal/net/reactor/dial.go
@@ -9,31 +9,32 @@
 	"github.com/lesismal/nbio"
 )
 
-// Dial opens a connection; Up or Down is called at the latest after the limit. The standard library connects: the
-// engine's own dialing reads an IPv4 address out of the first four bytes of its sixteen-byte form, which are zeros, so
-// that every connect went to this machine's first address. Only for the loop's goroutine.
-func (r *Reactor) Dial(addr string, limit time.Duration, handler Handler) *Conn {
-	return r.dial("", addr, limit, nil, handler)
+// Dial opens a connection; Up or Down is called no later than the timeout. The standard library connects, because the
+// engine's own dialing takes an IPv4 address from the first four bytes of its sixteen-byte form, which are zeros, so
+// that every connect went to this machine's first address. Dial must be called on the loop's goroutine.
+func (r *Reactor) Dial(addr string, timeout time.Duration, handler Handler) *Conn {
+	return r.dial("", addr, timeout, nil, handler)
 }
 
-// DialTLS opens a connection under TLS; Up is called once the handshake has succeeded. limit bounds the connect
-// alone: the handler closes a connection whose handshake takes too long. Only for the loop's goroutine.
-func (r *Reactor) DialTLS(addr string, limit time.Duration, cfg *tls.Config, handler Handler) *Conn {
-	return r.dial("", addr, limit, cfg, handler)
+// DialTLS opens a connection under TLS; Up is called once the handshake has succeeded. The timeout covers only the
+// connect: the handler closes a connection whose handshake takes too long. DialTLS must be called on the loop's
+// goroutine.
+func (r *Reactor) DialTLS(addr string, timeout time.Duration, cfg *tls.Config, handler Handler) *Conn {
+	return r.dial("", addr, timeout, cfg, handler)
 }
 
-// DialFrom opens a connection from one of this machine's addresses; the empty one is any. Only for the loop's
-// goroutine.
-func (r *Reactor) DialFrom(from, addr string, limit time.Duration, handler Handler) *Conn {
-	return r.dial(from, addr, limit, nil, handler)
+// DialFrom opens a connection from one of this machine's addresses; an empty address leaves the choice to the system.
+// DialFrom must be called on the loop's goroutine.
+func (r *Reactor) DialFrom(localAddr, addr string, timeout time.Duration, handler Handler) *Conn {
+	return r.dial(localAddr, addr, timeout, nil, handler)
 }
 
-func (r *Reactor) dial(from, addr string, limit time.Duration, cfg *tls.Config, handler Handler) *Conn {
+func (r *Reactor) dial(localAddr, addr string, timeout time.Duration, cfg *tls.Config, handler Handler) *Conn {
 	dialer := net.Dialer{KeepAlive: -1}
-	if from != "" {
-		dialer.LocalAddr = &net.TCPAddr{IP: net.ParseIP(from)}
+	if localAddr != "" {
+		dialer.LocalAddr = &net.TCPAddr{IP: net.ParseIP(localAddr)}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	c := &Conn{reactor: r, handler: handler, cancelDial: cancel, wantsTLS: cfg != nil}
 	go func() {
 		socket, err := connect(ctx, &dialer, addr)
@@ -43,18 +44,18 @@
 	return c
 }
 
-// connect opens a socket for the engine.
+// connect opens a TCP connection and wraps it for the engine.
 func connect(ctx context.Context, dialer *net.Dialer, addr string) (*nbio.Conn, error) {
 	if err := faultError(CallConnect, addr); err != nil {
 		return nil, err
 	}
-	plain, err := dialer.DialContext(ctx, "tcp", addr)
+	netConn, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	socket, err := nbio.NBConn(plain)
+	socket, err := nbio.NBConn(netConn)
 	if err != nil {
-		_ = plain.Close()
+		_ = netConn.Close()
 		return nil, err
 	}
 	return socket, nil
--- a/internal/net/reactor/fault.go
+++ b/internal/net/reactor/fault.go
@@ -12,35 +12,36 @@
 // SocketCall is a family of system calls on sockets.
 type SocketCall string
 
-// The families of calls that a test can make fail.
+// The system calls that a test can make fail.
 const (
 	CallConnect SocketCall = "connect" // with socket and bind
 	CallListen  SocketCall = "listen"  // with socket and bind
 	CallAccept  SocketCall = "accept"
 	CallRead    SocketCall = "read"
 	CallWrite   SocketCall = "write"
-	CallPoll    SocketCall = "poll" // adding a connection to the engine's set
+	CallPoll    SocketCall = "poll" // adding a connection to the engine's poller
 )
 
-// SocketFault is how a call fails.
+// SocketFault describes how a call fails.
 type SocketFault struct {
-	Errno syscall.Errno // 0: the call is only short
+	Errno syscall.Errno // 0: the call succeeds, but a write is split into two
 	After int           // bytes that a write or a read transfers before it fails
 }
 
-// FaultHook returns how a call fails, by the peer's address or the listener's; nil: it does not fail.
+// FaultHook returns the fault of a call, given the address of the peer or of the listener; nil: it does not fail.
 type FaultHook func(call SocketCall, addr string) *SocketFault
 
 var faultHook atomic.Pointer[FaultHook]
 
-// SetFaultHook sets the hook that decides which calls fail, until undo is called. The hook may be called on any
-// goroutine. Only for tests, one at a time.
+// SetFaultHook sets the hook that decides which calls fail, until undo is called. The hook must be safe for concurrent
+// use. Only for tests, one at a time.
 func SetFaultHook(hook FaultHook) (undo func()) {
 	faultHook.Store(&hook)
 	return func() { faultHook.Store(nil) }
 }
 
-// fault returns how a call fails; nil: it does not. Without a hook its cost is one atomic load; addr isn't called then.
+// fault returns the fault of a call; nil: it does not fail. Without a hook it costs one atomic load and does not call
+// addr.
 func fault(call SocketCall, addr func() string) *SocketFault {
 	if hook := faultHook.Load(); hook != nil {
 		return (*hook)(call, addr())
@@ -48,7 +49,7 @@
 	return nil
 }
 
-// faultError is the error with which a call fails; nil: it does not.
+// faultError returns the error with which a call fails; nil: it does not fail.
 func faultError(call SocketCall, addr string) error {
 	if injected := fault(call, func() string { return addr }); injected != nil && injected.Errno != 0 {
 		return injected.Errno
@@ -56,7 +57,7 @@
 	return nil
 }
 
-// writeFaulty writes the beginning of the pieces, and then fails or writes the rest in a second write. It runs only
+// writeFaulty writes the first bytes of the pieces, and then fails or writes the rest in a second write. It runs only
 // in tests.
 func (c *Conn) writeFaulty(socket *nbio.Conn, injected *SocketFault, pieces [][]byte) error {
 	all := bytes.Join(pieces, nil)
--- a/internal/net/reactor/finish.go
+++ b/internal/net/reactor/finish.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// maxGracefulCloses bounds the graceful closes in progress while newcomers are admitted: each holds a descriptor
-	// that no connection table counts.
+	// maxGracefulCloses bounds the graceful closes in progress while new connections are admitted: each uses a file
+	// descriptor that no connection table counts.
 	maxGracefulCloses = 8
-	// gracefulCloseLimit is the time that a peer has to read its last answer and end its side.
-	gracefulCloseLimit = 500 * time.Millisecond
+	// gracefulCloseTimeout is the time that a peer has to read its last reply and close its side.
+	gracefulCloseTimeout = 500 * time.Millisecond
 )
 
-// AllowAllGracefulCloses removes the bound on graceful closes in progress: no newcomers are admitted any more. Only
-// for the loop's goroutine.
+// AllowAllGracefulCloses removes the limit on graceful closes in progress; call it once no new connections are
+// admitted. It must be called on the loop's goroutine.
 func (r *Reactor) AllowAllGracefulCloses() { r.maxFinishing = math.MaxInt }
 
-// CloseGracefully closes the connection after what was written has left: the peer reads the end behind it, and what
-// it still sends is ignored until it has ended its side too, for gracefulCloseLimit at most. An immediate close with
-// unread bytes would be a reset, which can overtake the last answer. Down follows. Where too many graceful closes are
-// in progress, it is a Close.
+// CloseGracefully closes the connection once all written bytes have been sent, so that the peer reads them before the
+// end of the stream. Further input is ignored until the peer has closed its side too, for at most gracefulCloseTimeout.
+// An immediate close with unread input would send a reset, which can overtake the last reply. Down follows. If too many
+// graceful closes are in progress, it closes the connection as Close does.
 func (c *Conn) CloseGracefully() {
 	if c.reactor.finishing >= c.reactor.maxFinishing {
 		c.Close()
@@ -32,7 +32,7 @@
 	c.startFinish()
 }
 
-// startFinish begins a graceful close, whatever the number of others.
+// startFinish starts a graceful close, however many are in progress.
 func (c *Conn) startFinish() {
 	if c.state != open || c.Flush() != nil {
 		c.Close()
@@ -44,14 +44,14 @@
 	c.state = finishing
 	c.reactor.finishing++
 	c.finishTimer = &timers.Timer{}
-	c.reactor.Arm(c.finishTimer, gracefulCloseLimit, timers.Coarse, timers.Func(c.Close))
+	c.reactor.Arm(c.finishTimer, gracefulCloseTimeout, timers.Coarse, timers.Func(c.Close))
 	c.shutdownWrite()
 }
 
-// shutdownWrite ends the sending side once all that was written has left.
+// shutdownWrite closes the sending side once all written bytes have been sent.
 func (c *Conn) shutdownWrite() {
 	if !c.Sent(c.queued) {
-		c.awaitsDrain.Store(true) // drained calls again
+		c.awaitsDrain.Store(true) // drained calls shutdownWrite again
 		if !c.Sent(c.queued) {
 			return
 		}
--- a/internal/net/reactor/gather.go
+++ b/internal/net/reactor/gather.go
@@ -5,102 +5,104 @@
 	"sync"
 )
 
-// gather holds what is written to one connection in one turn of the loop; it leaves in one write.
-type gather struct {
+// writeBatch holds the bytes that are appended to one connection's output during one batch of the loop's tasks; they
+// are sent in one write.
+type writeBatch struct {
 	conn *Conn
 	buf  []byte
-	tag  uint64 // the writer's tag of what was appended last; 0: none
+	tag  uint64 // the tag of the bytes that were appended last; 0: none
 }
 
 const (
-	// gatherMost is the size at which a buffer leaves before the turn is over, in bytes.
-	gatherMost = 32 << 10
-	// gatherKeep is the largest buffer that returns to the pool, in bytes.
-	gatherKeep = 64 << 10
-	// gatherFirst is the size of a new buffer, in bytes.
-	gatherFirst = 1 << 10
+	// maxBatchSize is the size at which a buffer is written before the end of the loop's batch, in bytes.
+	maxBatchSize = 32 << 10
+	// maxPooledSize is the largest buffer that returns to the pool, in bytes.
+	maxPooledSize = 64 << 10
+	// initialBatchSize is the size of a new buffer, in bytes.
+	initialBatchSize = 1 << 10
 )
 
-var gatherPool = sync.Pool{New: func() any { return &gather{buf: make([]byte, 0, gatherFirst)} }}
+var writeBatchPool = sync.Pool{New: func() any { return &writeBatch{buf: make([]byte, 0, initialBatchSize)} }}
 
-// Buffer returns what has been gathered and not left, or nil for a dead connection. Append to it, and give it to
-// Gathered. It leaves at the end of the loop's turn, or with the next Write, Flush or Close.
+// Buffer returns the bytes that are batched for writing, or nil if the connection is closing. The caller appends to
+// them and passes the result to Gathered. They are written at the end of the loop's batch of tasks, or with the next
+// Write, Flush or Close.
 func (c *Conn) Buffer() []byte {
-	if c.gather == nil {
+	if c.writeBatch == nil {
 		if c.Dead() {
 			return nil
 		}
-		pending, _ := gatherPool.Get().(*gather)
-		pending.conn, pending.buf, pending.tag = c, pending.buf[:0], 0
-		c.gather = pending
-		c.reactor.Later(pending)
+		batch, _ := writeBatchPool.Get().(*writeBatch)
+		batch.conn, batch.buf, batch.tag = c, batch.buf[:0], 0
+		c.writeBatch = batch
+		c.reactor.Later(batch)
 	}
-	return c.gather.buf
+	return c.writeBatch.buf
 }
 
-// Gathered takes the buffer back with what was appended. As with Write, an error means that the
-// peer does not read, or that the connection has ended.
+// Gathered stores the result of appending to Buffer. As with Write, an error means that the peer does not read, or that
+// the connection has ended.
 func (c *Conn) Gathered(buf []byte) error {
-	if c.Dead() || c.gather == nil || c.socket.Load() == nil {
+	if c.Dead() || c.writeBatch == nil || c.socket.Load() == nil {
 		return net.ErrClosed
 	}
-	c.gather.buf, c.gather.tag = buf, 0
-	if len(buf) >= gatherMost {
+	c.writeBatch.buf, c.writeBatch.tag = buf, 0
+	if len(buf) >= maxBatchSize {
 		return c.Flush()
 	}
 	return nil
 }
 
-// SetBufferTag labels what the writer appended last. BufferTag returns the label while that is at the end of the
-// buffer, and 0 once anything else was appended or the buffer has left.
+// SetBufferTag sets a tag for the bytes that were appended last. BufferTag returns it while they are at the end of the
+// buffer, and 0 once other bytes were appended or the buffer was written.
 func (c *Conn) SetBufferTag(tag uint64) {
-	if c.gather != nil && len(c.gather.buf) > 0 {
-		c.gather.tag = tag
+	if c.writeBatch != nil && len(c.writeBatch.buf) > 0 {
+		c.writeBatch.tag = tag
 	}
 }
 
-// BufferTag returns the label of SetBufferTag; 0 if there is none.
+// BufferTag returns the tag of the bytes at the end of the buffer; 0 if there is none.
 func (c *Conn) BufferTag() uint64 {
-	if c.gather == nil {
+	if c.writeBatch == nil {
 		return 0
 	}
-	return c.gather.tag
+	return c.writeBatch.tag
 }
 
-// gatheredBytes is the number of bytes in the buffer.
-func (c *Conn) gatheredBytes() int64 {
-	if c.gather == nil {
+// batchedBytes returns the number of bytes in the buffer.
+func (c *Conn) batchedBytes() int64 {
+	if c.writeBatch == nil {
 		return 0
 	}
-	return int64(len(c.gather.buf))
+	return int64(len(c.writeBatch.buf))
 }
 
-// Flush writes what was gathered.
+// Flush writes the batched bytes.
 func (c *Conn) Flush() error {
-	pending := c.gather
-	if pending == nil || len(pending.buf) == 0 {
+	batch := c.writeBatch
+	if batch == nil || len(batch.buf) == 0 {
 		return nil
 	}
-	buf := pending.buf
-	pending.buf, pending.tag = pending.buf[:0], 0
+	buf := batch.buf
+	batch.buf, batch.tag = batch.buf[:0], 0
 	return c.send(buf)
 }
 
-// Do runs at the end of the turn: it writes what was gathered and returns the buffer to the pool.
-func (g *gather) Do() {
-	c := g.conn
+// Do runs at the end of the loop's batch: it writes the bytes and returns the buffer to the pool.
+func (b *writeBatch) Do() {
+	c := b.conn
 	if !c.Dead() && c.Flush() != nil {
 		c.Close()
 	}
-	c.gather, g.conn = nil, nil
-	if cap(g.buf) <= gatherKeep {
-		gatherPool.Put(g)
+	c.writeBatch, b.conn = nil, nil
+	if cap(b.buf) <= maxPooledSize {
+		writeBatchPool.Put(b)
 	}
 }
 
-// dropGathered discards what was gathered: its connection has ended.
-func (c *Conn) dropGathered() {
-	if c.gather != nil {
-		c.gather.buf, c.gather.tag = c.gather.buf[:0], 0
+// dropBatch discards the batched bytes, because the connection has ended.
+func (c *Conn) dropBatch() {
+	if c.writeBatch != nil {
+		c.writeBatch.buf, c.writeBatch.tag = c.writeBatch.buf[:0], 0
 	}
 }
--- a/internal/net/reactor/handshake_order_test.go
+++ b/internal/net/reactor/handshake_order_test.go
@@ -156,7 +156,7 @@
 			err = p.oneDown(t, d.downs)
 			var failed *HandshakeError
 			if first == ownClose {
-				if d.ups != 0 || !isCut(err) { // by the peer's close, which crosses the time-out, or by that
+				if d.ups != 0 || !isConnectionEnd(err) { // by the peer's close, which crosses the time-out, or by that
 					t.Fatal(d.ups, err)
 				}
 				return
--- a/internal/net/reactor/listen.go
+++ b/internal/net/reactor/listen.go
@@ -16,41 +16,41 @@
 	"github.com/lesismal/nbio"
 )
 
-// maxUnhandled bounds the connections of one listener that are accepted and have no handler yet: until then no
-// connection table counts them, and many newcomers at once could take the descriptors that the dialing side needs.
-const maxUnhandled = 16
+// maxUnhandledConns bounds the connections of one listener that are accepted and have no handler yet. No connection
+// table counts them until then, and many connections at once could use up the descriptors that the dialing side needs.
+const maxUnhandledConns = 16
 
-// Listener accepts connections. It has its own accept loop, since the engine's ends for good when descriptors run out
-// for a moment. Any goroutine may call its methods, except where one says otherwise.
+// Listener accepts connections. It has its own accept loop, because the engine's ends permanently when file descriptors
+// run out for a short time. Its methods are safe for concurrent use unless noted otherwise.
 type Listener struct {
 	net.Listener
 	reactor   *Reactor
-	inherited bool                // other processes hold its socket, too
+	inherited bool                // other processes have the socket open, too
 	accept    func(*Conn) Handler // runs on the loop's goroutine
-	rejection []byte              // the reply without a descriptor; nil: none
-	tls       *tls.Config         // nil: plain
+	rejection []byte              // the reply to a client when descriptors have run out; nil: none
+	tls       *tls.Config         // nil: no TLS
 
-	acceptRate atomic.Int64 // newcomers per second; 0: any number
+	acceptRate atomic.Int64 // new connections per second; 0: no limit
 
 	mu     sync.Mutex
-	pauses chan chan struct{} // pauses for serve, each closed to continue
-	paused chan struct{}      // the pause in force; nil: none
+	pauses chan chan struct{} // a pause for serve, which waits until the inner channel is closed
+	paused chan struct{}      // the current pause; nil: none
 
-	finished bool // no newcomer is on the way to its handler any more; for the loop's goroutine
+	finished bool // accepting has ended and every connection has its handler; used on the loop's goroutine
 
-	// For serve's goroutine.
-	spare    *os.File // a descriptor in reserve for a reply when there is no other
-	failures int      // failed accepts in a row
+	// Used on serve's goroutine.
+	spare    *os.File // a descriptor reserved for replying when no other is left
+	failures int      // consecutive failed accepts
 }
 
 // Listen accepts connections; accept returns the handler of each, or nil to close it. rejection, if not nil, is the
-// reply to a newcomer for whom this process or machine has no descriptor left.
+// reply to a client when this process or machine has no file descriptor left for its connection.
 func (r *Reactor) Listen(network, addr string, rejection []byte, accept func(*Conn) Handler) (*Listener, error) {
 	return r.listen(network, addr, rejection, nil, accept)
 }
 
-// ListenTLS accepts connections whose Up is called after the handshake. A certificate may be changed by the
-// configuration's own callbacks.
+// ListenTLS accepts connections under TLS; Up is called after the handshake. The callbacks of cfg may be used to change
+// certificates.
 func (r *Reactor) ListenTLS(network, addr string, cfg *tls.Config, accept func(*Conn) Handler) (*Listener, error) {
 	return r.listen(network, addr, nil, cfg, accept)
 }
@@ -61,7 +61,7 @@
 	if err := faultError(CallListen, addr); err != nil {
 		return nil, fmt.Errorf("listening on %s: %w", addr, err)
 	}
-	config := net.ListenConfig{KeepAlive: -1} // the protocols detect dead idle clients, or nobody does
+	config := net.ListenConfig{KeepAlive: -1} // the protocols detect idle clients that are gone, if anything does
 	listener, err := config.Listen(context.Background(), network, addr)
 	if err != nil {
 		return nil, fmt.Errorf("listening on %s: %w", addr, err)
@@ -69,7 +69,7 @@
 	return r.start(&Listener{Listener: listener, rejection: rejection, tls: cfg, accept: accept}), nil
 }
 
-// start starts a listener's accept loop.
+// start completes a listener and starts its accept loop.
 func (r *Reactor) start(l *Listener) *Listener {
 	l.reactor = r
 	l.pauses = make(chan chan struct{}, 1)
@@ -78,17 +78,17 @@
 	return l
 }
 
-// deadliner is a listener whose Accept can be interrupted.
-type deadliner interface {
+// deadlineSetter is a listener whose Accept can be interrupted.
+type deadlineSetter interface {
 	SetDeadline(deadline time.Time) error
 }
 
-// Pause stops accepting until Resume or Close: newcomers wait in the backlog, where another process may accept them.
-// A connection that was accepted just before is still handled.
+// Pause stops accepting until Resume or Close: new connections wait in the backlog, where another process may accept
+// them. A connection that was accepted just before is still handled.
 func (l *Listener) Pause() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	listener, ok := l.Listener.(deadliner)
+	listener, ok := l.Listener.(deadlineSetter)
 	if !ok || l.paused != nil {
 		return
 	}
@@ -102,11 +102,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.paused != nil {
-		if listener, ok := l.Listener.(deadliner); ok {
+		if listener, ok := l.Listener.(deadlineSetter); ok {
 			_ = listener.SetDeadline(time.Time{})
 		}
 		select {
-		case <-l.pauses: // serve has not seen it
+		case <-l.pauses: // serve has not received the pause
 		default:
 		}
 		close(l.paused)
@@ -114,8 +114,8 @@
 	}
 }
 
-// Close stops accepting for good. The close of an inherited socket waits for the accept in progress, which other
-// processes can make a blocking one: it goes on in the background.
+// Close stops accepting permanently. The close of an inherited socket waits for the accept in progress, which can block
+// if another process has changed the socket's mode, so it continues in the background.
 func (l *Listener) Close() error {
 	if l.inherited {
 		go func() { _ = l.closeAndWait() }()
@@ -130,27 +130,27 @@
 	return err
 }
 
-// Finished tells whether accepting has ended for good and each newcomer was given its handler. Only for the loop's
-// goroutine.
+// Finished reports whether accepting has ended and every accepted connection has its handler. It must be called on the
+// loop's goroutine.
 func (l *Listener) Finished() bool { return l.finished }
 
-// SetRate bounds the newcomers per second; 0 is no bound. Those above it wait in the listener's backlog.
+// SetRate limits the new connections per second; 0 means no limit. Connections above it wait in the listener's backlog.
 func (l *Listener) SetRate(perSecond int) { l.acceptRate.Store(int64(perSecond)) }
 
 // serve is the accept loop; it ends with Close.
 func (l *Listener) serve() {
-	unhandled := make(chan struct{}, maxUnhandled)
+	unhandled := make(chan struct{}, maxUnhandledConns)
 	var pace pacer
 	for {
 		unhandled <- struct{}{}
 		if rate := l.acceptRate.Load(); rate > 0 {
 			time.Sleep(pace.wait(l.reactor.Now(), int(rate)))
 		}
-		plain, err := l.acceptPlain()
+		netConn, err := l.acceptConn()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			l.releaseSpare()
-			l.reactor.Post(func() { l.finished = true }) // behind the newcomers
+			l.reactor.Post(func() { l.finished = true }) // behind the connections that were accepted before
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			<-unhandled
@@ -162,10 +162,10 @@
 			continue
 		}
 		l.failures = 0
-		socket, err := nbio.NBConn(plain)
+		socket, err := nbio.NBConn(netConn)
 		if err != nil {
 			<-unhandled
-			_ = plain.Close() // nbio closes it only once it has taken it over
+			_ = netConn.Close() // nbio closes only connections that it has taken over
 			l.acceptFailed(err)
 			continue
 		}
@@ -177,15 +177,15 @@
 	}
 }
 
-// acceptPlain accepts one newcomer. While a test injects a fault, newcomers wait in the backlog.
-func (l *Listener) acceptPlain() (net.Conn, error) {
+// acceptConn accepts one connection. While a test injects a fault, connections wait in the backlog.
+func (l *Listener) acceptConn() (net.Conn, error) {
 	if injected := fault(CallAccept, l.Addr().String); injected != nil && injected.Errno != 0 {
 		return nil, injected.Errno
 	}
 	return l.Accept()
 }
 
-// awaitResume waits for the end of a pause, if the interrupted accept was due to one and not to replyWithSpare.
+// awaitResume waits for the end of a pause, if a pause and not replyWithSpare interrupted the accept.
 func (l *Listener) awaitResume() {
 	select {
 	case resumed := <-l.pauses:
@@ -194,7 +194,7 @@
 	}
 }
 
-// handle gives a newcomer its handler, on the loop's goroutine.
+// handle assigns the handler of a new connection, on the loop's goroutine.
 func (l *Listener) handle(socket *nbio.Conn) {
 	c := &Conn{reactor: l.reactor, wantsTLS: l.tls != nil}
 	c.socket.Store(socket)
--- a/internal/net/reactor/pause_test.go
+++ b/internal/net/reactor/pause_test.go
@@ -48,7 +48,7 @@
 	defer c.Close()
 	accepted := make(chan error, 1)
 	go func() {
-		_, err := l.acceptPlain()
+		_, err := l.acceptConn()
 		accepted <- err
 	}()
 	select {
--- a/internal/net/reactor/reactor.go
+++ b/internal/net/reactor/reactor.go
@@ -1,5 +1,5 @@
-// Package reactor runs the program's sockets on one nbio engine. Its callbacks enqueue tasks on a loop, so handlers
-// run on the loop's goroutine and need no locks.
+// Package reactor runs the program's sockets on one nbio engine. The engine's callbacks enqueue tasks on an event loop,
+// so that handlers run on the loop's goroutine and need no locks.
 package reactor
 
 import (
@@ -18,23 +18,23 @@
 )
 
 const (
-	// readBufferSize is how much the engine reads at a time, in bytes.
+	// readBufferSize is the size of the engine's reads, in bytes.
 	readBufferSize = 32 << 10
-	// maxUnread bounds the bytes that were read and not handled yet, over all connections.
-	maxUnread = 4 << 20
+	// maxUnhandledBytes bounds the bytes that were read and not handled yet, over all connections.
+	maxUnhandledBytes = 4 << 20
 	// readsBeforeYield is the number of reads after which the engine's goroutine yields its processor.
 	readsBeforeYield = 32
-	// stopLimit bounds the wait for the engine's end.
-	stopLimit = 300 * time.Millisecond
+	// stopTimeout bounds the wait for the engine to stop.
+	stopTimeout = 300 * time.Millisecond
 )
 
 // Handler receives the events of one connection, always on the loop's goroutine.
 type Handler interface {
 	// Up is called once when the connection is established.
 	Up(conn *Conn)
-	// Data receives bytes, which are the handler's until it returns.
+	// Data receives input. The slice is valid until Data returns.
 	Data(conn *Conn, received []byte)
-	// Down is called once when the connection has ended, also by Close.
+	// Down is called once when the connection has ended, also after Close.
 	Down(conn *Conn, err error)
 }
 
@@ -42,34 +42,35 @@
 type Reactor struct {
 	*loop.Loop
 
-	// Refused, if it is set before the first connection, is called for failed handshakes, on the loop's goroutine.
+	// Refused, if not nil, is called on the loop's goroutine for each failed handshake. It must be set before the first
+	// connection.
 	Refused func(*HandshakeError)
 
 	engine  *nbio.Engine
 	barrier *pollerBarrier
 
-	unread     atomic.Int64 // bytes read and not handled yet
-	room       sync.Cond    // signaled when unread falls to maxUnread; its lock also guards the sockets' sessions
-	readsInRow int          // for the engine's goroutine
+	unhandledBytes atomic.Int64 // bytes read and not handled yet
+	belowLimit     sync.Cond    // signaled when unhandledBytes falls to its limit; its lock also guards socket sessions
+	readsInRow     int          // used on the engine's goroutine
 
-	unsent         atomic.Int64 // bytes written and not yet taken by the sockets
-	maxUnsentTotal int64        // bound of unsent
+	unsent         atomic.Int64 // bytes passed to the engine and not yet written to the sockets
+	maxUnsentTotal int64        // limit of unsent
 
-	// For the loop's goroutine.
-	rejecting    int // newcomers that are being rejected with a reply
+	// Used on the loop's goroutine.
+	rejecting    int // connections that are being rejected with a reply
 	finishing    int // connections that are being closed gracefully
-	maxFinishing int // bound of finishing
+	maxFinishing int // limit of finishing
 }
 
-// New starts an engine whose handlers run on a loop. maxUnsentTotal bounds the bytes that wait unwritten on all
-// connections together: above it, a connection that holds more than fairUnsent of them is closed when it is
-// written to.
-func New(owner *loop.Loop, maxUnsentTotal int64) (*Reactor, error) {
+// New starts an engine whose handlers run on an event loop. maxUnsentTotal bounds the unsent bytes of all connections
+// together: above it, writing to a connection that has more than fairUnsent of them fails, and the connection is to be
+// closed.
+func New(eventLoop *loop.Loop, maxUnsentTotal int64) (*Reactor, error) {
 	logging.SetLevel(logging.LevelNone)
 	r := &Reactor{
-		Loop:           owner,
+		Loop:           eventLoop,
 		maxUnsentTotal: maxUnsentTotal,
-		room:           sync.Cond{L: &sync.Mutex{}},
+		belowLimit:     sync.Cond{L: &sync.Mutex{}},
 		maxFinishing:   maxGracefulCloses,
 	}
 	r.engine = nbio.NewEngine(nbio.Config{
@@ -93,10 +94,10 @@
 	return r, nil
 }
 
-// Stop closes the engine and all of its connections. Its wait is bounded: the engine overlooks a connection that
-// joins while it stops, and would wait for it without end.
+// Stop closes the engine and all of its connections. Its wait is bounded, because the engine misses a connection that
+// is registered while it stops, and would wait for it forever.
 func (r *Reactor) Stop() {
-	ctx, cancel := context.WithTimeout(context.Background(), stopLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	defer r.barrier.stop()
 	_ = r.engine.Shutdown(ctx) // sockets that are still open are closed with the process
@@ -104,9 +105,9 @@
 
 // onReadBegin runs on the engine's goroutine, before a socket is read.
 func (r *Reactor) onReadBegin(socket *nbio.Conn) *[]byte {
-	r.room.L.Lock() // as attach does: what the loop has made of the connection is visible here
+	r.belowLimit.L.Lock() // attach takes this lock too, so that the loop's changes to the connection are visible here
 	c, ok := socket.Session().(*Conn)
-	r.room.L.Unlock()
+	r.belowLimit.L.Unlock()
 	if ok {
 		c.pendingReads.Add(1)
 		c.reading.Store(true)
@@ -114,7 +115,7 @@
 	return r.engine.PollerBufferPtr(socket)
 }
 
-// onReadEnd runs on the engine's goroutine, once what was read is enqueued.
+// onReadEnd runs on the engine's goroutine, once the bytes of a read are enqueued.
 func (r *Reactor) onReadEnd(socket *nbio.Conn, _ *[]byte) {
 	if c, ok := socket.Session().(*Conn); ok {
 		c.reading.Store(false)
@@ -125,11 +126,11 @@
 // onClose runs on the engine's goroutine.
 func (r *Reactor) onClose(socket *nbio.Conn, err error) {
 	if c, ok := socket.Session().(*Conn); ok {
-		r.Read(loop.Func(func() { c.end(err) })) // after what the peer has sent
+		r.Read(loop.Func(func() { c.end(err) })) // after the input that arrived before
 	}
 }
 
-// onWritten runs on the goroutine that wrote: the engine's, or the loop's.
+// onWritten runs on the goroutine that wrote, which is the engine's or the loop's.
 func (r *Reactor) onWritten(socket *nbio.Conn, _ []byte, size int) {
 	c, ok := socket.Session().(*Conn)
 	if !ok {
@@ -142,12 +143,12 @@
 	}
 }
 
-// onData runs on the engine's goroutine. It waits there while too much is unread, which stops reading.
+// onData runs on the engine's goroutine. It blocks while too many bytes are unhandled, which stops the engine's reads.
 func (r *Reactor) onData(socket *nbio.Conn, received []byte) {
 	c, ok := socket.Session().(*Conn)
 	if !ok {
 		if barrier, isBarrier := socket.Session().(*pollerBarrier); isBarrier {
-			barrier.reached()
+			barrier.onWake()
 		}
 		return
 	}
@@ -160,42 +161,42 @@
 	}
 	own := append(partial.Get(len(received)), received...)
 	c.pendingBytes.Add(int32(len(received)))
-	c.pendingReads.Add(1) // before a wait for room: the bytes have left the socket already
-	r.room.L.Lock()
-	for r.unread.Load() > maxUnread {
-		r.room.Wait()
+	c.pendingReads.Add(1) // before a wait, because the bytes have been read from the socket already
+	r.belowLimit.L.Lock()
+	for r.unhandledBytes.Load() > maxUnhandledBytes {
+		r.belowLimit.Wait()
 	}
-	r.room.L.Unlock()
-	r.unread.Add(int64(cap(own)))
-	task, _ := readPool.Get().(*read)
+	r.belowLimit.L.Unlock()
+	r.unhandledBytes.Add(int64(cap(own)))
+	task, _ := readTaskPool.Get().(*readTask)
 	task.conn, task.bytes = c, own
 	r.Read(task)
 	if r.readsInRow++; r.readsInRow%readsBeforeYield == 0 {
-		runtime.Gosched() // many peers that send at once would keep one processor's other goroutines waiting
+		runtime.Gosched() // many peers that send at once would otherwise delay the other goroutines of a processor
 	}
 }
 
-// read is the loop's task for the bytes of one read.
-type read struct {
+// readTask is the loop's task for the bytes of one read.
+type readTask struct {
 	conn  *Conn
 	bytes []byte
 }
 
-var readPool = sync.Pool{New: func() any { return new(read) }}
+var readTaskPool = sync.Pool{New: func() any { return new(readTask) }}
 
-// Do gives the bytes to the connection's handler and returns their buffer.
-func (task *read) Do() {
+// Do passes the bytes to the connection's handler and returns their buffer to its pool.
+func (task *readTask) Do() {
 	c, received := task.conn, task.bytes
 	task.conn, task.bytes = nil, nil
-	readPool.Put(task)
+	readTaskPool.Put(task)
 	r := c.reactor
-	if before := r.unread.Add(-int64(cap(received))) + int64(cap(received)); before > maxUnread {
-		r.room.L.Lock()
-		r.room.Signal()
-		r.room.L.Unlock()
+	if before := r.unhandledBytes.Add(-int64(cap(received))) + int64(cap(received)); before > maxUnhandledBytes {
+		r.belowLimit.L.Lock()
+		r.belowLimit.Signal()
+		r.belowLimit.L.Unlock()
 	}
 	c.pendingReads.Add(-1)
-	if !c.Dead() && c.layer != nil { // what comes during a graceful close is ignored
+	if !c.Dead() && c.layer != nil { // input during a graceful close is ignored
 		c.layer.feed(received)
 	} else if !c.Dead() {
 		c.handler.Data(c, received)
--- a/internal/net/reactor/reject.go
+++ b/internal/net/reactor/reject.go
@@ -1,16 +1,16 @@
 package reactor
 
-// maxRejecting bounds the newcomers that are being rejected with a reply.
+// maxRejecting bounds the connections that are being rejected with a reply.
 const maxRejecting = 256
 
-// rejection is the handler of a newcomer that is sent a reply and closed gracefully.
+// rejection is the handler of a connection that is rejected: it is sent a reply and closed gracefully.
 type rejection struct {
 	reactor *Reactor
 	reply   []byte
 }
 
-// RejectWith returns a handler that rejects a newcomer with a reply, or nil where too many rejections are in
-// progress. Only for the loop's goroutine.
+// RejectWith returns a handler that rejects a new connection with a reply, or nil if too many rejections are in
+// progress. It must be called on the loop's goroutine.
 func (r *Reactor) RejectWith(reply []byte) Handler {
 	if r.rejecting >= maxRejecting {
 		return nil
@@ -19,7 +19,7 @@
 	return &rejection{reactor: r, reply: reply}
 }
 
-// Up sends the reply. The graceful close isn't subject to maxGracefulCloses: maxRejecting bounds it.
+// Up sends the reply. maxGracefulCloses does not apply to the graceful close, because maxRejecting bounds its number.
 func (rej *rejection) Up(c *Conn) {
 	if c.Write(rej.reply) != nil {
 		c.Close()
@@ -28,10 +28,10 @@
 	c.startFinish()
 }
 
-// Data ignores what the newcomer sends.
+// Data ignores the input.
 func (rej *rejection) Data(*Conn, []byte) {}
 
-// Down makes room for the next rejection.
+// Down ends the rejection, so that another one may start.
 func (rej *rejection) Down(*Conn, error) {
 	rej.reactor.rejecting--
 }
--- a/internal/net/reactor/secure.go
+++ b/internal/net/reactor/secure.go
@@ -19,55 +19,56 @@
 const (
 	// maxHandshake bounds the unread bytes of a peer during a handshake.
 	maxHandshake = 128 << 10
-	// plainBuffer is how much is decrypted at a time, in bytes: one record.
+	// plainBuffer is the size of the buffer for decrypted bytes: one TLS record.
 	plainBuffer = 16 << 10
 	// remoteError is the Op of the net.OpError in which crypto/tls reports a peer's alert.
 	remoteError = "remote error"
 )
 
-// HandshakeError is a failed handshake, or a peer's alert about this side's certificate after it.
+// HandshakeError is the error of a failed handshake, or of a peer's alert about this side's certificate after the
+// handshake.
 type HandshakeError struct {
-	Peer string // its address
+	Peer string // the peer's address
 	Err  error
 }
 
-// Error names the peer and the cause.
+// Error returns a text with the peer's address and the cause.
 func (e *HandshakeError) Error() string { return "tls with " + e.Peer + ": " + e.Err.Error() }
 
 // Unwrap returns the cause.
 func (e *HandshakeError) Unwrap() error { return e.Err }
 
-// tlsLayer is TLS on one connection: crypto/tls over what the engine reads and writes. Only the
-// handshake has a goroutine, which waits for the peer. After it the loop's goroutine reads: where nothing has arrived
-// the transport returns errAgain, which crypto/tls takes as temporary, and keeps the partial record that it has.
+// tlsLayer is TLS on one connection: crypto/tls over the engine's reads and writes. Only the handshake has a goroutine
+// of its own, which waits for the peer. After the handshake, the loop's goroutine reads: if nothing has arrived, the
+// transport returns errAgain, which crypto/tls treats as temporary, keeping a partial record for the next read.
 type tlsLayer struct {
-	conn        *Conn
-	tls         *tls.Conn
-	resultKnown bool  // the handshake has ended; for the loop's goroutine, as the next one
-	established bool  // the handshake has succeeded
-	endError    error // why the connection has ended, while the result is awaited
+	conn           *Conn
+	tls            *tls.Conn
+	handshakeEnded bool  // the handshake has succeeded or failed; used on the loop's goroutine, as the next two
+	established    bool  // the handshake has succeeded
+	endError       error // the reason for the connection's end, while Down waits for the result
 
 	// Shared with the handshake's goroutine while handshaking.
 	mu          sync.Mutex
 	arrived     sync.Cond
-	received    []byte // ciphertext that was not read yet
-	err         error  // the connection has ended
+	received    []byte // ciphertext that crypto/tls has not read yet
+	err         error  // not nil: the connection has ended
 	handshaking bool
 	waiting     bool // the handshake waits for its peer
 }
 
-// errAgain is the transport's error when nothing has arrived.
+// errAgain is the transport's temporary error when nothing has arrived.
 type errAgain struct{}
 
 func (errAgain) Error() string   { return "nothing more has come" }
 func (errAgain) Timeout() bool   { return false }
 func (errAgain) Temporary() bool { return true }
 
-// handshakeSlots bounds the handshakes that compute at once, so that many newcomers leave processors to the open
-// connections. A handshake that waits for its peer holds no slot, so that silent peers delay nobody.
+// handshakeSlots bounds the handshakes that compute at the same time, so that many new connections leave processors to
+// the open ones. A handshake that waits for its peer holds no slot, so that unresponsive peers delay no other handshake.
 var handshakeSlots = make(chan struct{}, max(1, runtime.GOMAXPROCS(0)/2))
 
-// startTLS starts a handshake on a connection whose socket is open.
+// startTLS starts the handshake of a connection whose socket is open.
 func (c *Conn) startTLS(cfg *tls.Config, server bool) {
 	l := &tlsLayer{conn: c, handshaking: true}
 	l.arrived.L = &l.mu
@@ -86,25 +87,25 @@
 	}()
 }
 
-// handshakeDone continues after the handshake, on the loop's goroutine.
+// handshakeDone handles the result of the handshake, on the loop's goroutine.
 func (l *tlsLayer) handshakeDone(err error) {
 	c := l.conn
-	l.resultKnown = true
+	l.handshakeEnded = true
 	hasEnded := c.state == awaitingHandshake
 	switch {
-	case hasEnded && (err == nil && c.closedHere || isCut(err)):
+	case hasEnded && (err == nil && c.closedHere || isConnectionEnd(err)):
 		c.finalize(l.endError)
 	case hasEnded && err != nil:
 		c.finalize(err)
 	case err != nil:
 		c.fail(err)
-	default: // an end that came meanwhile is read behind what had arrived before it
+	default: // if the peer has closed in the meantime, decrypt reads its end after the bytes before it
 		l.establish()
 	}
 }
 
-// isCut tells whether a handshake has failed by the end of its connection alone.
-func isCut(err error) bool {
+// isConnectionEnd reports whether a handshake has failed only because its connection has ended.
+func isConnectionEnd(err error) bool {
 	return errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed)
 }
 
@@ -122,7 +123,7 @@
 	}
 }
 
-// feed takes what the engine has read.
+// feed receives the ciphertext that the engine has read.
 func (l *tlsLayer) feed(ciphertext []byte) {
 	if l.established {
 		l.received = append(l.received, ciphertext...)
@@ -137,13 +138,13 @@
 	}
 	l.mu.Unlock()
 	if full {
-		l.conn.fail(errors.New("too much was sent ahead of the handshake"))
+		l.conn.fail(errors.New("the peer sent too many bytes during the handshake"))
 		return
 	}
 	l.arrived.Signal()
 }
 
-// decrypt gives the handler all that can be decrypted.
+// decrypt passes to the handler all bytes that can be decrypted.
 func (l *tlsLayer) decrypt() {
 	c := l.conn
 	buf := partial.Get(plainBuffer)
@@ -163,7 +164,7 @@
 		var alert *net.OpError // a peer may reject this side's certificate after its own handshake is complete
 		if errors.As(err, &alert) && alert.Op == remoteError {
 			err = c.handshakeFailed(err)
-		} else if l.endError != nil && isCut(err) {
+		} else if l.endError != nil && isConnectionEnd(err) {
 			err = l.endError
 		}
 		c.fail(err)
@@ -171,14 +172,14 @@
 	}
 }
 
-// computing tells whether the handshake has something to do that the peer has sent.
-func (l *tlsLayer) computing() bool {
+// isComputing reports whether the handshake is still processing what the peer has sent.
+func (l *tlsLayer) isComputing() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.handshaking && !l.waiting
 }
 
-// wakeHandshake ends the handshake's goroutine: its next read fails.
+// wakeHandshake ends the handshake's goroutine, whose next read fails.
 func (l *tlsLayer) wakeHandshake(err error) {
 	l.mu.Lock()
 	l.err = err
@@ -186,7 +187,7 @@
 	l.arrived.Broadcast()
 }
 
-// handshakeFailed wraps the error of a handshake, and reports it to Reactor.Refused.
+// handshakeFailed wraps the error of a handshake and reports it to Reactor.Refused.
 func (c *Conn) handshakeFailed(err error) error {
 	peer := "unknown"
 	if socket := c.socket.Load(); socket != nil && socket.RemoteAddr() != nil {
@@ -199,7 +200,7 @@
 	return failed
 }
 
-// fail ends the connection from this side; Down receives the error.
+// fail closes the connection from this side; Down receives the error.
 func (c *Conn) fail(err error) {
 	c.closedHere = true
 	if socket := c.socket.Load(); socket != nil {
@@ -208,10 +209,10 @@
 	c.end(err)
 }
 
-// Secured tells whether the connection is, or is to be, under TLS.
+// Secured reports whether the connection uses TLS, or will once it is established.
 func (c *Conn) Secured() bool { return c.layer != nil || c.wantsTLS }
 
-// Peer is the verified certificate of the peer; nil if there is none.
+// Peer returns the verified certificate of the peer, or nil if there is none.
 func (c *Conn) Peer() *x509.Certificate {
 	if c.layer == nil || !c.layer.established {
 		return nil
@@ -222,7 +223,7 @@
 	return nil
 }
 
-// encrypt writes the pieces as one plaintext.
+// encrypt writes the pieces to the TLS connection in one call.
 func (l *tlsLayer) encrypt(pieces [][]byte) error {
 	if !l.established {
 		return net.ErrClosed // nothing can be written before the handshake is complete
@@ -245,17 +246,17 @@
 	return nil
 }
 
-// closeNotify sends the close_notify alert, by which the peer tells an end from a cut connection.
+// closeNotify sends the close_notify alert, by which the peer distinguishes a regular end from a truncated connection.
 func (l *tlsLayer) closeNotify() {
 	if l.established {
-		_ = l.tls.CloseWrite() // a peer that has gone needs no alert
+		_ = l.tls.CloseWrite() // if the connection is already closed, no alert is needed
 	}
 }
 
-// transport is the connection as crypto/tls sees it.
+// transport is the net.Conn below crypto/tls.
 type transport struct{ layer *tlsLayer }
 
-// Read returns what has arrived. During the handshake it waits.
+// Read returns ciphertext that has arrived. During the handshake it waits for some.
 func (t transport) Read(buf []byte) (int, error) {
 	l := t.layer
 	l.mu.Lock()
@@ -269,7 +270,7 @@
 		case !l.handshaking:
 			return 0, errAgain{}
 		}
-		<-handshakeSlots // others may compute while this one waits
+		<-handshakeSlots // another handshake may compute while this one waits
 		l.waiting = true
 		l.arrived.Wait()
 		l.waiting = false
@@ -284,14 +285,14 @@
 	return n, nil
 }
 
-// Write gives ciphertext to the engine, on the loop's goroutine.
+// Write passes ciphertext to the engine, on the loop's goroutine.
 func (t transport) Write(ciphertext []byte) (int, error) {
 	c := t.layer.conn
 	t.layer.mu.Lock()
 	handshaking, err := t.layer.handshaking, t.layer.err
 	t.layer.mu.Unlock()
 	if err != nil && handshaking {
-		return len(ciphertext), nil // the result goes by what the peer had sent
+		return len(ciphertext), nil // the result depends only on what the peer had sent
 	}
 	if err != nil {
 		return 0, net.ErrClosed
@@ -300,7 +301,7 @@
 		own := append([]byte(nil), ciphertext...)
 		c.reactor.Post(func() {
 			if !c.Dead() {
-				_ = c.writeRaw(own) // the engine reports a peer that has gone
+				_ = c.writeRaw(own) // the engine reports a failed connection
 			}
 		})
 		return len(ciphertext), nil
--- a/internal/net/reactor/write.go
+++ b/internal/net/reactor/write.go
@@ -10,36 +10,39 @@
 )
 
 const (
-	// maxUnsent bounds the bytes that one connection holds unwritten: a peer that does not read is closed.
+	// maxUnsent bounds the unsent bytes of one connection: above it, the connection of a peer that does not read is
+	// closed.
 	maxUnsent = 512 << 10
-	// fairUnsent is what each connection may hold while all together hold more than the reactor's bound, in bytes.
+	// fairUnsent is the number of unsent bytes that each connection may have while all connections together exceed the
+	// reactor's limit.
 	fairUnsent = 4 << 10
-	// backlog is the number of unsent bytes from which Backed holds: far below what ends a connection.
-	backlog = 64 << 10
+	// backlogThreshold is the number of unsent bytes from which Backed returns true. It is far below the limits at which
+	// a connection is closed.
+	backlogThreshold = 64 << 10
 )
 
-var errUnsent = errors.New("too much is waiting for peers that do not read")
+var errUnsent = errors.New("too many unsent bytes for peers that do not read")
 
-// Drainer is a handler that stops writing to a peer that does not read.
+// Drainer is a handler that stops writing while its peer does not read.
 type Drainer interface {
-	// Drained is called when some of the unsent bytes have left.
+	// Drained is called when some of the unsent bytes were written to the socket.
 	Drained(conn *Conn)
 }
 
-// Backed tells whether so many bytes wait for the peer that no more should be written yet. If so, Drained is called
-// when some of them have left.
+// Backed reports whether so many bytes are unsent that no more should be written for now. If so, Drained is called when
+// some of them were written to the socket.
 func (c *Conn) Backed() bool {
-	if c.unsent() < backlog {
+	if c.unsent() < backlogThreshold {
 		return false
 	}
 	c.awaitsDrain.Store(true)
-	return c.unsent() >= backlog // they may have left just before
+	return c.unsent() >= backlogThreshold // they may have been sent in the meantime
 }
 
-// unsent is the number of bytes that were gathered or written and have not left.
-func (c *Conn) unsent() int64 { return c.queued - c.written.Load() + c.gatheredBytes() }
+// unsent returns the number of bytes that were batched or passed to the engine and not yet written to the socket.
+func (c *Conn) unsent() int64 { return c.queued - c.written.Load() + c.batchedBytes() }
 
-// drained runs when bytes have left that somebody waited for.
+// drained runs on the loop's goroutine after bytes were written to the socket, if awaitsDrain was set.
 func (c *Conn) drained() {
 	if c.state == finishing {
 		c.shutdownWrite()
@@ -50,22 +53,22 @@
 	}
 }
 
-// StreamOffset is the position in the outgoing byte stream behind all that was written or gathered. Under TLS the
-// encrypted length of gathered bytes isn't known yet: there it is the position of the first byte that leaves with them,
-// so that Sent may be true too early, but never too late.
+// StreamOffset returns the position in the outgoing byte stream behind all bytes that were written or batched. Under TLS
+// the encrypted length of batched bytes is not known yet: if there are any, it returns the position of the first byte
+// that they will occupy, so that Sent may return true too early, but never too late.
 func (c *Conn) StreamOffset() int64 {
-	gathered := c.gatheredBytes()
-	if gathered > 0 && c.layer != nil {
+	batched := c.batchedBytes()
+	if batched > 0 && c.layer != nil {
 		return c.queued + 1
 	}
-	return c.queued + gathered
+	return c.queued + batched
 }
 
-// Sent tells whether the socket has taken all bytes before an offset of StreamOffset.
+// Sent reports whether all bytes before an offset that StreamOffset returned were written to the socket.
 func (c *Conn) Sent(offset int64) bool { return c.written.Load() >= offset }
 
-// Write sends the pieces in one gathered write, after what Buffer has gathered. An error means that the peer doesn't
-// read or that the connection has ended.
+// Write sends the pieces in one vectored write, after the batched bytes. An error means that the peer does not read or
+// that the connection has ended.
 func (c *Conn) Write(pieces ...[]byte) error {
 	if err := c.Flush(); err != nil {
 		return err
@@ -73,6 +76,7 @@
 	return c.send(pieces...)
 }
 
+// send writes the pieces, under TLS encrypted.
 func (c *Conn) send(pieces ...[]byte) error {
 	if c.layer == nil {
 		return c.writeRaw(pieces...)
@@ -83,7 +87,7 @@
 	return c.layer.encrypt(pieces)
 }
 
-// writeRaw gives the bytes to the engine as they are. A write that fails closes the socket.
+// writeRaw passes the bytes to the engine unencrypted. A write that fails closes the socket.
 func (c *Conn) writeRaw(pieces ...[]byte) error {
 	socket := c.socket.Load()
 	if socket == nil || c.Dead() {
@@ -91,15 +95,15 @@
 	}
 	err := c.writeSocket(socket, pieces)
 	if err != nil {
-		c.reactor.barrier.closedOutside(socket.Hash())
+		c.reactor.barrier.closedOutsideEngine(socket.Hash())
 	}
 	return err
 }
 
-// writeSocket writes the pieces. The engine's own gathered write drops the pieces behind the one
-// in which a partial write ends, and all of them where the socket was full: these are written after it, one by one,
-// through its buffered write. With unsent bytes before them it buffers all of them and reports them as written: then
-// they are written one by one from the start.
+// writeSocket writes the pieces. The engine's own vectored write drops the pieces behind the one in which a partial
+// write ends, and all of them if the socket was full; writeSocket then writes these one by one through the engine's
+// buffered write. If there are unsent bytes before them, the vectored write would buffer all pieces and report them as
+// written; writeSocket then writes all of them one by one.
 func (c *Conn) writeSocket(socket *nbio.Conn, pieces [][]byte) error {
 	total := 0
 	for _, piece := range pieces {
@@ -122,17 +126,17 @@
 		return fmt.Errorf("writing: %w", err)
 	}
 	if len(pieces) == 1 {
-		return nil // the engine buffers the rest of a single piece, and counts it
+		return nil // the engine buffers the rest of a single piece, and reports all of it to onWritten
 	}
 	if sent == total {
-		c.written.Add(int64(sent)) // the engine doesn't count it when all went out at once
+		c.written.Add(int64(sent)) // the engine does not report a complete vectored write
 		c.reactor.unsent.Add(-int64(sent))
 		return nil
 	}
 	return writeEach(socket, unbuffered(pieces, sent))
 }
 
-// unbuffered returns the pieces of a partial write that begin at or behind its end; the rest of the piece in which it
+// unbuffered returns the pieces that begin at or behind the end of a partial write; the rest of the piece in which it
 // ends is in the engine's buffer.
 func unbuffered(pieces [][]byte, sent int) [][]byte {
 	start := 0
@@ -145,7 +149,7 @@
 	return nil
 }
 
-// writeEach writes the pieces that aren't empty through the engine's buffer.
+// writeEach writes the pieces that are not empty one by one through the engine's buffered write.
 func writeEach(socket *nbio.Conn, pieces [][]byte) error {
 	for _, piece := range pieces {
 		if len(piece) == 0 {
