--- a/internal/net/reactor/finish_test.go
+++ b/internal/net/reactor/finish_test.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// accepted makes a connection: the peer's end, this side's, and its handler.
-func accepted(t *testing.T, r *Reactor) (net.Conn, *Conn, *rec) {
+// accepted opens a connection and returns the peer's end, the accepted end and its handler.
+func accepted(t *testing.T, r *Reactor) (net.Conn, *Conn, *chanHandler) {
 	t.Helper()
-	h, opened := newRec(), make(chan *Conn, 1)
+	h, opened := newChanHandler(), make(chan *Conn, 1)
 	ln, err := r.Listen("tcp", "127.0.0.1:0", nil, func(c *Conn) Handler { opened <- c; return h })
 	if err != nil {
 		t.Fatal(err)
@@ -30,24 +30,25 @@
 	return peer, c, h
 }
 
-// What the peer says crosses the end of the connection: it reads the last answer and then the end,
-// not a reset. What it said is not handed over. The loop stands still while the bytes come.
-func TestFinishOverUnreadBytes(t *testing.T) {
-	r, do := start(t)
+// Bytes from the peer arrive while this side closes the connection gracefully: the peer must read the last reply and
+// then the end of the stream, not a reset, and the handler must not receive the bytes. The loop is blocked while they
+// arrive.
+func TestGracefulCloseWithUnreadInput(t *testing.T) {
+	r, onLoop := start(t)
 	peer, c, h := accepted(t, r)
-	do(func() {
+	onLoop(func() {
 		if _, err := io.WriteString(peer, "one more"); err != nil {
 			t.Error(err)
 		}
 		if c.Unread() == false {
-			t.Error("nothing lies unread: nothing is tested")
+			t.Error("no input is unread, so the test checks nothing")
 		}
 		if err := c.Write([]byte("the last answer")); err != nil {
 			t.Error(err)
 		}
 		c.CloseGracefully()
 		if c.CloseGracefully(); !c.Dead() || c.Write([]byte("more")) == nil {
-			t.Error("it can still be written to")
+			t.Error("the connection can still be written to")
 		}
 	})
 	got, err := io.ReadAll(peer)
@@ -57,23 +58,23 @@
 	peer.Close()
 	<-h.down
 	if len(h.data) > 0 {
-		t.Errorf("%q was handed over", <-h.data)
+		t.Errorf("the handler received %q", <-h.data)
 	}
 }
 
-// What the peer has not read yet when its connection finishes still leaves, and the end behind it.
-func TestFinishWithUnsentBytes(t *testing.T) {
-	r, do := start(t)
+// Bytes that are unsent when a graceful close starts are still sent, and the end of the stream after them.
+func TestGracefulCloseWithUnsentBytes(t *testing.T) {
+	r, onLoop := start(t)
 	peer, c, h := accepted(t, r)
 	want := bytes.Repeat([]byte("0123456789abcdef"), 20<<10)
-	do(func() {
+	onLoop(func() {
 		_ = c.socket.Load().SetWriteBuffer(4096)
 		_ = syscall.SetsockoptInt(c.socket.Load().Hash(), syscall.SOL_SOCKET, syscall.SO_SNDBUF, 4096)
 		if err := c.Write(want); err != nil {
 			t.Error(err)
 		}
 		if c.Sent(c.StreamOffset()) {
-			t.Error("the socket took all: nothing is tested")
+			t.Error("no bytes are unsent, so the test checks nothing")
 		}
 		c.CloseGracefully()
 	})
@@ -85,93 +86,95 @@
 	<-h.down
 }
 
-// A peer that does not end its side, or speaks on, is closed after a while, and only so many may take that while.
-func TestFinishIsBounded(t *testing.T) {
-	r, do := start(t)
+// A graceful close ends after a timeout if the peer does not close its side or keeps sending, and the number of
+// graceful closes in progress is limited.
+func TestGracefulClosesAreBounded(t *testing.T) {
+	r, onLoop := start(t)
 	var peers []net.Conn
-	var recs []*rec
+	var handlers []*chanHandler
 	var all []*Conn
 	for range maxGracefulCloses + 2 {
 		peer, c, h := accepted(t, r)
-		peers, all, recs = append(peers, peer), append(all, c), append(recs, h)
+		peers, all, handlers = append(peers, peer), append(all, c), append(handlers, h)
 	}
-	do(func() {
+	onLoop(func() {
 		for _, c := range all {
 			c.CloseGracefully()
 		}
 		if r.finishing != maxGracefulCloses {
-			t.Errorf("%d finish at once", r.finishing)
+			t.Errorf("%d graceful closes in progress", r.finishing)
 		}
 	})
-	go func() { // one speaks on
+	go func() { // one peer keeps sending
 		for {
 			if _, err := peers[0].Write(make([]byte, 1000)); err != nil {
 				return
 			}
 		}
 	}()
-	for _, h := range recs {
+	for _, h := range handlers {
 		<-h.down
 	}
-	do(func() {
+	onLoop(func() {
 		if r.finishing != 0 {
-			t.Errorf("%d still finish", r.finishing)
+			t.Errorf("%d graceful closes still in progress", r.finishing)
 		}
 	})
 }
 
-// All sockets, dialled and accepted, send small writes at once: what the system still held back would go with a reset.
+// All sockets, dialed and accepted, send small writes at once: bytes that the system delays would be lost by a reset.
 func TestNoDelay(t *testing.T) {
-	r, do := start(t)
+	r, onLoop := start(t)
 	_, in, _ := accepted(t, r)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	h := newRec()
+	h := newChanHandler()
 	out := r.Dial(ln.Addr().String(), 20*time.Second, h)
 	<-h.up
-	do(func() {
+	onLoop(func() {
 		for _, c := range []*Conn{in, out} {
 			if on, err := syscall.GetsockoptInt(c.socket.Load().Hash(), syscall.IPPROTO_TCP, syscall.TCP_NODELAY); on == 0 ||
 				err != nil {
-				t.Errorf("small writes are held back: %d, %v", on, err)
+				t.Errorf("small writes are delayed: %d, %v", on, err)
 			}
 		}
 	})
 }
 
-// Unread counts from before a read takes anything out of the socket until the handler has been given it.
+// Bytes count as unread from their arrival until the handler receives them, also while the engine reads them from the
+// socket and while they are in the loop's queue.
 func TestUnread(t *testing.T) {
-	r, do := start(t)
+	r, onLoop := start(t)
 	peer, c, h := accepted(t, r)
-	do(func() {
+	onLoop(func() {
 		if c.Unread() || !c.Quiet() {
-			t.Error("something is unread before anything was sent")
+			t.Error("input is unread before any was sent")
 		}
 		if _, err := io.WriteString(peer, "x"); err != nil {
 			t.Error(err)
 		}
-		for range 1000 { // through the engine's read: it lies in the socket, in the read, then in the loop's queue
+		for range 1000 { // during the engine's read: the byte is in the socket, in the read, then in the loop's queue
 			if !c.Unread() || c.Quiet() {
-				t.Error("it is in nobody's hands")
+				t.Error("the byte does not count as unread")
 				return
 			}
 		}
 	})
 	<-h.data
-	do(func() {
+	onLoop(func() {
 		if c.Unread() || !c.Quiet() {
-			t.Error("what was handled counts as unread")
+			t.Error("input that the handler has received counts as unread")
 		}
 		_ = peer.(*net.TCPConn).CloseWrite()
 		for c.Quiet() {
 		}
-		// while a read is under way nobody knows that it brings an end alone
+		// while a read is in progress, it is not known that it returns only the end of the stream
 		for end := time.Now().Add(20 * time.Second); c.Unread(); {
 			if time.Now().After(end) {
-				t.Error("an end alone counts as bytes")
+				t.Error("the end of the stream alone counts as unread bytes")
 				return
 			}
 		}
--- a/internal/net/reactor/handshake_order_test.go
+++ b/internal/net/reactor/handshake_order_test.go
@@ -13,30 +13,30 @@
 	"brackendale/internal/failpoint"
 )
 
-// recorder is a handler that records the calls that it gets.
+// recorder is a handler that records its calls.
 type recorder struct {
-	ups   int
-	heard []byte
-	downs chan error
+	ups      int
+	received []byte
+	downs    chan error
 }
 
 func (r *recorder) Up(*Conn)                 { r.ups++ }
-func (r *recorder) Data(_ *Conn, got []byte) { r.heard = append(r.heard, got...) }
+func (r *recorder) Data(_ *Conn, got []byte) { r.received = append(r.received, got...) }
 func (r *recorder) Down(_ *Conn, err error)  { r.downs <- err }
 
-// order is what the loop hears of first: the result of a handshake, the peer's close, or the close by its own handler,
-// as after a time-out.
-type order string
+// firstEvent is the event that the loop handles first: the result of a handshake, the peer's close, or the close by
+// this side's handler, as after a timeout.
+type firstEvent string
 
 const (
-	resultFirst order = "the result first"
-	closeFirst  order = "the close first"
-	ownClose    order = "a time-out first"
+	resultFirst firstEvent = "the result first"
+	closeFirst  firstEvent = "the close first"
+	ownClose    firstEvent = "a time-out first"
 )
 
-// holdResult holds the result of each handshake until the connection has ended on the loop, where the order wants
-// that. The connection is stored once it is known.
-func (p *pair) holdResult(t *testing.T, first order, conn *atomic.Pointer[Conn]) {
+// delayResult delays the result of each handshake until the connection has ended on the loop, unless the result is to
+// be handled first. conn holds the connection once it exists.
+func (p *tlsReactor) delayResult(t *testing.T, first firstEvent, conn *atomic.Pointer[Conn]) {
 	t.Helper()
 	undo := failpoint.SetHook(func(point failpoint.Point) {
 		if point != failpoint.HandshakeComputed || first == resultFirst {
@@ -45,7 +45,7 @@
 		if first == ownClose {
 			p.r.Post(func() { conn.Load().Close() })
 		}
-		for until, dead := time.Now().Add(long), false; !dead && time.Now().Before(until); {
+		for until, dead := time.Now().Add(testTimeout), false; !dead && time.Now().Before(until); {
 			known := make(chan bool)
 			p.r.Post(func() {
 				c := conn.Load()
@@ -58,8 +58,9 @@
 	t.Cleanup(undo)
 }
 
-// wrongPeers lets a client find something wrong with its server's certificate, by what that is.
-func wrongPeers() map[string]func(client *tls.Config) {
+// certificateFaults returns, by the expected reason, changes to a client's configuration with which it refuses its
+// server's certificate.
+func certificateFaults() map[string]func(client *tls.Config) {
 	return map[string]func(*tls.Config){
 		"the peer's certificate is for another name": func(c *tls.Config) { c.ServerName = "elsewhere" },
 		"the peer's certificate has expired, or is not valid yet": func(c *tls.Config) {
@@ -74,31 +75,32 @@
 	}
 }
 
-// oneDown waits for the end of a connection and fails the test where another one follows.
-func (p *pair) oneDown(t *testing.T, downs chan error) (err error) {
+// awaitSingleDown waits for Down and fails the test if it is called a second time.
+func (p *tlsReactor) awaitSingleDown(t *testing.T, downs chan error) (err error) {
 	t.Helper()
 	select {
 	case err = <-downs:
-	case <-time.After(long):
-		t.Fatal("no end")
+	case <-time.After(testTimeout):
+		t.Fatal("Down was not called")
 	}
-	for range 3 { // what was posted meanwhile has run
+	for range 3 { // until tasks that were posted in the meantime have run
 		done := make(chan bool)
 		p.r.Post(func() { close(done) })
 		<-done
 	}
 	if len(downs) > 0 {
-		t.Fatal("another end:", <-downs)
+		t.Fatal("Down was called again:", <-downs)
 	}
 	return err
 }
 
-// A certificate's error is told as a handshake that was cut, where the peer's close or a time-out overtakes the result.
-func TestCertificateErrorBehindAClose(t *testing.T) {
-	for _, first := range []order{resultFirst, closeFirst, ownClose} {
-		for reason, change := range wrongPeers() {
-			t.Run(string(first)+", "+reason, func(t *testing.T) {
-				p := newPair(t)
+// When the loop handled the peer's close or a timeout before the result of the handshake, a certificate error was
+// reported as a truncated handshake.
+func TestCertificateErrorAfterClose(t *testing.T) {
+	for _, first := range []firstEvent{resultFirst, closeFirst, ownClose} {
+		for want, change := range certificateFaults() {
+			t.Run(string(first)+", "+want, func(t *testing.T) {
+				p := newTLSReactor(t)
 				ln, err := tls.Listen("tcp", "127.0.0.1:0", p.server)
 				if err != nil {
 					t.Fatal(err)
@@ -107,22 +109,22 @@
 				go func() {
 					if c, err := ln.Accept(); err == nil {
 						secured, _ := c.(*tls.Conn)
-						_ = secured.Handshake() // which the client refuses
+						_ = secured.Handshake() // the client refuses the certificate
 						_ = c.Close()
 					}
 				}()
 				client := p.client.Clone()
 				change(client)
 				var conn atomic.Pointer[Conn]
-				p.holdResult(t, first, &conn)
+				p.delayResult(t, first, &conn)
 				d := &recorder{downs: make(chan error, 9)}
-				p.r.Post(func() { conn.Store(p.r.DialTLS(ln.Addr().String(), long, client, d)) })
+				p.r.Post(func() { conn.Store(p.r.DialTLS(ln.Addr().String(), testTimeout, client, d)) })
 				var failed *HandshakeError
-				if err := p.oneDown(t, d.downs); !errors.As(err, &failed) {
+				if err := p.awaitSingleDown(t, d.downs); !errors.As(err, &failed) {
 					t.Fatal(err)
 				}
-				if why, ours := certs.Explain(failed); why != reason || !ours {
-					t.Fatal(why, ours)
+				if reason, here := certs.Explain(failed); reason != want || !here {
+					t.Fatal(reason, here)
 				}
 				if d.ups != 0 || p.refused.Load() != 1 {
 					t.Fatal(d.ups, "ups,", p.refused.Load(), "failures reported")
@@ -132,12 +134,12 @@
 	}
 }
 
-// A handshake that has succeeded is lost with what the peer said behind it, where its close overtakes the result.
-// Behind a time-out there is no connection.
-func TestHandshakeSucceedsBehindAClose(t *testing.T) {
-	for _, first := range []order{resultFirst, closeFirst, ownClose} {
+// When the loop handled the peer's close before the result of a successful handshake, the connection was lost together
+// with the bytes that the peer had sent after the handshake. After a timeout there is no connection.
+func TestHandshakeSucceedsAfterClose(t *testing.T) {
+	for _, first := range []firstEvent{resultFirst, closeFirst, ownClose} {
 		t.Run(string(first), func(t *testing.T) {
-			p := newPair(t)
+			p := newTLSReactor(t)
 			ln, err := tls.Listen("tcp", "127.0.0.1:0", p.server)
 			if err != nil {
 				t.Fatal(err)
@@ -150,31 +152,32 @@
 				}
 			}()
 			var conn atomic.Pointer[Conn]
-			p.holdResult(t, first, &conn)
+			p.delayResult(t, first, &conn)
 			d := &recorder{downs: make(chan error, 9)}
-			p.r.Post(func() { conn.Store(p.r.DialTLS(ln.Addr().String(), long, p.client, d)) })
-			err = p.oneDown(t, d.downs)
+			p.r.Post(func() { conn.Store(p.r.DialTLS(ln.Addr().String(), testTimeout, p.client, d)) })
+			err = p.awaitSingleDown(t, d.downs)
 			var failed *HandshakeError
 			if first == ownClose {
-				if d.ups != 0 || !isConnectionEnd(err) { // by the peer's close, which crosses the time-out, or by that
+				if d.ups != 0 || !isConnectionEnd(err) { // by the timeout, or by the peer's close at the same time
 					t.Fatal(d.ups, err)
 				}
 				return
 			}
-			if errors.As(err, &failed) || d.ups != 1 || string(d.heard) != "bye" {
-				t.Fatalf("%v, %d ups, heard %q", err, d.ups, d.heard)
+			if errors.As(err, &failed) || d.ups != 1 || string(d.received) != "bye" {
+				t.Fatalf("%v, %d ups, received %q", err, d.ups, d.received)
 			}
 		})
 	}
 }
 
-// A server tells what was wrong with a client's certificate, where the client's close overtakes the result.
-func TestClientCertificateErrorBehindAClose(t *testing.T) {
-	for _, first := range []order{resultFirst, closeFirst, ownClose} {
+// A server reports a client's certificate error also when the loop handles the client's close before the result of the
+// handshake.
+func TestClientCertificateErrorAfterClose(t *testing.T) {
+	for _, first := range []firstEvent{resultFirst, closeFirst, ownClose} {
 		t.Run(string(first), func(t *testing.T) {
-			p, other := newPair(t), newPair(t)
+			p, other := newTLSReactor(t), newTLSReactor(t)
 			var conn atomic.Pointer[Conn]
-			p.holdResult(t, first, &conn)
+			p.delayResult(t, first, &conn)
 			d := &recorder{downs: make(chan error, 9)}
 			ln, err := p.r.ListenTLS("tcp", "127.0.0.1:0", p.server, func(c *Conn) Handler {
 				conn.Store(c)
@@ -193,11 +196,12 @@
 			}
 			_ = c.Close()
 			var failed *HandshakeError
-			if err := p.oneDown(t, d.downs); !errors.As(err, &failed) {
+			if err := p.awaitSingleDown(t, d.downs); !errors.As(err, &failed) {
 				t.Fatal(err)
 			}
-			if why, ours := certs.Explain(failed); why != "the peer's certificate is of a CA that is not believed" || !ours {
-				t.Fatal(why, ours)
+			if reason, here := certs.Explain(failed); reason != "the peer's certificate is of a CA that is not believed" ||
+				!here {
+				t.Fatal(reason, here)
 			}
 			if d.ups != 0 || p.refused.Load() != 1 {
 				t.Fatal(d.ups, "ups,", p.refused.Load(), "failures reported")
--- a/internal/net/reactor/limits_test.go
+++ b/internal/net/reactor/limits_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// A newcomer for whom no descriptor is left gets the rejection instead of hanging, old clients stay, and there is room
-// again once one has gone. It runs in a process of its own, whose limit is lowered.
+// A client that connects when no file descriptor is left gets the rejection instead of no reply, and open connections
+// stay open. The test runs in a process of its own, whose descriptor limit it lowers.
 func TestNoDescriptors(t *testing.T) {
 	const key = "BRACKENDALE_TEST_DESCRIPTORS"
 	if os.Getenv(key) == "" {
@@ -26,28 +26,28 @@
 		return
 	}
 	r, _ := start(t)
-	ln, err := r.Listen("tcp", "127.0.0.1:0", []byte("-BUSY 500\r\n"), func(*Conn) Handler { return newRec() })
+	ln, err := r.Listen("tcp", "127.0.0.1:0", []byte("-BUSY 500\r\n"), func(*Conn) Handler { return newChanHandler() })
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
 	var clients []net.Conn
-	for range 20 { // before the limit is lowered: both ends lie in this process
+	for range 20 { // before the limit is lowered, because both ends are in this process
 		c, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		clients = append(clients, c)
 	}
-	var late []*os.File
-	for range 5 { // the newcomers' own ends, bound by hand so that they need no descriptor later
+	var lateClients []*os.File
+	for range 5 { // the later clients' sockets, opened now because no descriptor is left for them later
 		fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		late = append(late, os.NewFile(uintptr(fd), "client"))
+		lateClients = append(lateClients, os.NewFile(uintptr(fd), "client"))
 	}
-	time.Sleep(100 * time.Millisecond) // the last of the twenty is accepted
+	time.Sleep(100 * time.Millisecond) // until the last of the 20 connections is accepted
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		t.Fatal(err)
@@ -56,13 +56,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	limit.Cur = uint64(probe.Fd()) // the lowest that is free: nothing more can be opened
+	limit.Cur = uint64(probe.Fd()) // the lowest free descriptor, so that no more can be opened
 	_ = probe.Close()
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		t.Fatal(err)
 	}
 	port := ln.Addr().(*net.TCPAddr).Port
-	for i, f := range late {
+	for i, f := range lateClients {
 		fd := int(f.Fd())
 		if err := syscall.Connect(fd, &syscall.SockaddrInet4{Port: port, Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 			t.Fatal(err)
@@ -70,34 +70,36 @@
 		_ = syscall.SetsockoptTimeval(fd, syscall.SOL_SOCKET, syscall.SO_RCVTIMEO, &syscall.Timeval{Sec: 10})
 		b := make([]byte, 64)
 		if n, err := syscall.Read(fd, b); err != nil || string(b[:n]) != "-BUSY 500\r\n" {
-			t.Fatalf("newcomer %d: %q %v", i, b[:max(n, 0)], err)
+			t.Fatalf("later client %d: %q %v", i, b[:max(n, 0)], err)
 		}
 	}
-	for _, c := range clients { // untouched
+	for _, c := range clients { // still open
 		_ = c.SetReadDeadline(time.Now().Add(time.Millisecond))
 		if _, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Fatal("an old client was ended:", err)
+			t.Fatal("an open connection was closed:", err)
 		}
 	}
 }
 
-// An accept flood is let in at the rate that is set, and a pause is made up for by a tenth of a second's worth.
+// A connection flood is accepted at the configured rate, and time without connections is credited up to a tenth of a
+// second.
 func TestAcceptRate(t *testing.T) {
 	var p pacer
 	for _, start := range []time.Duration{time.Hour, 2 * time.Hour} {
-		let, now := 0, start
-		for ; now < start+time.Second; let++ {
+		admitted, now := 0, start
+		for ; now < start+time.Second; admitted++ {
 			now += p.wait(now, 1000)
 		}
-		if let < 1090 || let > 1110 {
-			t.Fatal("newcomers in a second:", let)
+		if admitted < 1090 || admitted > 1110 {
+			t.Fatal("connections accepted in a second:", admitted)
 		}
 	}
 }
 
-// Peers that never read share a bound: the one that is written to above it goes, and one that reads stays.
+// Peers that never read share a limit of unsent bytes: above it, a connection that is written to is closed, and that of
+// a peer that reads stays open.
 func TestPeersThatNeverRead(t *testing.T) {
-	r, do := start(t)
+	r, onLoop := start(t)
 	r.maxUnsentTotal = 256 << 10
 	var mu sync.Mutex
 	var conns []*Conn
@@ -107,7 +109,7 @@
 		conns = append(conns, c)
 		mu.Unlock()
 		opened <- true
-		return newRec()
+		return newChanHandler()
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -127,40 +129,40 @@
 	for range 4 {
 		defer dial().Close()
 	}
-	cut := 0
+	closed := 0
 	for range 2000 {
-		do(func() {
+		onLoop(func() {
 			for _, c := range conns[1:] {
 				if !c.Dead() && errors.Is(c.Write(make([]byte, 8<<10)), errUnsent) {
-					cut++
+					closed++
 					c.Close()
 				}
 			}
 		})
 		if r.unsent.Load() > r.maxUnsentTotal+4*(8<<10) {
-			t.Fatal("more waits than the bound:", r.unsent.Load())
+			t.Fatal("more bytes are unsent than the limit allows:", r.unsent.Load())
 		}
 	}
-	if cut == 0 {
-		t.Fatal("nobody was cut off")
+	if closed == 0 {
+		t.Fatal("no connection was closed")
 	}
-	do(func() { err = conns[0].Write([]byte("still here\n")) })
-	if line, rerr := bufio.NewReader(reader).ReadString('\n'); err != nil || rerr != nil || line != "still here\n" {
-		t.Fatal(line, err, rerr)
+	onLoop(func() { err = conns[0].Write([]byte("still here\n")) })
+	if line, readErr := bufio.NewReader(reader).ReadString('\n'); err != nil || readErr != nil || line != "still here\n" {
+		t.Fatal(line, err, readErr)
 	}
-	do(func() {
+	onLoop(func() {
 		for _, c := range conns {
 			c.Close()
 		}
 	})
-	do(func() {}) // the closes
+	onLoop(func() {}) // until the closes are handled
 	if n := r.unsent.Load(); n != 0 {
-		t.Fatal("bytes are still counted of connections that have ended:", n)
+		t.Fatal("unsent bytes of ended connections are still counted:", n)
 	}
 }
 
-// One accept that fails among many that succeed hardly holds up those that wait; while none
-// succeeds the pauses grow to their bound.
+// A single failed accept among many successful ones hardly delays the connections in the backlog; while every accept
+// fails, the pauses grow to their maximum.
 func TestPauseAfterAFailedAccept(t *testing.T) {
 	if first := acceptPause(0); first > time.Millisecond {
 		t.Error("the first:", first)
--- a/internal/net/reactor/pause_test.go
+++ b/internal/net/reactor/pause_test.go
@@ -9,7 +9,7 @@
 	"brackendale/internal/net/loop"
 )
 
-// interceptedListener calls a function at the begin of its first accept after it was set.
+// interceptedListener calls a function, once, at the beginning of the first accept after it was set.
 type interceptedListener struct {
 	*net.TCPListener
 	mu     sync.Mutex
@@ -27,9 +27,9 @@
 	return l.TCPListener.Accept()
 }
 
-// A pause that begins while a newcomer is answered for want of a descriptor is undone by the end of that answer: the
-// next newcomer is accepted all the same.
-func TestPauseDuringAReplyWithTheSpare(t *testing.T) {
+// If a pause started while a client was rejected for lack of a file descriptor, the end of that rejection cleared the
+// pause's deadline, and the next connection was accepted during the pause.
+func TestPauseDuringSpareReply(t *testing.T) {
 	tcp, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
@@ -54,9 +54,9 @@
 	select {
 	case err := <-accepted:
 		if err == nil {
-			t.Fatal("a newcomer was accepted during the pause")
+			t.Fatal("a connection was accepted during the pause")
 		}
-	case <-time.After(long):
+	case <-time.After(testTimeout):
 		t.Fatal("the accept was not interrupted")
 	}
 }
--- a/internal/net/reactor/reuse_test.go
+++ b/internal/net/reactor/reuse_test.go
@@ -11,23 +11,23 @@
 	"brackendale/internal/failpoint"
 )
 
-// reuseTries bounds the attempts at giving a newcomer the descriptor of a closed connection: other goroutines of the
+// reuseTries bounds the attempts to let a new connection get the descriptor of a closed one; other goroutines of the
 // test program open files, too.
 const reuseTries = 20
 
-// echoes is a listener whose connections echo.
-type echoes struct {
+// echoListener is a listener whose connections send back what they receive.
+type echoListener struct {
 	t     *testing.T
 	r     *Reactor
 	ln    *Listener
-	conns chan *Conn // accepted, with a handler
+	conns chan *Conn // the accepted connections
 
-	accepting func() // called for each, on the loop; nil: nothing
+	accepting func() // called for each on the loop, before it has a handler; nil: none
 }
 
-func newEchoes(t *testing.T) *echoes {
+func newEchoListener(t *testing.T) *echoListener {
 	t.Helper()
-	e := &echoes{t: t, r: newPair(t).r, conns: make(chan *Conn, 9)}
+	e := &echoListener{t: t, r: newTLSReactor(t).r, conns: make(chan *Conn, 9)}
 	ln, err := e.r.Listen("tcp", "127.0.0.1:0", nil, func(c *Conn) Handler {
 		if e.accepting != nil {
 			e.accepting()
@@ -43,7 +43,7 @@
 	return e
 }
 
-func (e *echoes) dial() *net.TCPConn {
+func (e *echoListener) dial() *net.TCPConn {
 	e.t.Helper()
 	c, err := net.Dial("tcp", e.ln.Addr().String())
 	if err != nil {
@@ -51,29 +51,30 @@
 	}
 	e.t.Cleanup(func() { _ = c.Close() })
 	tcp, _ := c.(*net.TCPConn)
-	_ = tcp.SetDeadline(time.Now().Add(long))
+	_ = tcp.SetDeadline(time.Now().Add(testTimeout))
 	return tcp
 }
 
-// on runs f on the loop.
-func (e *echoes) on(f func()) {
+// runOnLoop runs f on the loop's goroutine.
+func (e *echoListener) runOnLoop(f func()) {
 	done := make(chan bool)
 	e.r.Post(func() { f(); close(done) })
 	<-done
 }
 
-// saysBack fails the test unless the connection echoes.
-func (e *echoes) saysBack(c net.Conn) {
+// checkEcho fails the test unless the connection sends back what is written to it.
+func (e *echoListener) checkEcho(c net.Conn) {
 	e.t.Helper()
 	got := make([]byte, 4)
 	_, _ = io.WriteString(c, "ping")
 	if _, err := io.ReadFull(c, got); err != nil || string(got) != "ping" {
-		e.t.Fatalf("the new connection says %q, %v", got, err)
+		e.t.Fatalf("the connection echoes %q, %v", got, err)
 	}
 }
 
-// fillBelow opens files until all descriptors below one are taken, and returns the file with the lowest, if there is
-// one: closed, it makes room for the next accept, whose duplicate takes the named descriptor if that is closed then.
+// fillBelow opens files until all descriptors below the given one are in use, and returns the file with the lowest, if
+// any. When that is closed, the next accept uses its descriptor, and the duplicate of the accepted socket uses the
+// given descriptor if that is closed by then.
 func fillBelow(t *testing.T, descriptor int) (lowest *os.File) {
 	t.Helper()
 	for {
@@ -91,31 +92,32 @@
 	}
 }
 
-// An event of a closed connection that the engine has in hand ends a new one, which has got its descriptor.
+// An event of a closed connection that the engine had received, but not yet handled, closed a new connection with the
+// same descriptor.
 func TestStaleEventOnAReusedDescriptor(t *testing.T) {
 	for range reuseTries {
 		if staleEventOnAReusedDescriptor(t) {
 			return
 		}
 	}
-	t.Fatal("no newcomer has got the descriptor: nothing is tested")
+	t.Fatal("no new connection got the descriptor, so the test checks nothing")
 }
 
 func staleEventOnAReusedDescriptor(t *testing.T) (reused bool) {
 	t.Helper()
-	e := newEchoes(t)
+	e := newEchoListener(t)
 	spare, err := os.Open(os.DevNull) // below the descriptors that follow
 	if err != nil {
 		t.Fatal(err)
 	}
 	busy := e.dial()
 	<-e.conns
-	e.saysBack(busy)
-	gone := e.dial()
-	old := <-e.conns
-	e.saysBack(gone)
+	e.checkEcho(busy)
+	oldClient := e.dial()
+	oldConn := <-e.conns
+	e.checkEcho(oldClient)
 	_ = spare.Close()
-	descriptor := old.socket.Load().Hash()
+	descriptor := oldConn.socket.Load().Hash()
 	reached, release := make(chan bool), make(chan bool)
 	var holding atomic.Bool
 	holding.Store(true)
@@ -127,55 +129,55 @@
 		return nil
 	})()
 	_, _ = io.WriteString(busy, "1")
-	<-reached // the engine stands still with this event
+	<-reached // the engine is blocked in this event
 	_, _ = io.WriteString(busy, "2")
-	_ = gone.Close()
+	_ = oldClient.Close()
 	release <- true
-	<-reached // and now with that of the next byte, and behind it the end of the other connection
+	<-reached // now it is blocked in the event of the next byte, with the end of the other connection received behind it
 	e.ln.Pause()
-	newcomer := e.dial() // waits in the backlog
+	newClient := e.dial() // waits in the backlog
 	if lowest := fillBelow(t, descriptor); lowest != nil {
 		_ = lowest.Close()
-		e.on(old.Close)
+		e.runOnLoop(oldConn.Close)
 		e.ln.Resume()
 		conn := <-e.conns
-		e.on(func() {}) // it is established, if nothing is waited for
+		e.runOnLoop(func() {}) // it is established, unless the barrier delays it
 		reused = conn.socket.Load().Hash() == descriptor
 	}
 	holding.Store(false)
 	release <- true
 	if reused {
-		e.saysBack(newcomer)
+		e.checkEcho(newClient)
 	}
 	return reused
 }
 
-// The graceful close of a connection that the engine has closed already shuts the sending side of a new one, which has
-// got its descriptor.
+// The graceful close of a connection that the engine had already closed shut down the sending side of a new connection
+// with the same descriptor.
 func TestGracefulCloseOnAReusedDescriptor(t *testing.T) {
 	for range reuseTries {
 		if gracefulCloseOnAReusedDescriptor(t) {
 			return
 		}
 	}
-	t.Fatal("no newcomer has got the descriptor: nothing is tested")
+	t.Fatal("no new connection got the descriptor, so the test checks nothing")
 }
 
 func gracefulCloseOnAReusedDescriptor(t *testing.T) (reused bool) {
 	t.Helper()
-	e := newEchoes(t)
+	e := newEchoListener(t)
 	spare, err := os.Open(os.DevNull) // below the descriptors that follow
 	if err != nil {
 		t.Fatal(err)
 	}
-	gone := e.dial()
-	old := <-e.conns
-	e.saysBack(gone)
+	oldClient := e.dial()
+	oldConn := <-e.conns
+	e.checkEcho(oldClient)
 	_ = spare.Close()
-	descriptor := old.socket.Load().Hash()
+	descriptor := oldConn.socket.Load().Hash()
 	e.ln.Pause()
-	newcomer := e.dial()     // waits in the backlog
-	fillBelow(t, descriptor) // the client's descriptor makes room for the accept
+	newClient := e.dial()    // waits in the backlog
+	fillBelow(t, descriptor) // the close of the client's descriptor lets the accept succeed
 	accepted := make(chan bool, 9)
 	defer failpoint.SetHook(func(p failpoint.Point) {
 		if p == failpoint.ConnectionAccepted {
@@ -183,25 +185,25 @@
 		}
 	})()
 	open := false
-	e.on(func() { // the end of the old one is behind the newcomer
-		_ = gone.SetLinger(0)
-		_ = gone.Close()
+	e.runOnLoop(func() { // the loop handles the end of the old connection after accepting the new one
+		_ = oldClient.SetLinger(0)
+		_ = oldClient.Close()
 		for closed := false; !closed; {
 			time.Sleep(time.Millisecond)
-			closed, _ = old.socket.Load().IsClosed()
+			closed, _ = oldConn.socket.Load().IsClosed()
 		}
 		e.accepting = func() {
-			open = !old.Dead()
-			old.CloseGracefully()
+			open = !oldConn.Dead()
+			oldConn.CloseGracefully()
 		}
 		e.ln.Resume()
 		<-accepted
-		time.Sleep(5 * time.Millisecond) // it is on its way; where it was not, the test is tried again
+		time.Sleep(5 * time.Millisecond) // until it is posted; if that takes longer, the test tries again
 	})
 	conn := <-e.conns
-	e.on(func() { reused = open && conn.socket.Load().Hash() == descriptor })
+	e.runOnLoop(func() { reused = open && conn.socket.Load().Hash() == descriptor })
 	if reused {
-		e.saysBack(newcomer)
+		e.checkEcho(newClient)
 	}
 	return reused
 }
--- a/internal/net/reactor/secure.go
+++ b/internal/net/reactor/secure.go
@@ -65,7 +65,7 @@
 func (errAgain) Temporary() bool { return true }
 
 // handshakeSlots bounds the handshakes that compute at the same time, so that many new connections leave processors to
-// the open ones. A handshake that waits for its peer holds no slot, so that unresponsive peers delay no other handshake.
+// the open ones. A handshake that waits for its peer holds no slot, so that unresponsive peers do not delay others.
 var handshakeSlots = make(chan struct{}, max(1, runtime.GOMAXPROCS(0)/2))
 
 // startTLS starts the handshake of a connection whose socket is open.
--- a/internal/net/reactor/secure_test.go
+++ b/internal/net/reactor/secure_test.go
@@ -17,16 +17,16 @@
 	"brackendale/internal/testing/testkit"
 )
 
-const long = 20 * time.Second // ends a hang
+const testTimeout = 20 * time.Second // ends a test that hangs
 
-// pair is a reactor with the keys of both sides.
-type pair struct {
+// tlsReactor is a reactor with the TLS configurations of both sides.
+type tlsReactor struct {
 	r              *Reactor
 	server, client *tls.Config
 	refused        atomic.Int32
 }
 
-func newPair(t testing.TB) *pair {
+func newTLSReactor(t testing.TB) *tlsReactor {
 	t.Helper()
 	site, err := certs.Make(t.TempDir(), "site", 10, time.Now)
 	if err != nil {
@@ -40,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &pair{}
+	p := &tlsReactor{}
 	if p.server, err = certs.Server(f, true, time.Now); err != nil {
 		t.Fatal(err)
 	}
@@ -59,16 +59,16 @@
 	return p
 }
 
-// echo sends back what it hears.
+// echo is a handler that sends back what it receives.
 type echo struct {
-	who  string
-	down chan error
+	peerName string // the common name of the peer's certificate
+	down     chan error
 }
 
 func (e *echo) Up(*Conn) {}
 func (e *echo) Data(c *Conn, b []byte) {
 	if p := c.Peer(); p != nil {
-		e.who = p.Subject.CommonName
+		e.peerName = p.Subject.CommonName
 	}
 	if err := c.Write(b[:len(b)/2], b[len(b)/2:]); err != nil {
 		c.Close()
@@ -76,20 +76,20 @@
 }
 func (e *echo) Down(_ *Conn, err error) { e.down <- err }
 
-// teller says something once the connection is up, and gathers what comes back.
-type teller struct {
-	say  []byte
-	got  chan []byte
-	down chan error
+// requester is a handler that sends a request once the connection is up, and collects the replies.
+type requester struct {
+	request []byte
+	replies chan []byte
+	down    chan error
 }
 
-func (e *teller) Up(c *Conn)             { _ = c.Write(e.say) }
-func (e *teller) Data(_ *Conn, b []byte) { e.got <- bytes.Clone(b) }
-func (e *teller) Down(_ *Conn, err error) {
+func (e *requester) Up(c *Conn)             { _ = c.Write(e.request) }
+func (e *requester) Data(_ *Conn, b []byte) { e.replies <- bytes.Clone(b) }
+func (e *requester) Down(_ *Conn, err error) {
 	e.down <- err
 }
 
-func (p *pair) listen(t testing.TB) (string, *echo) {
+func (p *tlsReactor) listen(t testing.TB) (string, *echo) {
 	t.Helper()
 	e := &echo{down: make(chan error, 10_000)}
 	ln, err := p.r.ListenTLS("tcp", "127.0.0.1:0", p.server, func(*Conn) Handler { return e })
@@ -100,80 +100,81 @@
 	return ln.Addr().String(), e
 }
 
-// What the standard library says over TLS comes back whole, many records of it, and its end is told apart from a cut.
-func TestSecureEcho(t *testing.T) {
-	p := newPair(t)
+// Many records from a client of the standard library are echoed completely, and its close_notify is distinguished from
+// a truncated connection.
+func TestTLSEcho(t *testing.T) {
+	p := newTLSReactor(t)
 	addr, e := p.listen(t)
 	c, err := tls.Dial("tcp", addr, p.client)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = c.SetDeadline(time.Now().Add(long))
-	say := bytes.Repeat([]byte("0123456789abcdef"), 64<<10/16)
-	go func() { _, _ = c.Write(say) }()
-	got := make([]byte, len(say))
-	if _, err := io.ReadFull(c, got); err != nil || !bytes.Equal(got, say) {
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
+	request := bytes.Repeat([]byte("0123456789abcdef"), 64<<10/16)
+	go func() { _, _ = c.Write(request) }()
+	got := make([]byte, len(request))
+	if _, err := io.ReadFull(c, got); err != nil || !bytes.Equal(got, request) {
 		t.Fatal(err)
 	}
 	_ = c.CloseWrite()
-	if err := <-e.down; !errors.Is(err, io.EOF) || e.who != "lab" {
-		t.Fatal(err, e.who)
+	if err := <-e.down; !errors.Is(err, io.EOF) || e.peerName != "lab" {
+		t.Fatal(err, e.peerName)
 	}
 	if n, err := c.Read(got); n != 0 || err == nil {
 		t.Fatal(n, err)
 	}
 }
 
-// Our own dialling side against our own listener.
-func TestSecureDial(t *testing.T) {
-	p := newPair(t)
+// The reactor's dialing side connects to the reactor's listener.
+func TestTLSDial(t *testing.T) {
+	p := newTLSReactor(t)
 	addr, _ := p.listen(t)
-	d := &teller{say: bytes.Repeat([]byte("x"), 40<<10), got: make(chan []byte, 100), down: make(chan error, 1)}
+	d := &requester{request: bytes.Repeat([]byte("x"), 40<<10), replies: make(chan []byte, 100), down: make(chan error, 1)}
 	var conn *Conn
-	p.r.Post(func() { conn = p.r.DialTLS(addr, long, p.client, d) })
-	for n := 0; n < len(d.say); {
-		n += len(<-d.got)
+	p.r.Post(func() { conn = p.r.DialTLS(addr, testTimeout, p.client, d) })
+	for n := 0; n < len(d.request); {
+		n += len(<-d.replies)
 	}
 	p.r.Post(func() { conn.Close() })
 	<-d.down
 	wrong := p.client.Clone()
 	wrong.ServerName = "elsewhere"
-	p.r.Post(func() { p.r.DialTLS(addr, long, wrong, d) })
-	var he *HandshakeError
-	if err := <-d.down; !errors.As(err, &he) {
+	p.r.Post(func() { p.r.DialTLS(addr, testTimeout, wrong, d) })
+	var failed *HandshakeError
+	if err := <-d.down; !errors.As(err, &failed) {
 		t.Fatal(err)
 	}
-	if why, ours := certs.Explain(he); why != "the peer's certificate is for another name" || !ours {
-		t.Fatal(why)
+	if reason, here := certs.Explain(failed); reason != "the peer's certificate is for another name" || !here {
+		t.Fatal(reason)
 	}
 }
 
-// A handshake that is cut at any of its bytes, on either side, ends that connection and nothing else, and a peer that
-// says nothing or something else holds nobody up.
-func TestHandshakeCutAtEveryByte(t *testing.T) {
-	p := newPair(t)
+// A handshake that is truncated at any of its bytes, on either side, ends only that connection, and a peer that sends
+// nothing or another protocol does not delay others.
+func TestHandshakeTruncatedAtEveryByte(t *testing.T) {
+	p := newTLSReactor(t)
 	addr, e := p.listen(t)
-	silent, err := net.Dial("tcp", addr)
+	unresponsive, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer silent.Close()
+	defer unresponsive.Close()
 	plain, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, _ = plain.Write([]byte("AMQP\x00\x00\x09\x01"))
 	<-e.down
-	// The client's flight that a server sees, and the server's that a client sees, each cut after so many bytes.
+	// First the client's bytes to a server, then the server's to a client, are truncated after each number of bytes.
 	ends := 0
 	for cut := 0; ; cut++ {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		wire := &cutter{Conn: c, left: cut}
+		wire := &truncatingConn{Conn: c, remaining: cut}
 		tc := tls.Client(wire, p.client)
-		_ = c.SetDeadline(time.Now().Add(long))
+		_ = c.SetDeadline(time.Now().Add(testTimeout))
 		whole := tc.Handshake() == nil && !wire.cut
 		_ = c.Close()
 		<-e.down
@@ -196,37 +197,37 @@
 			if err != nil {
 				return
 			}
-			wire := &cutter{Conn: c, left: cut}
+			wire := &truncatingConn{Conn: c, remaining: cut}
 			_ = tls.Server(wire, p.server).Handshake()
 			_ = c.Close()
 		}
 	}()
-	d := &teller{got: make(chan []byte, 1), down: make(chan error, 1)}
+	d := &requester{replies: make(chan []byte, 1), down: make(chan error, 1)}
 	for cut := 0; cut < 1200; cut += 7 {
 		cuts <- cut
-		p.r.Post(func() { p.r.DialTLS(ln.Addr().String(), long, p.client, d) })
+		p.r.Post(func() { p.r.DialTLS(ln.Addr().String(), testTimeout, p.client, d) })
 		if err := <-d.down; err == nil {
 			t.Fatal(cut)
 		}
 	}
 	close(cuts)
-	c, err := tls.Dial("tcp", addr, p.client) // it serves as before
+	c, err := tls.Dial("tcp", addr, p.client) // the listener still accepts connections
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = c.Close()
 }
 
-// cutter ends a connection after so many bytes were written.
-type cutter struct {
+// truncatingConn closes its connection once a number of bytes were written.
+type truncatingConn struct {
 	net.Conn
-	left int
-	cut  bool
+	remaining int  // bytes that may still be written
+	cut       bool // a write was truncated
 }
 
-func (c *cutter) Write(b []byte) (int, error) {
-	n := min(len(b), c.left)
-	c.left -= n
+func (c *truncatingConn) Write(b []byte) (int, error) {
+	n := min(len(b), c.remaining)
+	c.remaining -= n
 	if _, err := c.Conn.Write(b[:n]); err != nil || n < len(b) {
 		c.cut = true
 		_ = c.Close()
@@ -235,10 +236,10 @@
 	return n, nil
 }
 
-// BenchmarkSecure is handshakes one after another with a word each way, the heap of idle
-// connections, and an echo of 4 KiB writes; both ends are here.
-func BenchmarkSecure(b *testing.B) {
-	p := newPair(b)
+// BenchmarkTLS measures consecutive handshakes with eight bytes in each direction, the heap that idle connections use,
+// and an echo of 4 KiB writes; both ends are in this process.
+func BenchmarkTLS(b *testing.B) {
+	p := newTLSReactor(b)
 	addr, _ := p.listen(b)
 	dial := func() net.Conn {
 		c, err := tls.Dial("tcp", addr, p.client)
--- a/internal/net/reactor/write.go
+++ b/internal/net/reactor/write.go
@@ -53,9 +53,9 @@
 	}
 }
 
-// StreamOffset returns the position in the outgoing byte stream behind all bytes that were written or batched. Under TLS
-// the encrypted length of batched bytes is not known yet: if there are any, it returns the position of the first byte
-// that they will occupy, so that Sent may return true too early, but never too late.
+// StreamOffset returns the position in the outgoing byte stream behind all bytes that were written or batched. Under
+// TLS the encrypted length of batched bytes is not known yet: if there are any, it returns the position of the first
+// byte that they will occupy, so that Sent may return true too early, but never too late.
 func (c *Conn) StreamOffset() int64 {
 	batched := c.batchedBytes()
 	if batched > 0 && c.layer != nil {
