--- a/internal/timers/wheel.go
+++ b/internal/timers/wheel.go
@@ -1,11 +1,11 @@
 // Package timers is a hierarchical timing wheel. It reads no clock and starts no goroutine: its owner advances it and
-// takes the timers that are due. The cost of setting, stopping and advancing doesn't depend on the number of timers,
-// and a timer is a field of the record that it belongs to. A wheel and its timers are for one goroutine.
+// fires the timers that are due. The cost of setting, stopping and advancing does not depend on the number of timers,
+// and a timer is a field of the record that it belongs to. A wheel and its timers are not safe for concurrent use.
 //
-// The wheel follows Varghese and Lauck, "Hashed and Hierarchical Timing Wheels" (1987), scheme 7, with two
-// changes. A timer that may be late (its slack) goes straight to the coarsest level whose slots are no wider than
-// that: it is never moved down, and all timers of its slot come due by one splice. And empty slots are skipped by a
-// bitmap, so that an advance by hours costs no more than one by milliseconds.
+// The wheel follows Varghese and Lauck, "Hashed and Hierarchical Timing Wheels" (1987), scheme 7, with two changes. A
+// timer that may fire late, by up to its slack, is inserted at the coarsest level whose slots are no wider than its
+// slack: it never moves to a lower level, and all such timers of a slot become due by one splice. And a bitmap lets an
+// advance skip empty slots, so that advancing by hours costs no more than advancing by milliseconds.
 package timers
 
 import (
@@ -13,27 +13,28 @@
 	"time"
 )
 
-// Tick is the width of a slot of the lowest level: a timer without slack comes due at most so much late, never early.
+// Tick is the width of a slot of the lowest level. A timer without slack becomes due at most one tick late and never
+// early.
 const Tick = time.Millisecond
 
 const (
 	slotBits = 8
-	slots    = 1 << slotBits // of each level
-	levels   = 4             // 256 ms, 65.5 s, 4.66 h and 49.7 days in all
+	slots    = 1 << slotBits // in each level
+	levels   = 4             // which span 256 ms, 65.5 s, 4.66 h and 49.7 days
 )
 
-// Coarse is the slack of timers that may be up to 256 ms late, so that fewer slots are opened: idle limits,
-// handshakes. Soft is that of timers that many connections have and that should not come due together: heartbeats.
-// Take returns both within its budget.
+// Coarse is the slack of timers that may fire up to 256 ms late, so that fewer slots are opened, such as those for idle
+// connections and handshakes. Soft is the slack of timers that many connections have and that should not all fire at
+// once, such as those for heartbeats. Take fires both only within its budget.
 const (
 	Coarse = Tick << slotBits
 	Soft   = Tick
 )
 
-// Handler is called, by the wheel's owner, when its timer is due.
+// Handler is the callback of a timer. The wheel's owner calls Due when the timer fires.
 type Handler interface{ Due(*Timer) }
 
-// Func makes a function a handler.
+// Func is a function that is used as a handler.
 type Func func()
 
 // Due calls the function.
@@ -43,30 +44,32 @@
 type Timer struct {
 	next, prev *Timer
 	handler    Handler
-	dueTick    int64 // the tick it is due at
-	level      uint8 // the lowest level it may be filed in, by its slack
-	place      uint8 // 0: not set; 1+level: expiring or due; 1+levels+level: cascading
+	dueTick    int64 // the tick at which it is due
+	level      uint8 // the lowest level that it may be inserted at, by its slack
+	position   uint8 // 0: not set; 1+level: expiring or due; 1+levels+level: cascading
 	slot       uint8 // the slot it is in, or was in before it came due
 	hasSlack   bool  // subject to Take's budget
 }
 
-// Set tells whether the timer is pending, or due and not taken yet.
-func (t *Timer) Set() bool { return t.place != 0 }
+// Set reports whether the timer is set: pending, or due and not yet fired.
+func (t *Timer) Set() bool { return t.position != 0 }
 
-// Wheel holds timers, in circular lists with a sentinel. Use New. Its size is 97 KiB, whatever it holds.
+// Wheel holds timers in circular lists with a sentinel. Use New to create one. Its size is 97 KiB, regardless of the
+// number of timers.
 type Wheel struct {
 	now   int64 // the current tick
 	count int   // timers that are set
 
-	// The slots; the other fields of type Timer are sentinels too. When a slot begins, its expiring timers come due
-	// and its cascading ones move to a lower level; at the lowest level the latter come due too, as those with slack.
+	// The slots; the other fields of type Timer are sentinels, too. When the time reaches the beginning of a slot, its
+	// expiring timers become due and its cascading timers move to a lower level. At the lowest level, the cascading ones
+	// become due, too, as timers with slack.
 	occupied  [levels][slots / 64]uint64 // bitmap of the slots that hold timers, in either list
 	expiring  [levels][slots]Timer
 	cascading [levels][slots]Timer
 
-	// Timers that are due and not taken yet.
+	// Timers that are due and have not fired.
 	dueExact Timer // without slack
-	taking   Timer // the part of dueExact that Take is working on
+	firing   Timer // the timers of dueExact that the current call of Take fires
 	dueSlack Timer // with slack
 }
 
@@ -75,7 +78,7 @@
 	w := &Wheel{}
 	clearList := func(sentinel *Timer) { sentinel.next, sentinel.prev = sentinel, sentinel }
 	clearList(&w.dueExact)
-	clearList(&w.taking)
+	clearList(&w.firing)
 	clearList(&w.dueSlack)
 	for level := range w.expiring {
 		for slot := range w.expiring[level] {
@@ -86,12 +89,12 @@
 	return w
 }
 
-// Len is the number of timers that are set.
+// Len returns the number of timers that are set.
 func (w *Wheel) Len() int { return w.count }
 
-// Start sets a timer to come due at a time on the wheel's own scale, never earlier and less than its slack later.
-// Take returns a timer without slack at once. One that is set already is moved.
-func (w *Wheel) Start(t *Timer, at, slack time.Duration, handler Handler) {
+// Start sets a timer to fire at a time on the wheel's clock: never earlier, and less than its slack later. Take fires
+// all due timers without slack, whatever its budget. A timer that is already set is reset.
+func (w *Wheel) Start(t *Timer, due, slack time.Duration, handler Handler) {
 	w.Stop(t)
 	t.handler, t.level, t.hasSlack = handler, 0, slack > 0
 	for level := levels - 1; level > 0; level-- {
@@ -101,14 +104,14 @@
 		}
 	}
 	unit := int64(1) << (slotBits * t.level)
-	t.dueTick = (int64((at+Tick-1)/Tick) + unit - 1) &^ (unit - 1)
+	t.dueTick = (int64((due+Tick-1)/Tick) + unit - 1) &^ (unit - 1)
 	w.count++
-	w.file(t)
+	w.insert(t)
 }
 
-// Stop unsets a timer. It returns whether it was set.
+// Stop stops a timer. It reports whether the timer was set.
 func (w *Wheel) Stop(t *Timer) bool {
-	if t.place == 0 {
+	if t.position == 0 {
 		return false
 	}
 	w.unlink(t)
@@ -117,36 +120,37 @@
 	return true
 }
 
-// unlink takes a timer out of its list, and clears its slot's bit if the slot is empty then.
+// unlink removes a timer from its list, and clears the bit of its slot if the slot is empty after that.
 func (w *Wheel) unlink(t *Timer) {
 	t.prev.next, t.next.prev = t.next, t.prev
-	level, slot := int(t.place-1)%levels, t.slot
-	t.next, t.prev, t.place = nil, nil, 0
-	if empty(&w.expiring[level][slot]) && empty(&w.cascading[level][slot]) { // the slot it was in, if it has come due
+	level, slot := int(t.position-1)%levels, t.slot
+	t.next, t.prev, t.position = nil, nil, 0
+	if empty(&w.expiring[level][slot]) && empty(&w.cascading[level][slot]) { // of a due timer, the slot that it was in
 		w.occupied[level][slot>>6] &^= 1 << (slot & 63)
 	}
 }
 
+// empty reports whether a list has no timers.
 func empty(sentinel *Timer) bool { return sentinel.next == sentinel }
 
 // splice moves all timers of a list to the end of another.
-func splice(to, from *Timer) {
-	if empty(from) {
+func splice(dst, src *Timer) {
+	if empty(src) {
 		return
 	}
-	from.next.prev, from.prev.next = to.prev, to
-	to.prev.next, to.prev = from.next, from.prev
-	from.next, from.prev = from, from
+	src.next.prev, src.prev.next = dst.prev, dst
+	dst.prev.next, dst.prev = src.next, src.prev
+	src.next, src.prev = src, src
 }
 
-// file enters a timer in the lowest level, beginning at its slack's, whose slots reach its tick.
-func (w *Wheel) file(t *Timer) {
+// insert adds a timer to the lowest level that extends to its tick, starting at the level for its slack.
+func (w *Wheel) insert(t *Timer) {
 	if t.dueTick <= w.now {
 		due := &w.dueSlack
 		if !t.hasSlack {
 			due = &w.dueExact
 		}
-		t.place = t.level + 1
+		t.position = t.level + 1
 		pushBack(due, t)
 		return
 	}
@@ -157,15 +161,15 @@
 			if level < levels-1 {
 				continue
 			}
-			slot = current + slots - 1 // beyond the wheel: the last slot, from which it is filed again
+			slot = current + slots - 1 // beyond the wheel: the last slot, from which it is inserted again
 		}
-		t.slot, t.place = uint8(slot&(slots-1)), uint8(level+1)
+		t.slot, t.position = uint8(slot&(slots-1)), uint8(level+1)
 		w.occupied[level][t.slot>>6] |= 1 << (t.slot & 63)
 		if level == int(t.level) && slot<<shift == t.dueTick && (level > 0 || !t.hasSlack) {
 			pushBack(&w.expiring[level][t.slot], t)
 			return
 		}
-		t.place += levels
+		t.position += levels
 		pushBack(&w.cascading[level][t.slot], t)
 		return
 	}
@@ -178,7 +182,7 @@
 	sentinel.prev = t
 }
 
-// nextTick is the tick at which the next occupied slot of a level begins; false if there is none.
+// nextTick returns the tick at which the next occupied slot of a level begins; false if there is none.
 func (w *Wheel) nextTick(level int) (int64, bool) {
 	current := w.now >> (slotBits * level)
 	for ahead := int64(1); ahead < slots; {
@@ -196,32 +200,32 @@
 	return 0, false
 }
 
-// earliestTick is the earliest tick at which an occupied slot begins; ok is false if there is none.
-func (w *Wheel) earliestTick() (at int64, ok bool) {
+// earliestTick returns the earliest tick at which an occupied slot begins; ok is false if there is none.
+func (w *Wheel) earliestTick() (earliest int64, ok bool) {
 	for level := range levels {
-		if tick, found := w.nextTick(level); found && (!ok || tick < at) {
-			at, ok = tick, true
+		if tick, found := w.nextTick(level); found && (!ok || tick < earliest) {
+			earliest, ok = tick, true
 		}
 	}
-	return at, ok
+	return earliest, ok
 }
 
-// Advance sets the current time. Take returns the timers that have come due. A time before the last one is
-// ignored; a step of any length skips no timer.
+// Advance sets the current time; Take then fires the timers that are due. A time before the current one is ignored; an
+// advance of any length skips no timer.
 func (w *Wheel) Advance(now time.Duration) {
-	to := int64(now / Tick)
-	for at, ok := w.earliestTick(); ok && at <= to; at, ok = w.earliestTick() {
-		w.now = at
-		for level := levels - 1; level >= 0; level-- { // all slots that begin there: later they would be in the past
-			if at&(1<<(slotBits*level)-1) == 0 {
-				w.openSlot(level, uint8(at>>(slotBits*level)&(slots-1)))
+	target := int64(now / Tick)
+	for tick, ok := w.earliestTick(); ok && tick <= target; tick, ok = w.earliestTick() {
+		w.now = tick
+		for level := levels - 1; level >= 0; level-- { // all slots that begin at this tick, or they would be in the past
+			if tick&(1<<(slotBits*level)-1) == 0 {
+				w.openSlot(level, uint8(tick>>(slotBits*level)&(slots-1)))
 			}
 		}
 	}
-	w.now = max(w.now, to)
+	w.now = max(w.now, target)
 }
 
-// openSlot empties a slot that begins: some of its timers are due, and some move to lower levels.
+// openSlot empties a slot whose beginning is reached: some of its timers become due, and some move to lower levels.
 func (w *Wheel) openSlot(level int, slot uint8) {
 	due := &w.dueSlack
 	if level == 0 {
@@ -235,33 +239,33 @@
 	for list := &w.cascading[level][slot]; !empty(list); {
 		t := list.next
 		t.prev.next, t.next.prev = t.next, t.prev
-		w.file(t)
+		w.insert(t)
 	}
 }
 
-// Take unsets the timers that are due and calls give for each: for all without slack, and for at most budget of
-// those with slack. It returns their number and whether more are due. give may set and stop timers, also the one that
-// it is given; one that comes due at once waits for the next call.
-func (w *Wheel) Take(budget int, give func(Handler, *Timer)) (fired int, more bool) {
-	for splice(&w.taking, &w.dueExact); !empty(&w.taking); fired++ {
-		w.fire(w.taking.next, give)
+// Take unsets the timers that are due and calls deliver for each: for all without slack, and for at most budget of
+// those with slack. It returns their number and whether more are due. deliver may set and stop timers, including the
+// one that it is called for; a timer that it sets to a time that has passed waits for the next call.
+func (w *Wheel) Take(budget int, deliver func(Handler, *Timer)) (fired int, more bool) {
+	for splice(&w.firing, &w.dueExact); !empty(&w.firing); fired++ {
+		w.fire(w.firing.next, deliver)
 	}
 	for ; budget > 0 && !empty(&w.dueSlack); budget-- {
-		w.fire(w.dueSlack.next, give)
+		w.fire(w.dueSlack.next, deliver)
 		fired++
 	}
 	return fired, !empty(&w.dueExact) || !empty(&w.dueSlack)
 }
 
-// fire unsets a timer before its handler is called, which may set it again.
-func (w *Wheel) fire(t *Timer, give func(Handler, *Timer)) {
+// fire unsets a timer and then calls deliver, which may set it again.
+func (w *Wheel) fire(t *Timer, deliver func(Handler, *Timer)) {
 	handler := t.handler
 	w.Stop(t)
-	give(handler, t)
+	deliver(handler, t)
 }
 
-// Next is the time at which Advance has to be called at the latest; ok is false if no timer is set.
-func (w *Wheel) Next() (at time.Duration, ok bool) {
+// Next returns the latest time at which Advance has to be called again; ok is false if no timer is set.
+func (w *Wheel) Next() (due time.Duration, ok bool) {
 	if !empty(&w.dueExact) || !empty(&w.dueSlack) {
 		return time.Duration(w.now) * Tick, true
 	}
--- a/internal/timers/wheel_test.go
+++ b/internal/timers/wheel_test.go
@@ -14,91 +14,91 @@
 
 func TestMain(m *testing.M) { testkit.Seeded(m, "3000") }
 
-// entry is what the model knows of a timer.
+// entry is a timer with its state in the model.
 type entry struct {
 	t     Timer
-	at    time.Duration // 0: not set
+	due   time.Duration // 0: not set
 	slack time.Duration
 }
 
 func (e *entry) Due(*Timer) {}
 
-// The wheel against a plain list: nothing comes early, nothing later than its slack, nothing twice, nothing is
-// forgotten over jumps of any length, and Next never sleeps past a timer.
+// Compares the wheel with a model that is a plain list: no timer fires early, later than its slack allows, or twice,
+// none is skipped by an advance of any length, and Next never returns a time after a timer's latest time.
 func TestAgainstModel(t *testing.T) {
 	slacks := []time.Duration{0, 0, Soft, Coarse, 300 * time.Millisecond, 70 * time.Second, 5 * time.Hour}
 	rapid.Check(t, func(t *rapid.T) {
 		w, now := New(), time.Duration(0)
-		all := make([]entry, 30)
-		set := 0
-		take := func(budget int) {
-			_, more := w.Take(budget, func(h Handler, tm *Timer) {
+		entries := make([]entry, 30)
+		setCount := 0
+		fireDue := func(budget int) {
+			_, more := w.Take(budget, func(h Handler, timer *Timer) {
 				e := h.(*entry)
-				if &e.t != tm || e.at == 0 || e.at > now {
-					t.Fatalf("due at %v, handed over at %v", e.at, now)
+				if &e.t != timer || e.due == 0 || e.due > now {
+					t.Fatalf("due at %v, fired at %v", e.due, now)
 				}
-				e.at = 0
-				set--
+				e.due = 0
+				setCount--
 			})
-			if !more && budget > len(all) {
-				for i := range all {
-					if e := &all[i]; e.at > 0 && e.at+max(e.slack, Tick)+Tick <= now {
-						t.Fatalf("due at %v with slack %v and not there at %v", e.at, e.slack, now)
+			if !more && budget > len(entries) {
+				for i := range entries {
+					if e := &entries[i]; e.due > 0 && e.due+max(e.slack, Tick)+Tick <= now {
+						t.Fatalf("due at %v with slack %v, not fired by %v", e.due, e.slack, now)
 					}
 				}
 			}
 		}
-		span := rapid.Custom(func(t *rapid.T) time.Duration {
+		duration := rapid.Custom(func(t *rapid.T) time.Duration {
 			return time.Duration(rapid.Int64Range(1, 1<<rapid.IntRange(1, 52).Draw(t, "scale")).Draw(t, "span"))
 		})
 		t.Repeat(map[string]func(*rapid.T){
 			"start": func(t *rapid.T) {
-				e := &all[rapid.IntRange(0, len(all)-1).Draw(t, "i")]
-				if e.at == 0 {
-					set++
+				e := &entries[rapid.IntRange(0, len(entries)-1).Draw(t, "i")]
+				if e.due == 0 {
+					setCount++
 				}
-				e.at, e.slack = now+span.Draw(t, "after"), rapid.SampledFrom(slacks).Draw(t, "slack")
-				w.Start(&e.t, e.at, e.slack, e)
+				e.due, e.slack = now+duration.Draw(t, "after"), rapid.SampledFrom(slacks).Draw(t, "slack")
+				w.Start(&e.t, e.due, e.slack, e)
 			},
 			"stop": func(t *rapid.T) {
-				e := &all[rapid.IntRange(0, len(all)-1).Draw(t, "i")]
-				if w.Stop(&e.t) != (e.at != 0) {
-					t.Fatal("Stop does not know whether it was set")
-				} else if e.at != 0 {
-					set--
+				e := &entries[rapid.IntRange(0, len(entries)-1).Draw(t, "i")]
+				if w.Stop(&e.t) != (e.due != 0) {
+					t.Fatal("Stop does not report whether the timer was set")
+				} else if e.due != 0 {
+					setCount--
 				}
-				e.at = 0
+				e.due = 0
 			},
 			"advance": func(t *rapid.T) {
-				now += span.Draw(t, "by")
+				now += duration.Draw(t, "by")
 				w.Advance(now)
-				take(rapid.SampledFrom([]int{0, 1, 100}).Draw(t, "budget"))
+				fireDue(rapid.SampledFrom([]int{0, 1, 100}).Draw(t, "budget"))
 			},
 			"sleep until Next": func(t *rapid.T) {
-				at, ok := w.Next()
+				due, ok := w.Next()
 				if !ok {
 					return
 				}
-				for i := range all {
-					if e := &all[i]; e.at > 0 && at > max(now, e.at+max(e.slack, Tick)+Tick) {
-						t.Fatalf("Next is %v, past %v", at, e.at)
+				for i := range entries {
+					if e := &entries[i]; e.due > 0 && due > max(now, e.due+max(e.slack, Tick)+Tick) {
+						t.Fatalf("Next is %v, too late for the timer at %v", due, e.due)
 					}
 				}
-				now = max(now, at)
+				now = max(now, due)
 				w.Advance(now)
-				take(100)
+				fireDue(100)
 			},
 			"": func(t *rapid.T) {
-				if w.Len() != set {
-					t.Fatalf("holds %d, not %d", w.Len(), set)
+				if w.Len() != setCount {
+					t.Fatalf("the wheel holds %d timers, not %d", w.Len(), setCount)
 				}
 			},
 		})
 	})
 }
 
-// Slots of two levels that begin at one tick: the lower one was passed over, and its timer came a turn of the wheel
-// late. The registry's watch fell silent for it.
+// When slots of two levels began at the same tick, the lower one was skipped and its timer fired one revolution of that
+// level late. The watch of the registry became unresponsive because of it.
 func TestSlotsThatBeginTogether(t *testing.T) {
 	w, fired := New(), 0
 	w.Advance(Coarse - Tick)
@@ -111,34 +111,34 @@
 	}
 }
 
-// What shares an instant is handed over in portions, but what is exact comes at once; a handler that sets its
-// timer anew for now does not keep Take from returning.
-func TestBudget(t *testing.T) {
+// Timers with slack that are due at the same time fire in batches, those without slack at once; a handler that sets its
+// timer to the current time does not keep Take from returning.
+func TestTakeBudget(t *testing.T) {
 	w := New()
-	coarse, again := make([]Timer, 10_000), 0
+	coarse, exactFired := make([]Timer, 10_000), 0
 	for i := range coarse {
 		w.Start(&coarse[i], time.Second, Coarse, Func(func() {}))
 	}
 	var exact Timer
-	var beat Func
-	beat = func() {
-		again++
-		w.Start(&exact, 0, 0, beat)
+	var handler Func
+	handler = func() {
+		exactFired++
+		w.Start(&exact, 0, 0, handler)
 	}
-	w.Start(&exact, time.Second+200*time.Millisecond, 0, beat)
+	w.Start(&exact, time.Second+200*time.Millisecond, 0, handler)
 	w.Advance(2 * time.Second)
-	for round, left := 0, len(coarse); left > 0; round++ {
+	for call, remaining := 0, len(coarse); remaining > 0; call++ {
 		fired, more := w.Take(64, func(h Handler, t *Timer) { h.Due(t) })
-		if left -= fired - 1; again != round+1 || !more {
-			t.Fatalf("round %d: %d exact, %d left", round, again, left)
+		if remaining -= fired - 1; exactFired != call+1 || !more {
+			t.Fatalf("call %d: %d exact timers fired, %d timers remaining", call, exactFired, remaining)
 		}
-		if round == 0 && w.Stop(&coarse[9_999]) {
-			left--
+		if call == 0 && w.Stop(&coarse[9_999]) {
+			remaining--
 		}
 	}
 }
 
-// A timer's bytes are a part of what every connection costs.
+// The size of a timer is part of the memory that every connection uses.
 func TestSize(t *testing.T) {
 	if n := unsafe.Sizeof(Timer{}); n > 48 {
 		t.Fatalf("a timer takes %d bytes", n)
@@ -148,31 +148,31 @@
 	}
 }
 
-// The cost of setting a timer anew among others, as an idle connection does when it is heard.
+// BenchmarkRestart measures resetting a timer among others, as a connection does when it receives input.
 func BenchmarkRestart(b *testing.B) {
 	for _, n := range []int{1_000, 17_000, 250_000} {
-		nobody := Func(func() {})
+		noop := Func(func() {})
 		after := func(i int) time.Duration { return time.Duration(1+i%10_000) * 5 * time.Millisecond }
-		name := func(what string) string { return what + "/" + strconv.Itoa(n) }
+		name := func(implementation string) string { return implementation + "/" + strconv.Itoa(n) }
 		b.Run(name("wheel-coarse"), func(b *testing.B) {
 			w, ts := New(), make([]Timer, n)
 			b.ReportAllocs()
 			for i := range b.N {
-				w.Start(&ts[i%n], after(i), Coarse, nobody)
+				w.Start(&ts[i%n], after(i), Coarse, noop)
 			}
 		})
 		b.Run(name("wheel-soft"), func(b *testing.B) {
 			w, ts := New(), make([]Timer, n)
 			b.ReportAllocs()
 			for i := range b.N {
-				w.Start(&ts[i%n], after(i), Soft, nobody)
+				w.Start(&ts[i%n], after(i), Soft, noop)
 			}
 		})
 		b.Run(name("wheel-exact"), func(b *testing.B) {
 			w, ts := New(), make([]Timer, n)
 			b.ReportAllocs()
 			for i := range b.N {
-				w.Start(&ts[i%n], after(i), 0, nobody)
+				w.Start(&ts[i%n], after(i), 0, noop)
 			}
 		})
 		b.Run(name("time.AfterFunc"), func(b *testing.B) {
@@ -206,8 +206,8 @@
 	}
 }
 
-// The cost of one heartbeat's timer over its life: filed, moved on, handed over, set again.
-func BenchmarkBeats(b *testing.B) {
+// BenchmarkHeartbeats measures the whole cycle of a heartbeat timer: it is inserted, moved, fired and set again.
+func BenchmarkHeartbeats(b *testing.B) {
 	for _, n := range []int{17_000, 250_000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
 			w, ts, now := New(), make([]Timer, n), time.Duration(0)
