--- a/internal/app/limits.go
+++ b/internal/app/limits.go
@@ -42,21 +42,21 @@
 	most := cfg.ClientSockets()
 	if ingress == platform.Front && cfg.Resp.Listen == "" {
 		limits := platform.Limits(most)
-		limits.PerAddr = cfg.Clients.PerAddress
+		limits.MaxPerAddr = cfg.Clients.PerAddress
 		return limits
 	}
-	limits := conntable.Limits{Most: most, PerAddr: cfg.Clients.PerAddress, Keep: 1}
+	limits := conntable.Limits{MaxConns: most, MaxPerAddr: cfg.Clients.PerAddress, PressureShare: 1}
 	if ingress == platform.Front {
 		preset := platform.Limits(most)
-		limits.Patience, limits.Grace = preset.Patience, preset.Grace
-		limits.First = seconds(cfg.Resp.FirstS)
-		limits.Whole = seconds(cfg.Resp.CommandS)
-		limits.Unused = seconds(cfg.Resp.IdleS)
+		limits.IdleGrace, limits.FirstFrameGrace = preset.IdleGrace, preset.FirstFrameGrace
+		limits.FirstFrameTimeout = seconds(cfg.Resp.FirstS)
+		limits.FrameTimeout = seconds(cfg.Resp.CommandS)
+		limits.IdleTimeout = seconds(cfg.Resp.IdleS)
 		return limits
 	}
-	limits.First = seconds(cfg.AMQP.FirstS)
-	limits.Whole = seconds(cfg.AMQP.FrameS)
-	limits.Unused = seconds(cfg.AMQP.IdleS)
+	limits.FirstFrameTimeout = seconds(cfg.AMQP.FirstS)
+	limits.FrameTimeout = seconds(cfg.AMQP.FrameS)
+	limits.IdleTimeout = seconds(cfg.AMQP.IdleS)
 	return limits
 }
 
--- a/internal/console/tables.go
+++ b/internal/console/tables.go
@@ -122,8 +122,8 @@
 	fmt.Fprintf(out, "clients\topen\tof\tcame\tdoing\tgone\n")
 	for _, name := range slices.Sorted(maps.Keys(wire.Fronts)) {
 		front := wire.Fronts[name]
-		fmt.Fprintf(out, "%s\t%d\t%d\t%d\t%s\t%s\n", name, front.Open, front.Most, front.Came, listed(front.Doing),
-			listed(front.Gone))
+		fmt.Fprintf(out, "%s\t%d\t%d\t%d\t%s\t%s\n", name, front.Open, front.MaxConns, front.Admitted, listed(front.ByClass),
+			listed(front.EvictedOrRejected))
 	}
 	fmt.Fprintf(out, "timers\t%d set\t%d fired\n\n", wire.Timers, wire.Fired)
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -42,7 +42,7 @@
 			}}}))
 			if proto == RESP {
 				in := platform.NewIngress(core, r, partner.Addr().String(),
-					room.NewTable(conntable.Limits{Most: most, Keep: 1}), true)
+					room.NewTable(conntable.Limits{MaxConns: most, PressureShare: 1}), true)
 				core.AddIngress(platform.Front, in)
 				return in.Accept
 			}
--- a/internal/net/amqpfront/dribble_test.go
+++ b/internal/net/amqpfront/dribble_test.go
@@ -27,7 +27,7 @@
 	c.addr, c.kill = standin.StartWith(t, t.TempDir(), standin.Settings(), 2<<20, keys,
 		func(core *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
 			limits := Limits(100)
-			limits.First, limits.Whole = dribbleLimit, dribbleLimit
+			limits.FirstFrameTimeout, limits.FrameTimeout = dribbleLimit, dribbleLimit
 			c.r = r
 			c.in = NewIngress(core, r, Options{Policy: access.Anyone("messages"), Channels: 16}, c.room.NewTable(limits))
 			return c.in.Accept
--- a/internal/net/amqpfront/egress.go
+++ b/internal/net/amqpfront/egress.go
@@ -148,7 +148,7 @@
 	link := &brokerLink{peer: newPeer(e.reactor.Loop), egress: e, key: key, target: target}
 	victim, _, ok := e.connections.Admit(&link.Entry, link, netip.Addr{}, e.reactor.Now())
 	if victim != nil {
-		victim.Owner().Evict(conntable.ForNewcomer)
+		victim.Owner().Evict(conntable.ForNewConnection)
 	}
 	if !ok {
 		return nil
--- a/internal/net/amqpfront/idle_test.go
+++ b/internal/net/amqpfront/idle_test.go
@@ -165,7 +165,7 @@
 	for n := 0; n == 0; {
 		w.on(func() { n = w.in.table.Counts()[conntable.Partial] })
 	}
-	w.on(func() { w.in.table.Move(&firstOf(w.in).Entry, conntable.Stuck, w.r.Now()) }) // as with something open
+	w.on(func() { w.in.table.Move(&firstOf(w.in).Entry, conntable.BusyPartial, w.r.Now()) }) // as with something open
 	second, err := dialRaw(t, w.addr)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/net/amqpfront/ingress.go
+++ b/internal/net/amqpfront/ingress.go
@@ -36,7 +36,9 @@
 // Limits returns the connection limits of this front for so many connections. An idle connection stays
 // open: it has heartbeats.
 func Limits(maxConnections int) conntable.Limits {
-	return conntable.Limits{Most: maxConnections, Keep: 1, First: frameTimeout, Whole: frameTimeout}
+	return conntable.Limits{
+		MaxConns: maxConnections, PressureShare: 1, FirstFrameTimeout: frameTimeout, FrameTimeout: frameTimeout,
+	}
 }
 
 // sweepGap is how often the table is searched for connections over a limit.
--- a/internal/net/amqpfront/session.go
+++ b/internal/net/amqpfront/session.go
@@ -71,12 +71,12 @@
 // updateClass tells the connection table what the connection does now.
 func (s *session) updateClass() {
 	begun := s.partialFrame.Len() > 0
-	c := conntable.Held
+	c := conntable.Persistent
 	switch {
 	case s.stage < stageReady:
 		return // the handshake's time runs from the first byte to the last
 	case begun && s.pending > 0:
-		c = conntable.Stuck
+		c = conntable.BusyPartial
 	case begun:
 		c = conntable.Partial
 	case s.pending > 0:
@@ -117,7 +117,7 @@
 		return
 	}
 	code := uint16(amqp.ConnectionForced)
-	if why == conntable.Slow {
+	if why == conntable.SlowFrame {
 		code = amqp.FrameError
 	}
 	s.closeWith(0, amqp.Errorf(code, "%s", why))
--- a/internal/net/connlimit/limiter.go
+++ b/internal/net/connlimit/limiter.go
@@ -37,7 +37,7 @@
 func (l *Limiter) Admit(entry *conntable.Entry, owner conntable.Owner, conn *reactor.Conn) bool {
 	victim, _, ok := l.Table.Admit(entry, owner, conn.From(), l.reactor.Now())
 	if victim != nil {
-		victim.Owner().Evict(conntable.ForNewcomer)
+		victim.Owner().Evict(conntable.ForNewConnection)
 	}
 	if ok && !l.timer.Set() {
 		l.reactor.Arm(&l.timer, l.sweepInterval, timers.Coarse, l)
--- a/internal/net/conntable/entry.go
+++ b/internal/net/conntable/entry.go
@@ -10,13 +10,13 @@
 
 // The classes. A request is open until its reply has been written.
 const (
-	Fresh   Class = iota // no complete first frame has arrived, or the handshake is in progress
-	Idle                 // no request is open, and the client repeats a request that it sends while this side closes
-	Held                 // no request is open, but the protocol promises that the connection stays open
-	Partial              // no request is open, and part of a frame has arrived
-	Stuck                // requests are open, and part of a further frame has arrived
-	Busy                 // requests are open
-	classes = iota
+	Fresh       Class = iota // no complete first frame has arrived, or the handshake is in progress
+	Idle                     // no request is open, and the client repeats a request that it sends while this side closes
+	Persistent               // no request is open, but the protocol promises that the connection stays open
+	Partial                  // no request is open, and part of a frame has arrived
+	BusyPartial              // requests are open, and part of a further frame has arrived
+	Busy                     // requests are open
+	classes     = iota
 )
 
 var classNames = [classes]string{"fresh", "idle", "held", "partial", "stuck", "busy"}
@@ -29,16 +29,16 @@
 
 // The reasons.
 const (
-	ForNewcomer Reason = iota // evicted to admit a new connection
-	Silent                    // no complete first frame within Limits.First
-	Slow                      // a frame was not complete within Limits.Whole
-	Unused                    // idle for Limits.Unused, or for Limits.Patience while the table is nearly full
-	Lowered                   // evicted because a connection limit was lowered
-	Full                      // rejected: the limit is reached and no connection may be evicted
-	Crowd                     // rejected: its address has too many connections
-	reasons     = iota
-
-	notDeferred = ForNewcomer // Entry.reason of a connection whose eviction is not deferred
+	ForNewConnection    Reason = iota // evicted to admit a new connection
+	NoFirstFrame                      // no complete first frame within Limits.FirstFrameTimeout
+	SlowFrame                         // a frame was not complete within Limits.FrameTimeout
+	IdleTimeout                       // idle for Limits.IdleTimeout, or for Limits.IdleGrace in a nearly full table
+	LimitLowered                      // evicted because a connection limit was lowered
+	LimitReached                      // rejected: the limit is reached and no connection may be evicted
+	AddressLimitReached               // rejected: its address has too many connections
+	reasons             = iota
+
+	notDeferred = ForNewConnection // Entry.reason of a connection whose eviction is not deferred
 )
 
 var reasonNames = [reasons]string{
--- a/internal/net/conntable/expire.go
+++ b/internal/net/conntable/expire.go
@@ -20,7 +20,7 @@
 		if budget <= 0 {
 			return true
 		}
-		if reason != Lowered && shouldDefer != nil && shouldDefer(e) {
+		if reason != LimitLowered && shouldDefer != nil && shouldDefer(e) {
 			t.deferEviction(e, reason)
 			continue
 		}
@@ -73,26 +73,26 @@
 		limit  time.Duration
 		reason Reason
 	}{
-		{Partial, t.limits.Whole, Slow},
-		{Stuck, t.limits.Whole, Slow},
-		{Fresh, t.limits.First, Silent},
-		{Idle, t.limits.Unused, Unused},
-		{Held, t.limits.Unused, Unused},
+		{Partial, t.limits.FrameTimeout, SlowFrame},
+		{BusyPartial, t.limits.FrameTimeout, SlowFrame},
+		{Fresh, t.limits.FirstFrameTimeout, NoFirstFrame},
+		{Idle, t.limits.IdleTimeout, IdleTimeout},
+		{Persistent, t.limits.IdleTimeout, IdleTimeout},
 	}
 	for _, timeout := range timeouts {
 		if e := t.overdue(timeout.class, timeout.limit, now); e != nil {
 			return e, timeout.reason
 		}
 	}
-	if t.limits.Keep < 1 && float64(t.size) > t.limits.Keep*float64(t.limits.Most) {
-		if e := t.overdue(Idle, t.limits.Patience, now); e != nil {
-			return e, Unused
+	if t.limits.PressureShare < 1 && float64(t.size) > t.limits.PressureShare*float64(t.limits.MaxConns) {
+		if e := t.overdue(Idle, t.limits.IdleGrace, now); e != nil {
+			return e, IdleTimeout
 		}
 	}
-	if t.size > t.limits.Most || t.room.used > t.room.maxConns {
-		for _, class := range [...]Class{Idle, Fresh, Held, Partial} {
+	if t.size > t.limits.MaxConns || t.room.used > t.room.maxConns {
+		for _, class := range [...]Class{Idle, Fresh, Persistent, Partial} {
 			if e := t.front(class); e != nil {
-				return e, Lowered
+				return e, LimitLowered
 			}
 		}
 	}
--- a/internal/net/conntable/table.go
+++ b/internal/net/conntable/table.go
@@ -17,15 +17,15 @@
 
 // Limits are the connection limits of one table. A duration of 0 means no limit.
 type Limits struct {
-	Most    int     // the number of connections
-	PerAddr int     // the number of connections from one address; 0: no limit
-	Keep    float64 // the share of Most above which connections idle for Patience are evicted; 1: never
-
-	Patience time.Duration // a connection that has been idle or partial for this long is among the first to be evicted
-	Grace    time.Duration // so is a connection that has been open for this long without a complete frame
-	First    time.Duration // from the accept to the first complete frame
-	Whole    time.Duration // from the first byte of a frame to its last
-	Unused   time.Duration // without an open request
+	MaxConns      int     // the number of connections
+	MaxPerAddr    int     // the number of connections from one address; 0: no limit
+	PressureShare float64 // the share of MaxConns above which connections idle for IdleGrace are evicted; 1: never
+
+	IdleGrace         time.Duration // a connection that has been idle or partial for this long may be evicted first
+	FirstFrameGrace   time.Duration // so may one that has been open for this long without a complete frame
+	FirstFrameTimeout time.Duration // from the accept to the first complete frame
+	FrameTimeout      time.Duration // from the first byte of a frame to its last
+	IdleTimeout       time.Duration // without an open request
 }
 
 // Room is the connection limit that several tables share, which is set by the process's file descriptors.
@@ -66,7 +66,9 @@
 
 // NewTargets adds a table of dialed connections. Only the shared limit applies to them, and idle ones are evicted, the
 // oldest first.
-func (r *Room) NewTargets() *Table { return r.NewTable(Limits{Most: math.MaxInt, Keep: 1}) }
+func (r *Room) NewTargets() *Table {
+	return r.NewTable(Limits{MaxConns: math.MaxInt, PressureShare: 1})
+}
 
 // NewTable adds a table with its own limits to those that share r.
 func (r *Room) NewTable(limits Limits) *Table {
@@ -90,30 +92,30 @@
 
 // Stats is the console's reply about a table.
 type Stats struct {
-	Open  int            `json:"open"`
-	Most  int            `json:"most"`  // the table's own limit, or the shared one if that is lower
-	Doing map[string]int `json:"doing"` // open connections by class
-	Came  uint64         `json:"came"`  // connections admitted since the start
-	Gone  map[string]int `json:"gone"`  // connections evicted or rejected since the start, by reason
+	Open              int            `json:"open"`
+	MaxConns          int            `json:"most"`  // the table's own limit, or the shared one if that is lower
+	ByClass           map[string]int `json:"doing"` // open connections by class
+	Admitted          uint64         `json:"came"`  // connections admitted since the start
+	EvictedOrRejected map[string]int `json:"gone"`  // connections evicted or rejected since the start, by reason
 }
 
 // Stats returns the table's statistics.
 func (t *Table) Stats() Stats {
 	stats := Stats{
-		Open:  t.size,
-		Most:  min(t.limits.Most, t.room.maxConns),
-		Doing: map[string]int{},
-		Came:  t.admitted,
-		Gone:  map[string]int{},
+		Open:              t.size,
+		MaxConns:          min(t.limits.MaxConns, t.room.maxConns),
+		ByClass:           map[string]int{},
+		Admitted:          t.admitted,
+		EvictedOrRejected: map[string]int{},
 	}
 	for class, count := range t.counts {
 		if count > 0 {
-			stats.Doing[Class(class).String()] = count
+			stats.ByClass[Class(class).String()] = count
 		}
 	}
 	for reason, count := range t.evicted {
 		if count > 0 {
-			stats.Gone[Reason(reason).String()] = int(count)
+			stats.EvictedOrRejected[Reason(reason).String()] = int(count)
 		}
 	}
 	return stats
@@ -133,10 +135,10 @@
 	victim *Entry, reason Reason, ok bool,
 ) {
 	if t.addressLimitReached(peerAddr) {
-		t.evicted[Crowd]++
-		return nil, Crowd, false
+		t.evicted[AddressLimitReached]++
+		return nil, AddressLimitReached, false
 	}
-	tableFull, roomFull := t.size >= t.limits.Most, t.room.used >= t.room.maxConns
+	tableFull, roomFull := t.size >= t.limits.MaxConns, t.room.used >= t.room.maxConns
 	switch {
 	case tableFull:
 		victim = t.chooseVictim(now)
@@ -144,11 +146,11 @@
 		victim = t.room.chooseVictim(now)
 	}
 	if victim == nil && (tableFull || roomFull) {
-		t.evicted[Full]++
-		return nil, Full, false
+		t.evicted[LimitReached]++
+		return nil, LimitReached, false
 	}
 	if victim != nil {
-		victim.table.evict(victim, ForNewcomer)
+		victim.table.evict(victim, ForNewConnection)
 	}
 	if peerAddr.IsValid() {
 		entry.source = t.countSource(peerAddr)
@@ -163,11 +165,11 @@
 
 // addressLimitReached reports whether an address has as many connections as the limit allows.
 func (t *Table) addressLimitReached(peerAddr netip.Addr) bool {
-	if t.limits.PerAddr <= 0 || !peerAddr.IsValid() {
+	if t.limits.MaxPerAddr <= 0 || !peerAddr.IsValid() {
 		return false
 	}
 	src := t.sources[peerAddr]
-	return src != nil && src.conns >= t.limits.PerAddr
+	return src != nil && src.conns >= t.limits.MaxPerAddr
 }
 
 // countSource counts one more connection from an address.
--- a/internal/net/conntable/table_test.go
+++ b/internal/net/conntable/table_test.go
@@ -33,14 +33,14 @@
 func (f *fakeConn) MarkHandled() bool   { return f.read >= f.mark }
 
 var limits = Limits{
-	Most: 3, Keep: 0.75, Patience: 2 * time.Second, Grace: 100 * time.Millisecond, First: 2 * time.Second,
-	Whole: 2 * time.Second,
+	MaxConns: 3, PressureShare: 0.75, IdleGrace: 2 * time.Second, FirstFrameGrace: 100 * time.Millisecond,
+	FirstFrameTimeout: 2 * time.Second, FrameTimeout: 2 * time.Second,
 }
 
 // Connections that were opened at the same time were evicted for each other before their first commands were read.
 // Those past their grace period and the recently active ones are to be evicted before them.
 func TestNewConnectionsDoNotEvictEachOther(t *testing.T) {
-	tb := NewRoom(4).NewTable(Limits{Most: 4, Patience: limits.Patience, Grace: limits.Grace})
+	tb := NewRoom(4).NewTable(Limits{MaxConns: 4, IdleGrace: limits.IdleGrace, FirstFrameGrace: limits.FirstFrameGrace})
 	list := make([]fakeConn, 6)
 	admitted := func(i int, d time.Duration) *Entry {
 		e := &list[i].Entry
@@ -65,23 +65,23 @@
 func TestOpenRequestsAreNotEvicted(t *testing.T) {
 	room := NewRoom(3)
 	lim := limits
-	lim.PerAddr = 2
+	lim.MaxPerAddr = 2
 	a, b := room.NewTable(lim), room.NewTable(lim)
 	firstAddr, secondAddr := netip.MustParseAddr("127.0.0.1"), netip.MustParseAddr("127.0.0.2")
 	list := make([]fakeConn, 9)
 	admit := func(tb *Table, i int, peerAddr netip.Addr) (*Entry, Reason, bool) {
 		return tb.Admit(&list[i].Entry, &list[i], peerAddr, time.Duration(i))
 	}
-	for i, c := range []Class{Busy, Held} {
+	for i, c := range []Class{Busy, Persistent} {
 		admit(a, i, firstAddr)
 		a.Move(&list[i].Entry, c, time.Duration(i))
 	}
-	if _, reason, ok := admit(a, 2, firstAddr); ok || reason != Crowd {
+	if _, reason, ok := admit(a, 2, firstAddr); ok || reason != AddressLimitReached {
 		t.Fatal(reason, ok)
 	}
 	admit(b, 3, secondAddr)
-	b.Move(&list[3].Entry, Stuck, 3)
-	if victim, reason, ok := admit(a, 4, secondAddr); ok || reason != Full || victim != nil {
+	b.Move(&list[3].Entry, BusyPartial, 3)
+	if victim, reason, ok := admit(a, 4, secondAddr); ok || reason != LimitReached || victim != nil {
 		t.Fatal(victim, reason, ok)
 	}
 	b.Move(&list[3].Entry, Idle, 4) // in the other table, which shares the limit
@@ -94,11 +94,11 @@
 // requests.
 func TestLoweredLimit(t *testing.T) {
 	room := NewRoom(100)
-	tb := room.NewTable(Limits{Most: 100, Keep: 1})
+	tb := room.NewTable(Limits{MaxConns: 100, PressureShare: 1})
 	list := make([]fakeConn, 100)
 	for i := range list {
 		tb.Admit(&list[i].Entry, &list[i], netip.Addr{}, 0)
-		tb.Move(&list[i].Entry, []Class{Idle, Held, Busy, Partial}[i%4], 0)
+		tb.Move(&list[i].Entry, []Class{Idle, Persistent, Busy, Partial}[i%4], 0)
 	}
 	room.SetMost(10)
 	calls := 0
@@ -121,8 +121,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		room := NewRoom(rapid.IntRange(1, 6).Draw(t, "room"))
 		lim := limits
-		lim.Unused = rapid.SampledFrom([]time.Duration{0, 5 * time.Second}).Draw(t, "unused")
-		lim.PerAddr = rapid.IntRange(0, 3).Draw(t, "per address")
+		lim.IdleTimeout = rapid.SampledFrom([]time.Duration{0, 5 * time.Second}).Draw(t, "unused")
+		lim.MaxPerAddr = rapid.IntRange(0, 3).Draw(t, "per address")
 		tables := []*Table{room.NewTable(lim), room.NewTable(lim)}
 		var live []*fakeConn
 		now := time.Duration(0)
@@ -138,11 +138,11 @@
 		rank := func(f *fakeConn) int { // the order of eviction; 9: never
 			age := now - f.enteredAt
 			switch {
-			case f.class >= Stuck || f.class == Held:
+			case f.class >= BusyPartial || f.class == Persistent:
 				return 9
-			case f.class == Fresh && age < lim.Grace:
+			case f.class == Fresh && age < lim.FirstFrameGrace:
 				return 2
-			case f.class != Fresh && age < lim.Patience:
+			case f.class != Fresh && age < lim.IdleGrace:
 				return 1
 			}
 			return 0
@@ -159,11 +159,11 @@
 						}
 					}
 				}
-				addressFull := lim.PerAddr > 0 && sameAddr >= lim.PerAddr
-				full := n >= lim.Most || len(live) >= room.maxConns
+				addressFull := lim.MaxPerAddr > 0 && sameAddr >= lim.MaxPerAddr
+				full := n >= lim.MaxConns || len(live) >= room.maxConns
 				lowest := 9
 				for _, other := range live {
-					if other.table == tb || n < lim.Most {
+					if other.table == tb || n < lim.MaxConns {
 						lowest = min(lowest, rank(other))
 					}
 				}
@@ -177,7 +177,7 @@
 						t.Fatal("a connection of a lower rank should have been evicted")
 					}
 					for _, another := range live {
-						if (another.table == tb || n < lim.Most) && rank(another) == lowest && another.enteredAt < other.enteredAt {
+						if (another.table == tb || n < lim.MaxConns) && rank(another) == lowest && another.enteredAt < other.enteredAt {
 							t.Fatal("an older connection should have been evicted")
 						}
 					}
@@ -223,7 +223,7 @@
 						if f.overLimit {
 							arrived = f.sentAtLimit
 						}
-						if f.read < arrived || now-e.enteredAt < lim.Patience || e.class == Busy {
+						if f.read < arrived || now-e.enteredAt < lim.IdleGrace || e.class == Busy {
 							t.Fatal("evicted too early:", reason)
 						}
 						drop(f)
@@ -233,7 +233,7 @@
 					if f.reason != notDeferred && !f.overLimit {
 						f.overLimit, f.sentAtLimit = true, f.sent
 					}
-					if (f.class == Fresh || f.class == Partial || f.class == Stuck) && now-f.enteredAt >= 2*time.Second &&
+					if (f.class == Fresh || f.class == Partial || f.class == BusyPartial) && now-f.enteredAt >= 2*time.Second &&
 						(!f.overLimit || f.read >= f.sentAtLimit) {
 						t.Fatal("over its limit and not evicted:", f.class)
 					}
@@ -276,7 +276,7 @@
 			if f.evictions != evictions {
 				t.Fatal(f.evictions, "times evicted, not", evictions)
 			}
-			if evictions == 1 && f.evictReason != Slow {
+			if evictions == 1 && f.evictReason != SlowFrame {
 				t.Fatal(f.evictReason)
 			}
 		}
@@ -308,7 +308,7 @@
 // BenchmarkTable measures admitting a connection, and moving one to another class, in tables of two sizes.
 func BenchmarkTable(b *testing.B) {
 	for _, n := range []int{1_000, 250_000} {
-		tb := NewRoom(n).NewTable(Limits{Most: n, Patience: 1, Grace: 1, Keep: 1})
+		tb := NewRoom(n).NewTable(Limits{MaxConns: n, IdleGrace: 1, FirstFrameGrace: 1, PressureShare: 1})
 		list := make([]fakeConn, n)
 		for i := range list {
 			tb.Admit(&list[i].Entry, &list[i], netip.Addr{}, time.Duration(i))
--- a/internal/net/conntable/victim.go
+++ b/internal/net/conntable/victim.go
@@ -6,7 +6,7 @@
 type evictionRank int
 
 const (
-	pastGrace      evictionRank = iota // idle or partial for Patience, or fresh for Grace; or its eviction was deferred
+	pastGrace      evictionRank = iota // idle or partial for IdleGrace, fresh for FirstFrameGrace, or deferred
 	recentlyActive                     // idle or partial for less: the client repeats a request that the close interrupts
 	recentlyOpened                     // fresh for less: the first request would fail
 	ranks          = iota
@@ -38,7 +38,7 @@
 	for _, class := range [...]Class{Idle, Partial} {
 		if e := t.front(class); e != nil {
 			rank := recentlyActive
-			if now-e.enteredAt >= t.limits.Patience {
+			if now-e.enteredAt >= t.limits.IdleGrace {
 				rank = pastGrace
 			}
 			found.add(e, rank)
@@ -46,7 +46,7 @@
 	}
 	if e := t.front(Fresh); e != nil {
 		rank := recentlyOpened
-		if now-e.enteredAt >= t.limits.Grace {
+		if now-e.enteredAt >= t.limits.FirstFrameGrace {
 			rank = pastGrace
 		}
 		found.add(e, rank)
--- a/internal/net/platform/client.go
+++ b/internal/net/platform/client.go
@@ -53,7 +53,7 @@
 
 // Evict closes the connection, which was removed from its table.
 func (cl *client) Evict(reason conntable.Reason) {
-	if cl.buffer.Len() > 0 && (reason == conntable.Slow || reason == conntable.Silent) {
+	if cl.buffer.Len() > 0 && (reason == conntable.SlowFrame || reason == conntable.NoFirstFrame) {
 		cl.refuse(errCommandTimeout)
 		return
 	}
--- a/internal/net/platform/close_test.go
+++ b/internal/net/platform/close_test.go
@@ -55,7 +55,7 @@
 			}
 			for seen := x.before == "" || x.want != ""; !seen; { // half a command has been read
 				done := make(chan bool)
-				w.r.Post(func() { seen = w.in.table.Stats().Doing["partial"] == 1; close(done) })
+				w.r.Post(func() { seen = w.in.table.Stats().ByClass["partial"] == 1; close(done) })
 				<-done
 			}
 			undo := failpoint.SetHook(func(p failpoint.Point) {
@@ -96,7 +96,7 @@
 	_, _ = io.WriteString(c, command("m1"))
 	for waits := false; !waits; {
 		done := make(chan bool)
-		w.r.Post(func() { waits = w.in.table.Stats().Doing["busy"] == 1; close(done) })
+		w.r.Post(func() { waits = w.in.table.Stats().ByClass["busy"] == 1; close(done) })
 		<-done
 	}
 	done := make(chan bool)
--- a/internal/net/platform/egress.go
+++ b/internal/net/platform/egress.go
@@ -169,7 +169,7 @@
 	opened := &link{maxResponse: maxEndpointResponse, addr: route.Dial}
 	victim, _, ok := e.table.Admit(&opened.Entry, opened, netip.Addr{}, e.reactor.Now())
 	if victim != nil {
-		victim.Owner().Evict(conntable.ForNewcomer)
+		victim.Owner().Evict(conntable.ForNewConnection)
 	}
 	if !ok {
 		return nil
--- a/internal/net/platform/idle_test.go
+++ b/internal/net/platform/idle_test.go
@@ -189,7 +189,7 @@
 	var in *Ingress
 	var at *reactor.Reactor
 	addr, _ := standin.Start(t, w.dir, func(core *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
-		lim := conntable.Limits{Most: 1, Keep: 1, Unused: time.Hour}
+		lim := conntable.Limits{MaxConns: 1, PressureShare: 1, IdleTimeout: time.Hour}
 		in, at = NewIngress(core, r, w.agent.Listener.Addr().String(), conntable.NewRoom(1).NewTable(lim), true), r
 		core.AddIngress(Front, in)
 		core.UpdateRoutes("whole", Routes(w.hosts("active")))
--- a/internal/net/platform/ingress.go
+++ b/internal/net/platform/ingress.go
@@ -36,12 +36,12 @@
 func Limits(maxConnections int) conntable.Limits {
 	const commandTimeout = 2 * time.Second
 	return conntable.Limits{
-		Most:     maxConnections,
-		Keep:     0.5,
-		Patience: commandTimeout / 4,
-		Grace:    100 * time.Millisecond,
-		First:    commandTimeout,
-		Whole:    commandTimeout,
+		MaxConns:          maxConnections,
+		PressureShare:     0.5,
+		IdleGrace:         commandTimeout / 4,
+		FirstFrameGrace:   100 * time.Millisecond,
+		FirstFrameTimeout: commandTimeout,
+		FrameTimeout:      commandTimeout,
 	}
 }
 
