--- a/internal/app/predecessor.go
+++ b/internal/app/predecessor.go
@@ -146,8 +146,8 @@
 func (p *predecessor) setShares(share, clientShare float64) {
 	setMemoryLimit(p.cfg, share)
 	p.loop.Post(func() {
-		p.transport.clientRoom.SetMost(int(float64(p.cfg.ClientSockets()) * clientShare))
-		p.transport.targetRoom.SetMost(max(1, int(float64(p.cfg.TargetSockets())*share)))
+		p.transport.clientRoom.SetMaxConns(int(float64(p.cfg.ClientSockets()) * clientShare))
+		p.transport.targetRoom.SetMaxConns(max(1, int(float64(p.cfg.TargetSockets())*share)))
 	})
 }
 
--- a/internal/app/transport.go
+++ b/internal/app/transport.go
@@ -36,8 +36,8 @@
 	serverTLS       atomic.Pointer[tls.Config] // of the AMQP ingress, as it was read last
 	listeners       []*reactor.Listener
 
-	clientRoom *conntable.Room             // shared by all client connections
-	targetRoom *conntable.Room             // shared by all connections to endpoints
+	clientRoom *conntable.SharedLimit      // shared by all client connections
+	targetRoom *conntable.SharedLimit      // shared by all connections to endpoints
 	tables     map[string]*conntable.Table // of client connections, by ingress
 
 	stops []func() // of a graceful shutdown, in this order
@@ -156,8 +156,8 @@
 		t.serverTLS.Store(cfg.Secure.Server)
 	}
 	t.amqpEgress.Secure(cfg.Secure.Targets)
-	t.clientRoom.SetMost(cfg.ClientSockets())
-	t.targetRoom.SetMost(cfg.TargetSockets())
+	t.clientRoom.SetMaxConns(cfg.ClientSockets())
+	t.targetRoom.SetMaxConns(cfg.TargetSockets())
 	for ingress, table := range t.tables {
 		table.SetLimits(clientLimits(ingress, cfg))
 	}
--- a/internal/app/transport_start.go
+++ b/internal/app/transport_start.go
@@ -43,8 +43,8 @@
 // newTransport joins ingresses, egresses and the registry watch to the core, and opens the console.
 func newTransport(params transportParams) (*transport, error) {
 	t := &transport{
-		clientRoom: conntable.NewRoom(params.cfg.ClientSockets()),
-		targetRoom: conntable.NewRoom(params.cfg.TargetSockets()),
+		clientRoom: conntable.NewSharedLimit(params.cfg.ClientSockets()),
+		targetRoom: conntable.NewSharedLimit(params.cfg.TargetSockets()),
 		tables:     map[string]*conntable.Table{},
 	}
 	t.startEgresses(params)
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -34,8 +34,8 @@
 	t.Cleanup(func() { _ = partner.Close() })
 	addr, _ := standin.Start(t, t.TempDir(),
 		func(core *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
-			room := conntable.NewRoom(most)
-			core.AddEgress(platform.Proto, platform.NewEgress(core, r, standin.Settings(), conntable.NewRoom(50)))
+			room := conntable.NewSharedLimit(most)
+			core.AddEgress(platform.Proto, platform.NewEgress(core, r, standin.Settings(), conntable.NewSharedLimit(50)))
 			core.UpdateRoutes("whole", platform.Routes(config.List{Hosts: []config.Host{{
 				Host: "p", Dial: partner.Addr().String(), Class: "k",
 				Block: 7, Health: "active",
--- a/internal/net/amqpfront/conformance_test.go
+++ b/internal/net/amqpfront/conformance_test.go
@@ -51,7 +51,7 @@
 
 func joinInstant(c *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
 	in := NewIngress(c, r, Options{Policy: access.Anyone("messages"), Heartbeat: time.Minute, Channels: 64},
-		conntable.NewRoom(1000).NewTable(Limits(1000)))
+		conntable.NewSharedLimit(1000).NewTable(Limits(1000)))
 	c.AddEgress("now", atOnce{c})
 	var routes []sender.Route
 	for _, dest := range []int64{1, 7} {
--- a/internal/net/amqpfront/cut_test.go
+++ b/internal/net/amqpfront/cut_test.go
@@ -129,8 +129,8 @@
 			addr, _ := standin.Start(t, t.TempDir(),
 				func(core *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
 					in := NewIngress(core, r, Options{Policy: access.Anyone("messages"), Channels: 16},
-						conntable.NewRoom(10).NewTable(Limits(10)))
-					e := NewEgress(core, r, standin.Long, conntable.NewRoom(len(brokers)))
+						conntable.NewSharedLimit(10).NewTable(Limits(10)))
+					e := NewEgress(core, r, standin.Long, conntable.NewSharedLimit(len(brokers)))
 					core.AddEgress(Proto, e)
 					var routes []sender.Route
 					trust := map[string]*tls.Config{}
--- a/internal/net/amqpfront/dribble_test.go
+++ b/internal/net/amqpfront/dribble_test.go
@@ -23,7 +23,7 @@
 
 // newLimitedCrowd is a crowd whose frames have dribbleLimit, under TLS where keys are given.
 func newLimitedCrowd(t *testing.T, keys *tls.Config) *crowd {
-	c := &crowd{t: t, room: conntable.NewRoom(100)}
+	c := &crowd{t: t, room: conntable.NewSharedLimit(100)}
 	c.addr, c.kill = standin.StartWith(t, t.TempDir(), standin.Settings(), 2<<20, keys,
 		func(core *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
 			limits := Limits(100)
@@ -158,7 +158,7 @@
 	_, _ = cl.Write(append(whole[5:len(whole):len(whole)], whole[:5]...))
 	cl.want(amqp.QosOk)
 	c.on(func() {
-		if age := c.r.Now() - s.Since(); s.Class() != conntable.Partial || age >= dribbleLimit-dribbleLimit/4 {
+		if age := c.r.Now() - s.EnteredAt(); s.Class() != conntable.Partial || age >= dribbleLimit-dribbleLimit/4 {
 			t.Errorf("the new frame is %v old, class %v", age, s.Class())
 		}
 	})
--- a/internal/net/amqpfront/egress.go
+++ b/internal/net/amqpfront/egress.go
@@ -43,7 +43,7 @@
 // NewEgress makes the brokers' side; its connections take their descriptors from room.
 // A connectTimeout of 0 or less means the default.
 func NewEgress(
-	core *sender.Sender, react *reactor.Reactor, connectTimeout time.Duration, room *conntable.Room,
+	core *sender.Sender, react *reactor.Reactor, connectTimeout time.Duration, room *conntable.SharedLimit,
 ) *Egress {
 	if connectTimeout <= 0 {
 		connectTimeout = defaultConnectTimeout
@@ -52,7 +52,7 @@
 		core:           core,
 		reactor:        react,
 		connectTimeout: connectTimeout,
-		connections:    room.NewTargets(),
+		connections:    room.NewDialedTable(),
 		links:          map[string]*brokerLink{},
 		attempts:       map[string]*publishAttempt{},
 		Gate:           admission.New(scheduler.Settings{}),
--- a/internal/net/amqpfront/flow_test.go
+++ b/internal/net/amqpfront/flow_test.go
@@ -60,7 +60,7 @@
 	addr := startFlow(b, settings, secure, func(c *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
 		core = c
 		in := NewIngress(c, r, Options{Policy: access.Anyone("messages"), Channels: 16},
-			conntable.NewRoom(10).NewTable(Limits(10)))
+			conntable.NewSharedLimit(10).NewTable(Limits(10)))
 		c.AddEgress("now", atOnce{c})
 		var routes []sender.Route
 		for i := range dests {
--- a/internal/net/amqpfront/flowcontrol_test.go
+++ b/internal/net/amqpfront/flowcontrol_test.go
@@ -80,7 +80,7 @@
 		func(c *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
 			core = c
 			in := NewIngress(c, r, Options{Policy: access.Anyone("messages"), Channels: 16},
-				conntable.NewRoom(10).NewTable(Limits(10)))
+				conntable.NewSharedLimit(10).NewTable(Limits(10)))
 			c.AddEgress("now", atOnce{c})
 			c.UpdateRoutes("whole", []sender.Route{{
 				Endpoint: scheduler.Endpoint{Addr: "a", MachineType: "k", Destination: 7, State: "live"},
--- a/internal/net/amqpfront/front_test.go
+++ b/internal/net/amqpfront/front_test.go
@@ -196,8 +196,8 @@
 	t.Helper()
 	return standin.Start(t, dir, func(core *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
 		in := NewIngress(core, r, Options{Policy: p, Heartbeat: time.Minute, Channels: 16},
-			conntable.NewRoom(maxTestClients).NewTable(Limits(maxTestClients)))
-		core.AddEgress(Proto, NewEgress(core, r, 1500*time.Millisecond, conntable.NewRoom(100)))
+			conntable.NewSharedLimit(maxTestClients).NewTable(Limits(maxTestClients)))
+		core.AddEgress(Proto, NewEgress(core, r, 1500*time.Millisecond, conntable.NewSharedLimit(100)))
 		core.UpdateRoutes("whole", []sender.Route{{
 			Endpoint: scheduler.Endpoint{Addr: "b", MachineType: "k", Destination: 7, State: "live"}, Protocol: Proto,
 			Dial: "amqp://u:p@" + b.ln.Addr().String() + "/?exchange=records&key=in",
@@ -566,7 +566,7 @@
 			var core *sender.Sender
 			b.publish = func(*side, uint16, *amqp.Message, uint64) { t.Error("it was published") }
 			standin.Start(t, t.TempDir(), func(c *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
-				e := NewEgress(c, r, standin.Long, conntable.NewRoom(100))
+				e := NewEgress(c, r, standin.Long, conntable.NewSharedLimit(100))
 				core = c
 				var look func()
 				look = func() {
@@ -605,7 +605,7 @@
 	published := make(chan string, 2)
 	b.publish = func(_ *side, _ uint16, m *amqp.Message, _ uint64) { published <- m.Props.MessageID }
 	standin.Start(t, t.TempDir(), func(c *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
-		e := NewEgress(c, r, standin.Long, conntable.NewRoom(100))
+		e := NewEgress(c, r, standin.Long, conntable.NewSharedLimit(100))
 		r.Post(func() {
 			to, until := listed(e, b), c.Now()+60e6
 			e.Send(to, []sender.Attempt{
@@ -629,7 +629,7 @@
 	var at *reactor.Reactor
 	var core *sender.Sender
 	standin.Start(t, t.TempDir(), func(c *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
-		core, at, e = c, r, NewEgress(c, r, standin.Long, conntable.NewRoom(100))
+		core, at, e = c, r, NewEgress(c, r, standin.Long, conntable.NewSharedLimit(100))
 		r.Post(func() {
 			e.Send(listed(e, b), []sender.Attempt{{ID: "m", TimeoutUs: 60e6, Deadline: c.Now() + 60e6}})
 		})
--- a/internal/net/amqpfront/idle_test.go
+++ b/internal/net/amqpfront/idle_test.go
@@ -26,19 +26,19 @@
 	t    *testing.T
 	in   *Ingress
 	r    *reactor.Reactor
-	room *conntable.Room
+	room *conntable.SharedLimit
 	addr string
 	kill func()
 }
 
 func newCrowd(t *testing.T, b *broker, most int, beat time.Duration) *crowd {
-	c := &crowd{t: t, room: conntable.NewRoom(most)}
+	c := &crowd{t: t, room: conntable.NewSharedLimit(most)}
 	c.addr, c.kill = standin.Start(t, t.TempDir(),
 		func(core *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
 			c.r = r
 			c.in = NewIngress(core, r, Options{Policy: access.Anyone("messages"), Heartbeat: beat, Channels: 16},
 				c.room.NewTable(Limits(most)))
-			core.AddEgress(Proto, NewEgress(core, r, standin.Long, conntable.NewRoom(10)))
+			core.AddEgress(Proto, NewEgress(core, r, standin.Long, conntable.NewSharedLimit(10)))
 			core.UpdateRoutes("whole", []sender.Route{{
 				Endpoint: scheduler.Endpoint{Addr: "b", MachineType: "k", Destination: 7, State: "live"}, Protocol: Proto,
 				Dial: "amqp://" + b.ln.Addr().String() + "/?key=in",
@@ -72,9 +72,9 @@
 	one.want(amqp.Ack)
 	<-held
 	w.on(func() {
-		w.room.SetMost(0) // as a lowered bound does
-		w.in.table.Expire(w.r.Now(), 10, conntable.Unread, conntable.End)
-		w.room.SetMost(10)
+		w.room.SetMaxConns(0) // as a lowered bound does
+		w.in.table.Expire(w.r.Now(), 10, conntable.HasUnhandledInput, conntable.EvictOwner)
+		w.room.SetMaxConns(10)
 		close(release) // the end comes while the close is on its way
 	})
 	if m := one.want(amqp.ConnClose); m.Int(0) != amqp.ConnectionForced {
@@ -173,7 +173,9 @@
 	if m := second.want(amqp.ConnClose); m.Int(0) != amqp.ResourceError {
 		t.Fatal(m.Int(0), m.Str(1))
 	}
-	w.on(func() { w.in.table.Expire(w.r.Now()+11*time.Second, 10, conntable.Unread, conntable.End) })
+	w.on(func() {
+		w.in.table.Expire(w.r.Now()+11*time.Second, 10, conntable.HasUnhandledInput, conntable.EvictOwner)
+	})
 	if m := c.want(amqp.ConnClose); m.Int(0) != amqp.FrameError {
 		t.Fatal(m.Int(0), m.Str(1))
 	}
@@ -201,7 +203,7 @@
 // inMemory makes idle sessions with one channel each, without sockets, and tells their bytes of heap.
 func inMemory(n int) (l *loop.Loop, list []*session, each uint64) {
 	l = loop.New()
-	in := &Ingress{table: conntable.NewRoom(n).NewTable(Limits(n))}
+	in := &Ingress{table: conntable.NewSharedLimit(n).NewTable(Limits(n))}
 	list = make([]*session, n)
 	before := testkit.HeapBytes()
 	for i := range list {
--- a/internal/net/amqpfront/ledger_test.go
+++ b/internal/net/amqpfront/ledger_test.go
@@ -132,7 +132,7 @@
 		var e *Egress
 		var at *reactor.Reactor
 		standin.Start(t, t.TempDir(), func(c *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
-			at, e = r, NewEgress(c, r, standin.Long, conntable.NewRoom(100))
+			at, e = r, NewEgress(c, r, standin.Long, conntable.NewSharedLimit(100))
 			return func(*reactor.Conn) reactor.Handler { return nil }
 		})
 		send := func(ids ...string) {
--- a/internal/net/amqpfront/topology_test.go
+++ b/internal/net/amqpfront/topology_test.go
@@ -130,7 +130,7 @@
 		func(c *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
 			core = c
 			in := NewIngress(c, r, Options{Policy: access.Anyone("messages"), Channels: 16},
-				conntable.NewRoom(10).NewTable(Limits(10)))
+				conntable.NewSharedLimit(10).NewTable(Limits(10)))
 			return in.Accept
 		})
 	able := amqp.Table{"capabilities": amqp.Table{"connection.blocked": true}}
--- a/internal/net/connlimit/limiter.go
+++ b/internal/net/connlimit/limiter.go
@@ -50,9 +50,10 @@
 // is evicted, because requests may have arrived during the pause.
 func (l *Limiter) Due(*timers.Timer) {
 	next, slack := l.sweepInterval, timers.Coarse
-	if !l.reactor.Stalled() && l.Table.Expire(l.reactor.Now(), evictionsPerSweep, conntable.Unread, conntable.End) {
+	if !l.reactor.Stalled() && l.Table.Expire(l.reactor.Now(), evictionsPerSweep,
+		conntable.HasUnhandledInput, conntable.EvictOwner) {
 		next, slack = 0, timers.Soft
-	} else if l.Table.Spared() > 0 {
+	} else if l.Table.Deferred() > 0 {
 		next, slack = deferredInterval, timers.Soft
 	}
 	if l.Table.Len() > 0 {
--- a/internal/net/conntable/entry.go
+++ b/internal/net/conntable/entry.go
@@ -79,19 +79,19 @@
 	conns int
 }
 
-// Unread records how much input of a connection has arrived, and reports whether some of it has not been handled.
-// Passed to Expire as shouldDefer, it keeps a connection open whose request arrived while the process was paused or
-// overloaded.
-func Unread(e *Entry) bool {
+// HasUnhandledInput records how much input of a connection has arrived, and reports whether some of it has not been
+// handled. Passed to Expire as shouldDefer, it keeps a connection open whose request arrived while the process was
+// paused or overloaded.
+func HasUnhandledInput(e *Entry) bool {
 	e.marked = e.owner.MarkArrived()
 	return e.hasUnhandled()
 }
 
-// hasUnhandled reports whether input that had arrived at the last call of Unread is still unhandled.
+// hasUnhandled reports whether input that had arrived at the last call of HasUnhandledInput is still unhandled.
 func (e *Entry) hasUnhandled() bool { return !e.marked || !e.owner.MarkHandled() }
 
-// End closes an evicted connection; it is passed to Expire as onEvict.
-func End(e *Entry, reason Reason) { e.owner.Evict(reason) }
+// EvictOwner closes an evicted connection; it is passed to Expire as onEvict.
+func EvictOwner(e *Entry, reason Reason) { e.owner.Evict(reason) }
 
 // Move records the connection's new class, if it is in a table.
 func (e *Entry) Move(newClass Class, now time.Duration) {
@@ -113,8 +113,8 @@
 // Class returns the connection's current class.
 func (e *Entry) Class() Class { return e.class }
 
-// Since returns the time at which the connection entered its class.
-func (e *Entry) Since() time.Duration { return e.enteredAt }
+// EnteredAt returns the time at which the connection entered its class.
+func (e *Entry) EnteredAt() time.Duration { return e.enteredAt }
 
-// In reports whether the connection is in a table.
-func (e *Entry) In() bool { return e.inTable }
+// InTable reports whether the connection is in a table.
+func (e *Entry) InTable() bool { return e.inTable }
--- a/internal/net/conntable/expire.go
+++ b/internal/net/conntable/expire.go
@@ -62,8 +62,8 @@
 	return shouldDefer(e)
 }
 
-// Spared returns the number of deferred evictions; while it is not 0, Expire has to be called again soon.
-func (t *Table) Spared() int { return t.deferredCount }
+// Deferred returns the number of deferred evictions; while it is not 0, Expire has to be called again soon.
+func (t *Table) Deferred() int { return t.deferredCount }
 
 // nextOverLimit returns the next connection that exceeds a limit and the reason for its eviction, or nil if there is
 // none.
@@ -89,7 +89,7 @@
 			return e, IdleTimeout
 		}
 	}
-	if t.size > t.limits.MaxConns || t.room.used > t.room.maxConns {
+	if t.size > t.limits.MaxConns || t.shared.used > t.shared.maxConns {
 		for _, class := range [...]Class{Idle, Fresh, Persistent, Partial} {
 			if e := t.front(class); e != nil {
 				return e, LimitLowered
--- a/internal/net/conntable/table.go
+++ b/internal/net/conntable/table.go
@@ -1,7 +1,7 @@
 // Package conntable keeps the table of connections and decides which one is evicted when a connection limit is
 // reached. It does no I/O and reads no clock: the owner reports the class of each connection and the time at which it
 // changes, and closes the connections that the table evicts. Times are durations on the owner's monotonic clock. The
-// tables that share one Room are together not safe for concurrent use.
+// tables of one SharedLimit are together not safe for concurrent use.
 //
 // Each connection is in one list, that of its class, ordered by the time at which it entered the class. The next
 // connection to expire or to be evicted is thus at the front of a list, and no list is searched: the cost of a call
@@ -28,28 +28,28 @@
 	IdleTimeout       time.Duration // without an open request
 }
 
-// Room is the connection limit that several tables share, which is set by the process's file descriptors.
-type Room struct {
+// SharedLimit is the connection limit that several tables share, which is set by the process's file descriptors.
+type SharedLimit struct {
 	maxConns int
 	used     int
 	tables   []*Table
 }
 
-// NewRoom returns a shared limit of the given number of connections.
-func NewRoom(maxConns int) *Room { return &Room{maxConns: maxConns} }
+// NewSharedLimit returns a shared limit of the given number of connections.
+func NewSharedLimit(maxConns int) *SharedLimit { return &SharedLimit{maxConns: maxConns} }
 
-// SetMost changes the limit. Expire evicts the connections above it.
-func (r *Room) SetMost(maxConns int) { r.maxConns = maxConns }
+// SetMaxConns changes the limit. Expire evicts the connections above it.
+func (s *SharedLimit) SetMaxConns(maxConns int) { s.maxConns = maxConns }
 
-// Most returns the limit.
-func (r *Room) Most() int { return r.maxConns }
+// MaxConns returns the limit.
+func (s *SharedLimit) MaxConns() int { return s.maxConns }
 
 // Used returns the number of connections in all tables.
-func (r *Room) Used() int { return r.used }
+func (s *SharedLimit) Used() int { return s.used }
 
 // Table holds the connections of one ingress, or those of the egresses.
 type Table struct {
-	room   *Room
+	shared *SharedLimit
 	limits Limits
 
 	lists    [classes]Entry // sentinels of circular lists
@@ -64,20 +64,20 @@
 	admitted uint64
 }
 
-// NewTargets adds a table of dialed connections. Only the shared limit applies to them, and idle ones are evicted, the
-// oldest first.
-func (r *Room) NewTargets() *Table {
-	return r.NewTable(Limits{MaxConns: math.MaxInt, PressureShare: 1})
+// NewDialedTable adds a table of dialed connections. Only the shared limit applies to them, and idle ones are evicted,
+// the oldest first.
+func (s *SharedLimit) NewDialedTable() *Table {
+	return s.NewTable(Limits{MaxConns: math.MaxInt, PressureShare: 1})
 }
 
 // NewTable adds a table with its own limits to those that share r.
-func (r *Room) NewTable(limits Limits) *Table {
-	t := &Table{room: r, limits: limits, sources: map[netip.Addr]*source{}}
+func (s *SharedLimit) NewTable(limits Limits) *Table {
+	t := &Table{shared: s, limits: limits, sources: map[netip.Addr]*source{}}
 	for i := range t.lists {
 		t.lists[i].makeEmpty()
 	}
 	t.deferred.makeEmpty()
-	r.tables = append(r.tables, t)
+	s.tables = append(s.tables, t)
 	return t
 }
 
@@ -103,7 +103,7 @@
 func (t *Table) Stats() Stats {
 	stats := Stats{
 		Open:              t.size,
-		MaxConns:          min(t.limits.MaxConns, t.room.maxConns),
+		MaxConns:          min(t.limits.MaxConns, t.shared.maxConns),
 		ByClass:           map[string]int{},
 		Admitted:          t.admitted,
 		EvictedOrRejected: map[string]int{},
@@ -138,14 +138,14 @@
 		t.evicted[AddressLimitReached]++
 		return nil, AddressLimitReached, false
 	}
-	tableFull, roomFull := t.size >= t.limits.MaxConns, t.room.used >= t.room.maxConns
+	tableFull, sharedFull := t.size >= t.limits.MaxConns, t.shared.used >= t.shared.maxConns
 	switch {
 	case tableFull:
 		victim = t.chooseVictim(now)
-	case roomFull:
-		victim = t.room.chooseVictim(now)
+	case sharedFull:
+		victim = t.shared.chooseVictim(now)
 	}
-	if victim == nil && (tableFull || roomFull) {
+	if victim == nil && (tableFull || sharedFull) {
 		t.evicted[LimitReached]++
 		return nil, LimitReached, false
 	}
@@ -158,7 +158,7 @@
 	entry.table, entry.owner, entry.enteredAt, entry.class, entry.inTable = t, owner, now, Fresh, true
 	t.link(entry)
 	t.size++
-	t.room.used++
+	t.shared.used++
 	t.admitted++
 	return victim, 0, true
 }
@@ -217,7 +217,7 @@
 	}
 	t.unlink(entry)
 	t.size--
-	t.room.used--
+	t.shared.used--
 	if src := entry.source; src != nil {
 		if src.conns--; src.conns == 0 {
 			delete(t.sources, src.addr)
--- a/internal/net/conntable/table_test.go
+++ b/internal/net/conntable/table_test.go
@@ -40,7 +40,9 @@
 // Connections that were opened at the same time were evicted for each other before their first commands were read.
 // Those past their grace period and the recently active ones are to be evicted before them.
 func TestNewConnectionsDoNotEvictEachOther(t *testing.T) {
-	tb := NewRoom(4).NewTable(Limits{MaxConns: 4, IdleGrace: limits.IdleGrace, FirstFrameGrace: limits.FirstFrameGrace})
+	tb := NewSharedLimit(4).NewTable(Limits{
+		MaxConns: 4, IdleGrace: limits.IdleGrace, FirstFrameGrace: limits.FirstFrameGrace,
+	})
 	list := make([]fakeConn, 6)
 	admitted := func(i int, d time.Duration) *Entry {
 		e := &list[i].Entry
@@ -63,10 +65,10 @@
 // Connections with open requests, and those that the protocol promises to keep, are never evicted for a new one; the
 // rejection of a new connection has a reason.
 func TestOpenRequestsAreNotEvicted(t *testing.T) {
-	room := NewRoom(3)
+	shared := NewSharedLimit(3)
 	lim := limits
 	lim.MaxPerAddr = 2
-	a, b := room.NewTable(lim), room.NewTable(lim)
+	a, b := shared.NewTable(lim), shared.NewTable(lim)
 	firstAddr, secondAddr := netip.MustParseAddr("127.0.0.1"), netip.MustParseAddr("127.0.0.2")
 	list := make([]fakeConn, 9)
 	admit := func(tb *Table, i int, peerAddr netip.Addr) (*Entry, Reason, bool) {
@@ -85,7 +87,7 @@
 		t.Fatal(victim, reason, ok)
 	}
 	b.Move(&list[3].Entry, Idle, 4) // in the other table, which shares the limit
-	if victim, _, ok := admit(a, 5, secondAddr); !ok || victim != &list[3].Entry || b.Len() != 0 || room.Used() != 3 {
+	if victim, _, ok := admit(a, 5, secondAddr); !ok || victim != &list[3].Entry || b.Len() != 0 || shared.Used() != 3 {
 		t.Fatal(victim, ok)
 	}
 }
@@ -93,23 +95,23 @@
 // After a limit was lowered, connections are evicted in batches, the idle ones first, and never those with open
 // requests.
 func TestLoweredLimit(t *testing.T) {
-	room := NewRoom(100)
-	tb := room.NewTable(Limits{MaxConns: 100, PressureShare: 1})
+	shared := NewSharedLimit(100)
+	tb := shared.NewTable(Limits{MaxConns: 100, PressureShare: 1})
 	list := make([]fakeConn, 100)
 	for i := range list {
 		tb.Admit(&list[i].Entry, &list[i], netip.Addr{}, 0)
 		tb.Move(&list[i].Entry, []Class{Idle, Persistent, Busy, Partial}[i%4], 0)
 	}
-	room.SetMost(10)
+	shared.SetMaxConns(10)
 	calls := 0
-	for tb.Expire(1, 16, nil, End) {
+	for tb.Expire(1, 16, nil, EvictOwner) {
 		calls++
 	}
 	if tb.Len() != 25 || tb.Counts()[Busy] != 25 || calls != 4 {
 		t.Fatal(tb.Len(), tb.Counts(), calls)
 	}
 	tb.Move(&list[2].Entry, Idle, 2) // its request was answered, so it may be evicted
-	if tb.Expire(2, 16, nil, End); tb.Len() != 24 || list[2].evictions != 1 {
+	if tb.Expire(2, 16, nil, EvictOwner); tb.Len() != 24 || list[2].evictions != 1 {
 		t.Fatal(tb.Len())
 	}
 }
@@ -119,11 +121,11 @@
 // is read, and not for input that arrives later.
 func TestAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		room := NewRoom(rapid.IntRange(1, 6).Draw(t, "room"))
+		shared := NewSharedLimit(rapid.IntRange(1, 6).Draw(t, "room"))
 		lim := limits
 		lim.IdleTimeout = rapid.SampledFrom([]time.Duration{0, 5 * time.Second}).Draw(t, "unused")
 		lim.MaxPerAddr = rapid.IntRange(0, 3).Draw(t, "per address")
-		tables := []*Table{room.NewTable(lim), room.NewTable(lim)}
+		tables := []*Table{shared.NewTable(lim), shared.NewTable(lim)}
 		var live []*fakeConn
 		now := time.Duration(0)
 		drop := func(f *fakeConn) {
@@ -160,7 +162,7 @@
 					}
 				}
 				addressFull := lim.MaxPerAddr > 0 && sameAddr >= lim.MaxPerAddr
-				full := n >= lim.MaxConns || len(live) >= room.maxConns
+				full := n >= lim.MaxConns || len(live) >= shared.maxConns
 				lowest := 9
 				for _, other := range live {
 					if other.table == tb || n < lim.MaxConns {
@@ -217,7 +219,7 @@
 			"expire": func(t *rapid.T) {
 				now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
 				for _, tb := range tables {
-					tb.Expire(now, 100, Unread, func(e *Entry, reason Reason) {
+					tb.Expire(now, 100, HasUnhandledInput, func(e *Entry, reason Reason) {
 						f := e.owner.(*fakeConn)
 						arrived := f.sent
 						if f.overLimit {
@@ -240,8 +242,8 @@
 				}
 			},
 			"": func(t *rapid.T) {
-				if room.Used() != len(live) || tables[0].Len()+tables[1].Len() != len(live) || room.Used() > room.maxConns {
-					t.Fatal(room.Used(), tables[0].Len(), tables[1].Len(), len(live))
+				if shared.Used() != len(live) || tables[0].Len()+tables[1].Len() != len(live) || shared.Used() > shared.maxConns {
+					t.Fatal(shared.Used(), tables[0].Len(), tables[1].Len(), len(live))
 				}
 				for _, tb := range tables {
 					n := 0
@@ -259,7 +261,7 @@
 // that it sends later; a connection that completes its frame is no longer over the limit. While the amount of input
 // that has arrived cannot be determined, MarkArrived is called again.
 func TestDeferredEviction(t *testing.T) {
-	tb := NewRoom(4).NewTable(limits)
+	tb := NewSharedLimit(4).NewTable(limits)
 	slow, progressing, unknown := &fakeConn{sent: 2, read: 1}, &fakeConn{sent: 2, read: 1}, &fakeConn{unknown: true}
 	for _, f := range []*fakeConn{slow, progressing, unknown} {
 		tb.Admit(&f.Entry, f, netip.Addr{}, 0)
@@ -267,7 +269,7 @@
 	}
 	expire := func(want ...*fakeConn) {
 		t.Helper()
-		tb.Expire(2*time.Second, 16, Unread, End)
+		tb.Expire(2*time.Second, 16, HasUnhandledInput, EvictOwner)
 		for _, f := range []*fakeConn{slow, progressing, unknown} {
 			evictions := 0
 			if slices.Contains(want, f) {
@@ -282,8 +284,8 @@
 		}
 	}
 	expire()
-	if got := tb.chooseVictim(2 * time.Second); got != &slow.Entry || tb.Spared() != 3 || tb.Counts()[Partial] != 3 {
-		t.Fatal("a connection whose eviction was deferred is not the first victim:", tb.Spared())
+	if got := tb.chooseVictim(2 * time.Second); got != &slow.Entry || tb.Deferred() != 3 || tb.Counts()[Partial] != 3 {
+		t.Fatal("a connection whose eviction was deferred is not the first victim:", tb.Deferred())
 	}
 	expire() // the input that had arrived is not read yet
 	slow.sent, slow.read = 9, 2
@@ -293,8 +295,8 @@
 	expire(slow)
 	unknown.sent, unknown.read = 9, 5
 	expire(slow, unknown)
-	if tb.Spared() != 0 || tb.Len() != 1 {
-		t.Fatal(tb.Spared(), tb.Len())
+	if tb.Deferred() != 0 || tb.Len() != 1 {
+		t.Fatal(tb.Deferred(), tb.Len())
 	}
 }
 
@@ -308,7 +310,7 @@
 // BenchmarkTable measures admitting a connection, and moving one to another class, in tables of two sizes.
 func BenchmarkTable(b *testing.B) {
 	for _, n := range []int{1_000, 250_000} {
-		tb := NewRoom(n).NewTable(Limits{MaxConns: n, IdleGrace: 1, FirstFrameGrace: 1, PressureShare: 1})
+		tb := NewSharedLimit(n).NewTable(Limits{MaxConns: n, IdleGrace: 1, FirstFrameGrace: 1, PressureShare: 1})
 		list := make([]fakeConn, n)
 		for i := range list {
 			tb.Admit(&list[i].Entry, &list[i], netip.Addr{}, time.Duration(i))
--- a/internal/net/conntable/victim.go
+++ b/internal/net/conntable/victim.go
@@ -74,9 +74,9 @@
 
 // chooseVictim returns the connection of any of the tables to evict for a new one, or nil if there is none. Between
 // connections of equal age it prefers that of the table that was added first.
-func (r *Room) chooseVictim(now time.Duration) *Entry {
+func (s *SharedLimit) chooseVictim(now time.Duration) *Entry {
 	var found candidates
-	for _, t := range r.tables {
+	for _, t := range s.tables {
 		for rank, e := range t.candidates(now) {
 			found.add(e, evictionRank(rank))
 		}
--- a/internal/net/platform/crossing_test.go
+++ b/internal/net/platform/crossing_test.go
@@ -107,7 +107,7 @@
 	w.start()
 	b.core, b.r, b.to = w.core, w.r, Routes(w.hosts("active"))[0]
 	b.do(func() {
-		b.e = NewEgress(b.core, b.r, standin.Settings(), conntable.NewRoom(100))
+		b.e = NewEgress(b.core, b.r, standin.Settings(), conntable.NewSharedLimit(100))
 		b.e.UpdateRoutes([]sender.Route{b.to})
 	})
 	return b
--- a/internal/net/platform/egress.go
+++ b/internal/net/platform/egress.go
@@ -49,7 +49,7 @@
 
 // NewEgress makes the endpoints' side; its connections take their descriptors from room.
 func NewEgress(
-	core *sender.Sender, eventLoop *reactor.Reactor, settings scheduler.Settings, room *conntable.Room,
+	core *sender.Sender, eventLoop *reactor.Reactor, settings scheduler.Settings, room *conntable.SharedLimit,
 ) *Egress {
 	e := &Egress{
 		core:           core,
@@ -59,7 +59,7 @@
 		loadFields:     settings.LoadReport.Fields,
 		idleLinks:      map[string][]*link{},
 		calls:          map[string]*call{},
-		table:          room.NewTargets(),
+		table:          room.NewDialedTable(),
 		paths:          paths{},
 		Gate:           admission.New(settings),
 	}
--- a/internal/net/platform/egress_test.go
+++ b/internal/net/platform/egress_test.go
@@ -78,7 +78,7 @@
 	standin.Start(t, w.dir, func(core *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
 		set := standin.Settings()
 		set.Limits.ConnectTimeoutUs = 20e6
-		e := NewEgress(core, r, set, conntable.NewRoom(100))
+		e := NewEgress(core, r, set, conntable.NewSharedLimit(100))
 		to := Routes(w.hosts("active"))[0]
 		other := to
 		other.Addr, other.Dial = "late", late.Addr().String()
@@ -163,7 +163,7 @@
 	w.start()
 	reason := make(chan sender.Outcome, 1)
 	w.r.Post(func() {
-		e := NewEgress(w.core, w.r, standin.Settings(), conntable.NewRoom(100))
+		e := NewEgress(w.core, w.r, standin.Settings(), conntable.NewSharedLimit(100))
 		c := &call{egress: e, route: Routes(w.hosts("active"))[0], attempts: []sender.Attempt{{ID: "m"}}, link: &link{}}
 		c.finish(nil, fmt.Errorf("dial: %w", syscall.EMFILE))
 		w.core.Post(func() { reason <- w.core.State().Routes[0].LastOutcome })
@@ -180,7 +180,7 @@
 	defer close(end)
 	out := make(chan [3]int, 1)
 	standin.Start(t, w.dir, func(core *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
-		e := NewEgress(core, r, standin.Settings(), conntable.NewRoom(100))
+		e := NewEgress(core, r, standin.Settings(), conntable.NewSharedLimit(100))
 		r.Post(func() {
 			to, until := Routes(w.hosts("active"))[0], core.Now()+9e6
 			e.UpdateRoutes([]sender.Route{to})
--- a/internal/net/platform/golden_test.go
+++ b/internal/net/platform/golden_test.go
@@ -93,9 +93,9 @@
 	type accept = func(*reactor.Conn) reactor.Handler
 	f.addr, _ = standin.Start(t, t.TempDir(), func(core *sender.Sender, r *reactor.Reactor) accept {
 		f.core, f.r = core, r
-		f.in = NewIngress(core, r, agent.addr(), conntable.NewRoom(100).NewTable(Limits(100)), true)
+		f.in = NewIngress(core, r, agent.addr(), conntable.NewSharedLimit(100).NewTable(Limits(100)), true)
 		core.AddIngress(Front, f.in)
-		core.AddEgress(Proto, NewEgress(core, r, standin.Settings(), conntable.NewRoom(100)))
+		core.AddEgress(Proto, NewEgress(core, r, standin.Settings(), conntable.NewSharedLimit(100)))
 		Watch(core, r, agent.addr(), w.hosts("active"), WatchOptions{Senders: 1, Seed: 1, Grace: 2 * time.Second})
 		return f.in.Accept
 	})
@@ -246,7 +246,7 @@
 func TestGoldenWatchWithoutVersion(t *testing.T) {
 	agent := newTape(t, func(*http.Request) string { return "" })
 	standin.Start(t, t.TempDir(), func(core *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
-		in := NewIngress(core, r, agent.addr(), conntable.NewRoom(100).NewTable(Limits(100)), true)
+		in := NewIngress(core, r, agent.addr(), conntable.NewSharedLimit(100).NewTable(Limits(100)), true)
 		core.AddIngress(Front, in)
 		Follow(core, r, agent.addr(), nil, -1, WatchOptions{Senders: 1, Seed: 1, Grace: 2 * time.Second})
 		return in.Accept
--- a/internal/net/platform/idle_test.go
+++ b/internal/net/platform/idle_test.go
@@ -143,7 +143,9 @@
 	w.held(func() {
 		_, _ = io.WriteString(late, "NG\r\n")
 		time.Sleep(50 * time.Millisecond) // the engine has read it, and the loop has not
-		w.r.Post(func() { w.in.table.Expire(w.r.Now()+time.Minute, 100, conntable.Unread, conntable.End) })
+		w.r.Post(func() {
+			w.in.table.Expire(w.r.Now()+time.Minute, 100, conntable.HasUnhandledInput, conntable.EvictOwner)
+		})
 	})
 	if got, err := late.line(); got != "+PONG" {
 		t.Fatal(got, err)
@@ -170,7 +172,7 @@
 	for _, c := range crowd {
 		_, _ = io.WriteString(c, "M")
 	}
-	w.r.Post(func() { w.in.table.Expire(w.r.Now()+time.Minute, 1000, nil, conntable.End) })
+	w.r.Post(func() { w.in.table.Expire(w.r.Now()+time.Minute, 1000, nil, conntable.EvictOwner) })
 	for i, c := range crowd {
 		if got, err := c.line(); errors.Is(err, os.ErrDeadlineExceeded) || got != "" && got[0] != '-' {
 			t.Fatal(i, got, err)
@@ -190,7 +192,7 @@
 	var at *reactor.Reactor
 	addr, _ := standin.Start(t, w.dir, func(core *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
 		lim := conntable.Limits{MaxConns: 1, PressureShare: 1, IdleTimeout: time.Hour}
-		in, at = NewIngress(core, r, w.agent.Listener.Addr().String(), conntable.NewRoom(1).NewTable(lim), true), r
+		in, at = NewIngress(core, r, w.agent.Listener.Addr().String(), conntable.NewSharedLimit(1).NewTable(lim), true), r
 		core.AddIngress(Front, in)
 		core.UpdateRoutes("whole", Routes(w.hosts("active")))
 		return in.Accept
@@ -212,7 +214,7 @@
 		t.Fatal("it was not closed in order:", err)
 	}
 	one.ping() // idle again
-	at.Post(func() { in.table.Expire(at.Now()+2*time.Hour, 10, conntable.Unread, conntable.End) })
+	at.Post(func() { in.table.Expire(at.Now()+2*time.Hour, 10, conntable.HasUnhandledInput, conntable.EvictOwner) })
 	if _, err := one.line(); !errors.Is(err, io.EOF) {
 		t.Fatal(err)
 	}
@@ -225,7 +227,7 @@
 		t.Errorf("a client's record takes %d bytes", n)
 	}
 	const n = 10_000
-	in := &Ingress{table: conntable.NewRoom(n).NewTable(Limits(n))}
+	in := &Ingress{table: conntable.NewSharedLimit(n).NewTable(Limits(n))}
 	list := make([]*client, n)
 	before := testkit.HeapBytes()
 	for i := range list {
@@ -244,7 +246,7 @@
 // and stay go before they are so many, and those under half of the room may stay.
 func TestIdleGoBeforeClientsAreAtTheirBound(t *testing.T) {
 	const most = 192
-	table := conntable.NewRoom(most).NewTable(Limits(most))
+	table := conntable.NewSharedLimit(most).NewTable(Limits(most))
 	list := make([]*client, most*2/3)
 	for i := range list {
 		list[i] = &client{}
--- a/internal/net/platform/ingress.go
+++ b/internal/net/platform/ingress.go
@@ -214,7 +214,7 @@
 func (in *Ingress) Retire() int {
 	now := in.reactor.Now()
 	in.table.Each(func(entry *conntable.Entry) {
-		isNew := entry.Class() == conntable.Fresh && now-entry.Since() < firstCommandTime
+		isNew := entry.Class() == conntable.Fresh && now-entry.EnteredAt() < firstCommandTime
 		if cl, ok := entry.Owner().(*client); ok && !isNew && cl.isIdle() {
 			cl.close()
 		}
--- a/internal/net/platform/ingress_test.go
+++ b/internal/net/platform/ingress_test.go
@@ -72,7 +72,7 @@
 	if got := w.say(addr, "PING"); got != "+PONG" {
 		t.Fatal(got)
 	}
-	w.r.Post(func() { w.in.table.Expire(w.r.Now()+2*time.Second, 100, nil, conntable.End) })
+	w.r.Post(func() { w.in.table.Expire(w.r.Now()+2*time.Second, 100, nil, conntable.EvictOwner) })
 	for i, c := range crowd {
 		if b, err := io.ReadAll(c); errors.Is(err, os.ErrDeadlineExceeded) || len(b) > 0 && b[0] != '-' {
 			t.Errorf("connection %d: %q %v", i, b, err)
--- a/internal/net/platform/notices_test.go
+++ b/internal/net/platform/notices_test.go
@@ -51,10 +51,10 @@
 	var move func()
 	agent := w.agent.Listener.Addr().String()
 	addr, _ := standin.Start(t, w.dir, func(core *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
-		in := NewIngress(core, r, unresponsive.Addr().String(), conntable.NewRoom(100).NewTable(Limits(100)), false)
+		in := NewIngress(core, r, unresponsive.Addr().String(), conntable.NewSharedLimit(100).NewTable(Limits(100)), false)
 		move = func() { r.Post(func() { in.Move(agent) }) }
 		core.AddIngress(Front, in)
-		core.AddEgress(Proto, NewEgress(core, r, standin.Settings(), conntable.NewRoom(100)))
+		core.AddEgress(Proto, NewEgress(core, r, standin.Settings(), conntable.NewSharedLimit(100)))
 		core.UpdateRoutes("whole", Routes(w.hosts("active")))
 		return in.Accept
 	})
--- a/internal/net/platform/platform_test.go
+++ b/internal/net/platform/platform_test.go
@@ -96,10 +96,10 @@
 	w.t.Helper()
 	return standin.Start(w.t, w.dir, func(core *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
 		agent := w.agent.Listener.Addr().String()
-		in := NewIngress(core, r, agent, conntable.NewRoom(w.most).NewTable(Limits(w.most)), false)
+		in := NewIngress(core, r, agent, conntable.NewSharedLimit(w.most).NewTable(Limits(w.most)), false)
 		w.core, w.in, w.r = core, in, r
 		core.AddIngress(Front, in)
-		core.AddEgress(Proto, NewEgress(core, r, standin.Settings(), conntable.NewRoom(100)))
+		core.AddEgress(Proto, NewEgress(core, r, standin.Settings(), conntable.NewSharedLimit(100)))
 		w.registry = Watch(core, r, agent, w.hosts("active"),
 			WatchOptions{Senders: w.senders, Seed: 1, Grace: w.grace, Age: w.age})
 		return in.Accept
--- a/internal/net/platform/response_test.go
+++ b/internal/net/platform/response_test.go
@@ -172,7 +172,7 @@
 	defer close(end)
 	out := make(chan int)
 	standin.Start(t, w.dir, func(core *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
-		e := NewEgress(core, r, standin.Settings(), conntable.NewRoom(100))
+		e := NewEgress(core, r, standin.Settings(), conntable.NewSharedLimit(100))
 		var look func()
 		look = func() {
 			if len(e.calls) > 0 {
