--- a/internal/load/idle.go
+++ b/internal/load/idle.go
@@ -102,7 +102,7 @@
 		gap = m.pool.beat / 2
 	}
 	if gap > 0 {
-		m.pool.reactor.Arm(&m.timer, gap, timers.Soft, m)
+		m.pool.reactor.Arm(&m.timer, gap, timers.TickSlack, m)
 	}
 }
 
--- a/internal/net/amqpfront/egress.go
+++ b/internal/net/amqpfront/egress.go
@@ -155,7 +155,7 @@
 	}
 	e.links[key] = link
 	link.conn = e.dial(route, target, link)
-	e.reactor.Arm(&link.timer, 2*e.connectTimeout, timers.Coarse, link) // for the connect and the handshake
+	e.reactor.Arm(&link.timer, 2*e.connectTimeout, timers.CoarseSlack, link) // for the connect and the handshake
 	return link
 }
 
--- a/internal/net/amqpfront/idle_test.go
+++ b/internal/net/amqpfront/idle_test.go
@@ -227,7 +227,7 @@
 				s := list[i*7919%n]
 				s.addPending(1)
 				s.addPending(-1)
-				l.Arm(&s.timer, s.heartbeat/2, timers.Soft, s)
+				l.Arm(&s.timer, s.heartbeat/2, timers.TickSlack, s)
 			}
 			b.ReportMetric(float64(each), "B/session")
 			runtime.KeepAlive(list)
--- a/internal/net/amqpfront/peer.go
+++ b/internal/net/amqpfront/peer.go
@@ -83,7 +83,7 @@
 // keepAlive starts the negotiated heartbeats; handler must call checkHeartbeat when its timer fires.
 func (p *peer) keepAlive(interval time.Duration, handler timers.Handler) {
 	if p.heartbeat = interval; interval > 0 {
-		p.loop.Arm(&p.timer, interval/2, timers.Soft, handler)
+		p.loop.Arm(&p.timer, interval/2, timers.TickSlack, handler)
 	}
 }
 
@@ -103,7 +103,7 @@
 	if now-p.lastWritten >= p.heartbeat/4 {
 		p.write(heartbeatFrame)
 	}
-	p.loop.Arm(&p.timer, p.heartbeat/2, timers.Soft, handler)
+	p.loop.Arm(&p.timer, p.heartbeat/2, timers.TickSlack, handler)
 }
 
 func (p *peer) stopTimer() { p.loop.Disarm(&p.timer) }
--- a/internal/net/amqpfront/queuelimits.go
+++ b/internal/net/amqpfront/queuelimits.go
@@ -97,7 +97,7 @@
 		next = q.lastUsed + q.expires
 	}
 	if next > 0 {
-		q.ingress.reactor.Arm(&q.timer, next-now, timers.Soft, q)
+		q.ingress.reactor.Arm(&q.timer, next-now, timers.TickSlack, q)
 	}
 }
 
--- a/internal/net/amqpfront/session.go
+++ b/internal/net/amqpfront/session.go
@@ -225,7 +225,7 @@
 	}
 	s.writeMethod(0, amqp.ConnClose, closeArgs(f)...)
 	s.ingress.table.Remove(&s.Entry)
-	s.loop.Arm(&s.timer, closeTimeout, timers.Coarse, s)
+	s.loop.Arm(&s.timer, closeTimeout, timers.CoarseSlack, s)
 }
 
 // handleFrame handles a frame other than a heartbeat. A soft fault closes the frame's channel; any other
--- a/internal/net/connlimit/limiter.go
+++ b/internal/net/connlimit/limiter.go
@@ -39,8 +39,8 @@
 	if victim != nil {
 		victim.Owner().Evict(conntable.ForNewConnection)
 	}
-	if ok && !l.timer.Set() {
-		l.reactor.Arm(&l.timer, l.sweepInterval, timers.Coarse, l)
+	if ok && !l.timer.IsSet() {
+		l.reactor.Arm(&l.timer, l.sweepInterval, timers.CoarseSlack, l)
 	}
 	return ok
 }
@@ -49,12 +49,12 @@
 // the input that had arrived when it reached its limit is handled. Shortly after a pause of the process no connection
 // is evicted, because requests may have arrived during the pause.
 func (l *Limiter) Due(*timers.Timer) {
-	next, slack := l.sweepInterval, timers.Coarse
+	next, slack := l.sweepInterval, timers.CoarseSlack
 	if !l.reactor.Stalled() && l.Table.Expire(l.reactor.Now(), evictionsPerSweep,
 		conntable.HasUnhandledInput, conntable.EvictOwner) {
-		next, slack = 0, timers.Soft
+		next, slack = 0, timers.TickSlack
 	} else if l.Table.Deferred() > 0 {
-		next, slack = deferredInterval, timers.Soft
+		next, slack = deferredInterval, timers.TickSlack
 	}
 	if l.Table.Len() > 0 {
 		l.reactor.Arm(&l.timer, next, slack, l)
--- a/internal/net/loop/loop.go
+++ b/internal/net/loop/loop.go
@@ -63,8 +63,9 @@
 // Post enqueues f to run on the loop's goroutine, after the functions posted before it. It is safe for concurrent use.
 func (l *Loop) Post(f func()) { l.enqueue(&l.posts, Func(f)) }
 
-// Read enqueues a task that handles input of a socket; posted functions run before it. It is safe for concurrent use.
-func (l *Loop) Read(task Task) { l.enqueue(&l.reads, task) }
+// PostRead enqueues a task that handles input of a socket; posted functions run before it. It is safe for concurrent
+// use.
+func (l *Loop) PostRead(task Task) { l.enqueue(&l.reads, task) }
 
 // enqueue appends a task to a queue and wakes the loop.
 func (l *Loop) enqueue(queue *[]Task, task Task) {
@@ -77,9 +78,9 @@
 	}
 }
 
-// Later runs a task at the end of the current batch, before the loop yields its processor or sleeps. It must be called
+// Defer runs a task at the end of the current batch, before the loop yields its processor or sleeps. It must be called
 // on the loop's goroutine.
-func (l *Loop) Later(task Task) { l.deferred = append(l.deferred, task) }
+func (l *Loop) Defer(task Task) { l.deferred = append(l.deferred, task) }
 
 // runDeferred runs the deferred tasks, including those that they add.
 func (l *Loop) runDeferred() {
@@ -193,7 +194,7 @@
 // runTimers runs the timers that are due, and reports whether there are more.
 func (l *Loop) runTimers() bool {
 	l.wheel.Advance(l.Now())
-	n, more := l.wheel.Take(timerBatch, func(h timers.Handler, t *timers.Timer) { h.Due(t) })
+	n, more := l.wheel.FireDue(timerBatch, func(h timers.Handler, t *timers.Timer) { h.Due(t) })
 	if n > 0 {
 		l.fired.Add(uint64(n))
 	}
--- a/internal/net/loop/loop_test.go
+++ b/internal/net/loop/loop_test.go
@@ -17,11 +17,11 @@
 	fired, enqueuedAt, read, posted := 0, 0, -1, -1
 	list := make([]timers.Timer, n)
 	for i := range list {
-		l.Arm(&list[i], 0, timers.Soft, timers.Func(func() {
+		l.Arm(&list[i], 0, timers.TickSlack, timers.Func(func() {
 			if fired++; fired == n/2 {
 				enqueuedAt = fired
 				l.Post(func() { posted = fired })
-				l.Read(Func(func() { read = fired }))
+				l.PostRead(Func(func() { read = fired }))
 			}
 		}))
 	}
@@ -56,7 +56,7 @@
 	l := New()
 	var order []string
 	for range 3 * readBatch {
-		l.Read(Func(func() {
+		l.PostRead(Func(func() {
 			if order = append(order, "read"); len(order) == 1 {
 				l.Post(func() { order = append(order, "posted") })
 			}
@@ -80,7 +80,7 @@
 		for range 200 {
 			pending.Add(3)
 			l.Post(pending.Done)
-			l.Read(Func(pending.Done))
+			l.PostRead(Func(pending.Done))
 			d, start := time.Duration(i)*time.Millisecond, l.Now()
 			l.After(d, func() {
 				if l.Now()-start < d {
--- a/internal/net/platform/link.go
+++ b/internal/net/platform/link.go
@@ -190,7 +190,7 @@
 		l.buffer.Reset()
 		return
 	}
-	if !l.responseTimer.Set() {
+	if !l.responseTimer.IsSet() {
 		l.loop().Arm(&l.responseTimer, responseTimeout, 0, timers.Func(func() { l.fail(errStalled) }))
 	}
 	l.parse(l.buffer.Append(data), false)
--- a/internal/net/reactor/finish.go
+++ b/internal/net/reactor/finish.go
@@ -44,7 +44,7 @@
 	c.state = finishing
 	c.reactor.finishing++
 	c.finishTimer = &timers.Timer{}
-	c.reactor.Arm(c.finishTimer, gracefulCloseTimeout, timers.Coarse, timers.Func(c.Close))
+	c.reactor.Arm(c.finishTimer, gracefulCloseTimeout, timers.CoarseSlack, timers.Func(c.Close))
 	c.shutdownWrite()
 }
 
--- a/internal/net/reactor/gather.go
+++ b/internal/net/reactor/gather.go
@@ -35,7 +35,7 @@
 		batch, _ := writeBatchPool.Get().(*writeBatch)
 		batch.conn, batch.buf, batch.tag = c, batch.buf[:0], 0
 		c.writeBatch = batch
-		c.reactor.Later(batch)
+		c.reactor.Defer(batch)
 	}
 	return c.writeBatch.buf
 }
--- a/internal/net/reactor/reactor.go
+++ b/internal/net/reactor/reactor.go
@@ -126,7 +126,7 @@
 // onClose runs on the engine's goroutine.
 func (r *Reactor) onClose(socket *nbio.Conn, err error) {
 	if c, ok := socket.Session().(*Conn); ok {
-		r.Read(loop.Func(func() { c.end(err) })) // after the input that arrived before
+		r.PostRead(loop.Func(func() { c.end(err) })) // after the input that arrived before
 	}
 }
 
@@ -139,7 +139,7 @@
 	c.written.Add(int64(size))
 	r.unsent.Add(-int64(size))
 	if c.awaitsDrain.CompareAndSwap(true, false) {
-		r.Read(loop.Func(c.drained))
+		r.PostRead(loop.Func(c.drained))
 	}
 }
 
@@ -170,7 +170,7 @@
 	r.unhandledBytes.Add(int64(cap(own)))
 	task, _ := readTaskPool.Get().(*readTask)
 	task.conn, task.bytes = c, own
-	r.Read(task)
+	r.PostRead(task)
 	if r.readsInRow++; r.readsInRow%readsBeforeYield == 0 {
 		runtime.Gosched() // many peers that send at once would otherwise delay the other goroutines of a processor
 	}
--- a/internal/timers/wheel.go
+++ b/internal/timers/wheel.go
@@ -23,12 +23,12 @@
 	levels   = 4             // which span 256 ms, 65.5 s, 4.66 h and 49.7 days
 )
 
-// Coarse is the slack of timers that may fire up to 256 ms late, so that fewer slots are opened, such as those for idle
-// connections and handshakes. Soft is the slack of timers that many connections have and that should not all fire at
-// once, such as those for heartbeats. Take fires both only within its budget.
+// CoarseSlack is the slack of timers that may fire up to 256 ms late, so that fewer slots are opened, such as those for
+// idle connections and handshakes. TickSlack is the slack of timers that many connections have and that should not all
+// fire at once, such as those for heartbeats. FireDue fires both only within its budget.
 const (
-	Coarse = Tick << slotBits
-	Soft   = Tick
+	CoarseSlack = Tick << slotBits
+	TickSlack   = Tick
 )
 
 // Handler is the callback of a timer. The wheel's owner calls Due when the timer fires.
@@ -48,11 +48,11 @@
 	level      uint8 // the lowest level that it may be inserted at, by its slack
 	position   uint8 // 0: not set; 1+level: expiring or due; 1+levels+level: cascading
 	slot       uint8 // the slot it is in, or was in before it came due
-	hasSlack   bool  // subject to Take's budget
+	hasSlack   bool  // subject to FireDue's budget
 }
 
-// Set reports whether the timer is set: pending, or due and not yet fired.
-func (t *Timer) Set() bool { return t.position != 0 }
+// IsSet reports whether the timer is set: pending, or due and not yet fired.
+func (t *Timer) IsSet() bool { return t.position != 0 }
 
 // Wheel holds timers in circular lists with a sentinel. Use New to create one. Its size is 97 KiB, regardless of the
 // number of timers.
@@ -69,7 +69,7 @@
 
 	// Timers that are due and have not fired.
 	dueExact Timer // without slack
-	firing   Timer // the timers of dueExact that the current call of Take fires
+	firing   Timer // the timers of dueExact that the current call of FireDue fires
 	dueSlack Timer // with slack
 }
 
@@ -92,8 +92,8 @@
 // Len returns the number of timers that are set.
 func (w *Wheel) Len() int { return w.count }
 
-// Start sets a timer to fire at a time on the wheel's clock: never earlier, and less than its slack later. Take fires
-// all due timers without slack, whatever its budget. A timer that is already set is reset.
+// Start sets a timer to fire at a time on the wheel's clock: never earlier, and less than its slack later. FireDue
+// fires all due timers without slack, whatever its budget. A timer that is already set is reset.
 func (w *Wheel) Start(t *Timer, due, slack time.Duration, handler Handler) {
 	w.Stop(t)
 	t.handler, t.level, t.hasSlack = handler, 0, slack > 0
@@ -210,8 +210,8 @@
 	return earliest, ok
 }
 
-// Advance sets the current time; Take then fires the timers that are due. A time before the current one is ignored; an
-// advance of any length skips no timer.
+// Advance sets the current time; FireDue then fires the timers that are due. A time before the current one is ignored;
+// an advance of any length skips no timer.
 func (w *Wheel) Advance(now time.Duration) {
 	target := int64(now / Tick)
 	for tick, ok := w.earliestTick(); ok && tick <= target; tick, ok = w.earliestTick() {
@@ -243,10 +243,10 @@
 	}
 }
 
-// Take unsets the timers that are due and calls deliver for each: for all without slack, and for at most budget of
+// FireDue unsets the timers that are due and calls deliver for each: for all without slack, and for at most budget of
 // those with slack. It returns their number and whether more are due. deliver may set and stop timers, including the
 // one that it is called for; a timer that it sets to a time that has passed waits for the next call.
-func (w *Wheel) Take(budget int, deliver func(Handler, *Timer)) (fired int, more bool) {
+func (w *Wheel) FireDue(budget int, deliver func(Handler, *Timer)) (fired int, more bool) {
 	for splice(&w.firing, &w.dueExact); !empty(&w.firing); fired++ {
 		w.fire(w.firing.next, deliver)
 	}
--- a/internal/timers/wheel_test.go
+++ b/internal/timers/wheel_test.go
@@ -26,13 +26,13 @@
 // Compares the wheel with a model that is a plain list: no timer fires early, later than its slack allows, or twice,
 // none is skipped by an advance of any length, and Next never returns a time after a timer's latest time.
 func TestAgainstModel(t *testing.T) {
-	slacks := []time.Duration{0, 0, Soft, Coarse, 300 * time.Millisecond, 70 * time.Second, 5 * time.Hour}
+	slacks := []time.Duration{0, 0, TickSlack, CoarseSlack, 300 * time.Millisecond, 70 * time.Second, 5 * time.Hour}
 	rapid.Check(t, func(t *rapid.T) {
 		w, now := New(), time.Duration(0)
 		entries := make([]entry, 30)
 		setCount := 0
 		fireDue := func(budget int) {
-			_, more := w.Take(budget, func(h Handler, timer *Timer) {
+			_, more := w.FireDue(budget, func(h Handler, timer *Timer) {
 				e := h.(*entry)
 				if &e.t != timer || e.due == 0 || e.due > now {
 					t.Fatalf("due at %v, fired at %v", e.due, now)
@@ -101,23 +101,23 @@
 // level late. The watch of the registry became unresponsive because of it.
 func TestSlotsThatBeginTogether(t *testing.T) {
 	w, fired := New(), 0
-	w.Advance(Coarse - Tick)
+	w.Advance(CoarseSlack - Tick)
 	var a, b Timer
-	w.Start(&a, Coarse, 0, Func(func() { fired++ }))
-	w.Start(&b, Coarse, Coarse, Func(func() { fired++ }))
-	w.Advance(Coarse)
-	if w.Take(9, func(h Handler, t *Timer) { h.Due(t) }); fired != 2 {
+	w.Start(&a, CoarseSlack, 0, Func(func() { fired++ }))
+	w.Start(&b, CoarseSlack, CoarseSlack, Func(func() { fired++ }))
+	w.Advance(CoarseSlack)
+	if w.FireDue(9, func(h Handler, t *Timer) { h.Due(t) }); fired != 2 {
 		t.Fatal("fired", fired)
 	}
 }
 
 // Timers with slack that are due at the same time fire in batches, those without slack at once; a handler that sets its
-// timer to the current time does not keep Take from returning.
-func TestTakeBudget(t *testing.T) {
+// timer to the current time does not keep FireDue from returning.
+func TestFireDueBudget(t *testing.T) {
 	w := New()
 	coarse, exactFired := make([]Timer, 10_000), 0
 	for i := range coarse {
-		w.Start(&coarse[i], time.Second, Coarse, Func(func() {}))
+		w.Start(&coarse[i], time.Second, CoarseSlack, Func(func() {}))
 	}
 	var exact Timer
 	var handler Func
@@ -128,7 +128,7 @@
 	w.Start(&exact, time.Second+200*time.Millisecond, 0, handler)
 	w.Advance(2 * time.Second)
 	for call, remaining := 0, len(coarse); remaining > 0; call++ {
-		fired, more := w.Take(64, func(h Handler, t *Timer) { h.Due(t) })
+		fired, more := w.FireDue(64, func(h Handler, t *Timer) { h.Due(t) })
 		if remaining -= fired - 1; exactFired != call+1 || !more {
 			t.Fatalf("call %d: %d exact timers fired, %d timers remaining", call, exactFired, remaining)
 		}
@@ -158,14 +158,14 @@
 			w, ts := New(), make([]Timer, n)
 			b.ReportAllocs()
 			for i := range b.N {
-				w.Start(&ts[i%n], after(i), Coarse, noop)
+				w.Start(&ts[i%n], after(i), CoarseSlack, noop)
 			}
 		})
 		b.Run(name("wheel-soft"), func(b *testing.B) {
 			w, ts := New(), make([]Timer, n)
 			b.ReportAllocs()
 			for i := range b.N {
-				w.Start(&ts[i%n], after(i), Soft, noop)
+				w.Start(&ts[i%n], after(i), TickSlack, noop)
 			}
 		})
 		b.Run(name("wheel-exact"), func(b *testing.B) {
@@ -212,13 +212,13 @@
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
 			w, ts, now := New(), make([]Timer, n), time.Duration(0)
 			for i := range ts {
-				w.Start(&ts[i], time.Duration(i)*5*time.Second/time.Duration(n), Coarse, Func(func() {}))
+				w.Start(&ts[i], time.Duration(i)*5*time.Second/time.Duration(n), CoarseSlack, Func(func() {}))
 			}
 			b.ResetTimer()
 			for fired := 0; fired < b.N; {
 				now += 50 * time.Millisecond
 				w.Advance(now)
-				k, _ := w.Take(n, func(h Handler, t *Timer) { w.Start(t, now+5*time.Second, Coarse, h) })
+				k, _ := w.FireDue(n, func(h Handler, t *Timer) { w.Start(t, now+5*time.Second, CoarseSlack, h) })
 				fired += k
 			}
 		})
