--- a/internal/app/incarnation.go
+++ b/internal/app/incarnation.go
@@ -190,7 +190,7 @@
 		return err
 	}
 	inc.onClose(inc.reactor.Stop)
-	inc.reactor.Refused = (&handshakeLog{log: inc.log, now: inc.loop.Now}).report
+	inc.reactor.OnHandshakeError = (&handshakeLog{log: inc.log, now: inc.loop.Now}).report
 	return nil
 }
 
--- a/internal/net/amqpfront/dribble_test.go
+++ b/internal/net/amqpfront/dribble_test.go
@@ -82,7 +82,7 @@
 	swept := make(chan bool)
 	c.on(func() {
 		_, _ = cl.Write(text)
-		for !s.conn.Unread() {
+		for !s.conn.HasPendingInput() {
 			time.Sleep(time.Millisecond)
 		}
 		c.r.Post(func() {
--- a/internal/net/amqpfront/ingress.go
+++ b/internal/net/amqpfront/ingress.go
@@ -91,7 +91,7 @@
 	s := &session{ingress: in, peer: newPeer(in.reactor.Loop)}
 	s.conn = conn
 	if !in.limiter.Admit(&s.Entry, s, conn) {
-		if conn.Secured() { // a reply would need a TLS handshake
+		if conn.IsTLS() { // a reply would need a TLS handshake
 			return nil
 		}
 		return in.reactor.RejectWith(TurnedAway)
--- a/internal/net/amqpfront/login.go
+++ b/internal/net/amqpfront/login.go
@@ -21,7 +21,7 @@
 // mechanisms lists the mechanisms for connection.start.
 func (s *session) mechanisms() string {
 	list := mechPlain + " " + mechAMQPlain
-	if s.conn.Peer() != nil {
+	if s.conn.PeerCertificate() != nil {
 		list += " " + mechExternal
 	}
 	return list
@@ -39,7 +39,7 @@
 	p := s.ingress.policy
 	switch {
 	case mechanism == mechExternal:
-		u, ok := p.Holder(s.conn.Peer())
+		u, ok := p.Holder(s.conn.PeerCertificate())
 		if !ok || response != "" && response != u.Name && response != anonymousExternal {
 			return errLogin
 		}
@@ -67,7 +67,7 @@
 func (s *session) checkPassword(user access.User, password string, done func(bool)) error {
 	err := s.ingress.checker.Check(user.Hash, password, func(ok bool) {
 		s.loop.Post(func() {
-			if s.stage != stageClosing && !s.conn.Dead() {
+			if s.stage != stageClosing && !s.conn.IsClosing() {
 				done(ok)
 			}
 		})
--- a/internal/net/amqpfront/peer.go
+++ b/internal/net/amqpfront/peer.go
@@ -63,7 +63,7 @@
 
 // commitBuffer gives the connection's buffer back after something was appended to it.
 func (p *peer) commitBuffer(buffer []byte) {
-	if p.lastWritten = p.loop.Now(); p.conn.Gathered(buffer) != nil {
+	if p.lastWritten = p.loop.Now(); p.conn.SetBuffer(buffer) != nil {
 		p.conn.Close()
 	}
 }
@@ -94,7 +94,7 @@
 func (p *peer) checkHeartbeat(handler timers.Handler) {
 	now := p.loop.Now()
 	if now-p.lastReceived > 2*p.heartbeat {
-		if p.conn.Quiet() && !p.loop.Stalled() {
+		if p.conn.AllInputReceived() && !p.loop.Stalled() {
 			p.conn.Close()
 			return
 		}
--- a/internal/net/amqpfront/publishattempt.go
+++ b/internal/net/amqpfront/publishattempt.go
@@ -93,7 +93,7 @@
 		return
 	}
 	if !p.sent() { // a part of the message may be in the stream: not one more byte may leave
-		p.link.conn.Cut()
+		p.link.conn.CloseWithoutFlush()
 		p.report(sender.OutcomeConnectFailed)
 		return
 	}
--- a/internal/net/amqpfront/queue.go
+++ b/internal/net/amqpfront/queue.go
@@ -78,7 +78,7 @@
 	if c.channel.prefetch > 0 {
 		limit = min(limit, int(c.channel.prefetch))
 	}
-	return !c.channel.paused && (c.noAck || c.channel.unacknowledged() < limit) && !c.channel.session.conn.Backed()
+	return !c.channel.paused && (c.noAck || c.channel.unacknowledged() < limit) && !c.channel.session.conn.IsBacklogged()
 }
 
 // outcomeNames are the type property of answers.
--- a/internal/net/amqpfront/session.go
+++ b/internal/net/amqpfront/session.go
@@ -210,7 +210,7 @@
 // closeWith closes the channel for a soft fault, otherwise the connection.
 func (s *session) closeWith(id uint16, err error) {
 	f := asFault(err)
-	if s.stage == stageClosing || s.conn.Dead() {
+	if s.stage == stageClosing || s.conn.IsClosing() {
 		return
 	}
 	if ch := s.channelByID(id); ch != nil && f.Soft() {
--- a/internal/net/connlimit/limiter.go
+++ b/internal/net/connlimit/limiter.go
@@ -35,7 +35,7 @@
 // Admit adds a new connection to the table and closes the connection that is evicted for it. It returns false if the
 // new connection is rejected; the caller then closes it.
 func (l *Limiter) Admit(entry *conntable.Entry, owner conntable.Owner, conn *reactor.Conn) bool {
-	victim, _, ok := l.Table.Admit(entry, owner, conn.From(), l.reactor.Now())
+	victim, _, ok := l.Table.Admit(entry, owner, conn.PeerAddr(), l.reactor.Now())
 	if victim != nil {
 		victim.Owner().Evict(conntable.ForNewConnection)
 	}
--- a/internal/net/platform/call.go
+++ b/internal/net/platform/call.go
@@ -47,11 +47,11 @@
 	if c.egress.Gate.Admit(c.admission, c.egress.core.Now()) != admission.Admitted {
 		return errNotAdmitted
 	}
-	if c.link.conn.Unread() {
+	if c.link.conn.HasPendingInput() {
 		return errUnread
 	}
 	for other := range c.egress.callsOfRoute(c.egress.Gate.RouteName(c.route.Endpoint)) {
-		if other != c && other.link.requestStarted && other.link.conn.Unread() {
+		if other != c && other.link.requestStarted && other.link.conn.HasPendingInput() {
 			return errUnread
 		}
 	}
@@ -105,7 +105,7 @@
 	if c.egress.calls[c.attempts[0].ID] != c {
 		return
 	}
-	if c.link.requestStarted && c.extensions > 0 && c.link.conn.Unread() {
+	if c.link.requestStarted && c.extensions > 0 && c.link.conn.HasPendingInput() {
 		c.extensions--
 		c.egress.reactor.Arm(&c.timer, extensionTime, 0, timers.Func(func() { c.abort(outcome) }))
 		return
--- a/internal/net/platform/client.go
+++ b/internal/net/platform/client.go
@@ -39,7 +39,7 @@
 func (cl *client) Up(*reactor.Conn) {}
 
 // Quiet tells whether everything received was handled.
-func (cl *client) Quiet() bool { return cl.conn.Quiet() }
+func (cl *client) Quiet() bool { return cl.conn.AllInputReceived() }
 
 // MarkArrived marks what the peer has sent until now.
 func (cl *client) MarkArrived() (known bool) { return cl.conn.MarkArrived() }
@@ -58,7 +58,7 @@
 		return
 	}
 	cl.closing = true
-	if cl.conn.Quiet() {
+	if cl.conn.AllInputReceived() {
 		cl.conn.Close()
 		return
 	}
--- a/internal/net/platform/dribble_test.go
+++ b/internal/net/platform/dribble_test.go
@@ -33,7 +33,7 @@
 	swept := make(chan bool)
 	w.held(func() {
 		_, _ = io.WriteString(c, text)
-		for !cl.conn.Unread() {
+		for !cl.conn.HasPendingInput() {
 			time.Sleep(time.Millisecond)
 		}
 		w.r.Post(func() {
--- a/internal/net/platform/egress.go
+++ b/internal/net/platform/egress.go
@@ -160,7 +160,7 @@
 		e.removeIdle(route.Addr, idle)
 		e.reactor.Disarm(&idle.idleTimer)
 		idle.onClosed, idle.onReusable = nil, nil
-		if idle.addr == route.Dial && idle.conn.Quiet() {
+		if idle.addr == route.Dial && idle.conn.AllInputReceived() {
 			idle.Move(conntable.Busy, e.reactor.Now())
 			return idle
 		}
--- a/internal/net/platform/link.go
+++ b/internal/net/platform/link.go
@@ -108,7 +108,7 @@
 // start writes the pending request if it is admitted. Admission is asked for here, just before the
 // write, and not earlier.
 func (l *link) start() {
-	if l.onResponse == nil || l.conn.Dead() {
+	if l.onResponse == nil || l.conn.IsClosing() {
 		return
 	}
 	if l.admit != nil {
@@ -139,7 +139,7 @@
 	switch {
 	case l.sent():
 		l.notifySent()
-	case l.onResponse == nil || l.conn.Dead():
+	case l.onResponse == nil || l.conn.IsClosing():
 	case l.admit != nil && errors.Is(l.admit(), errNotAdmitted):
 		l.fail(errNotAdmitted)
 	default:
@@ -220,7 +220,7 @@
 	}
 	l.finish(&response, nil)
 	l.buffer.Reset() // not before: the response is part of it
-	if !closing && !l.conn.Dead() && l.onReusable != nil {
+	if !closing && !l.conn.IsClosing() && l.onReusable != nil {
 		l.onReusable()
 	}
 }
--- a/internal/net/platform/notices.go
+++ b/internal/net/platform/notices.go
@@ -77,7 +77,7 @@
 	if n.stopped || n.inFlight || len(n.queue) == 0 {
 		return
 	}
-	if n.link == nil || n.link.conn.Dead() {
+	if n.link == nil || n.link.conn.IsClosing() {
 		n.link = dial(n.reactor, n.addr, agentTimeout, maxAgentResponse)
 	}
 	batch := n.queue[:min(len(n.queue), maxBatch)]
--- a/internal/net/platform/registry.go
+++ b/internal/net/platform/registry.go
@@ -202,7 +202,7 @@
 }
 
 func (g *Registry) poll() {
-	if g.link == nil || g.link.conn.Dead() {
+	if g.link == nil || g.link.conn.IsClosing() {
 		g.link = dial(g.reactor, g.addr, agentTimeout, maxAgentResponse)
 	}
 	path, timeout := g.nextPoll()
--- a/internal/net/reactor/conn.go
+++ b/internal/net/reactor/conn.go
@@ -148,10 +148,10 @@
 		c.cancelDial()
 	}
 	if socket := c.socket.Load(); socket != nil {
-		if !c.Dead() {
+		if !c.IsClosing() {
 			_ = c.Flush() // the connection is closed in any case
 		}
-		if c.layer != nil && !c.Dead() {
+		if c.layer != nil && !c.IsClosing() {
 			c.layer.closeNotify()
 		}
 		c.closeSocket(socket)
@@ -166,15 +166,15 @@
 	_ = socket.Close()
 }
 
-// Cut closes the connection at once and discards the batched bytes; Down follows.
-func (c *Conn) Cut() {
+// CloseWithoutFlush closes the connection at once and discards the batched bytes; Down follows.
+func (c *Conn) CloseWithoutFlush() {
 	c.dropBatch()
 	c.Close()
 }
 
 // Reset closes the connection at once with a TCP reset; Down follows.
 func (c *Conn) Reset() {
-	if socket, open := c.openSocket(); open && !c.Dead() {
+	if socket, open := c.openSocket(); open && !c.IsClosing() {
 		_ = socket.SetLinger(1, 0)
 	}
 	c.Close()
@@ -191,8 +191,8 @@
 	return socket, !closed
 }
 
-// From returns the peer's address, or the zero address if the socket has none.
-func (c *Conn) From() netip.Addr {
+// PeerAddr returns the peer's address, or the zero address if the socket has none.
+func (c *Conn) PeerAddr() netip.Addr {
 	if socket := c.socket.Load(); socket != nil {
 		if addr, ok := socket.RemoteAddr().(*net.TCPAddr); ok {
 			return addr.AddrPort().Addr().Unmap()
@@ -204,23 +204,24 @@
 // Loop returns the loop that the connection's handler runs on.
 func (c *Conn) Loop() *loop.Loop { return c.reactor.Loop }
 
-// Dead reports whether the connection has ended or is being closed: it can no longer be written to, and the handler
-// receives no more input.
-func (c *Conn) Dead() bool { return c.state >= finishing }
+// IsClosing reports whether the connection has ended or is being closed: it can no longer be written to, and the
+// handler receives no more input.
+func (c *Conn) IsClosing() bool { return c.state >= finishing }
 
-// Quiet reports whether the handler has received all input that has arrived, including the end of the stream.
-func (c *Conn) Quiet() bool {
-	if c.socket.Load() == nil || c.Dead() {
+// AllInputReceived reports whether the handler has received all input that has arrived, including the end of the
+// stream.
+func (c *Conn) AllInputReceived() bool {
+	if c.socket.Load() == nil || c.IsClosing() {
 		return false
 	}
 	_, err := c.peekSocket(make([]byte, 1))
 	return errors.Is(err, syscall.EAGAIN) && c.pendingReads.Load() == 0
 }
 
-// Unread reports whether bytes from the peer have arrived that the handler has not received, including bytes that were
-// already read from the socket. The end of the stream alone does not count.
-func (c *Conn) Unread() bool {
-	if c.socket.Load() == nil || c.Dead() {
+// HasPendingInput reports whether bytes from the peer have arrived that the handler has not received, including bytes
+// that were already read from the socket. The end of the stream alone does not count.
+func (c *Conn) HasPendingInput() bool {
+	if c.socket.Load() == nil || c.IsClosing() {
 		return false
 	}
 	size, _ := c.peekSocket(make([]byte, 1)) // first, because a read is counted before it takes bytes from the socket
@@ -230,7 +231,7 @@
 // MarkArrived records the position in the peer's byte stream (under TLS, of the ciphertext) behind all bytes that have
 // arrived. ok is false if a read is in progress, or if more has arrived than arrivedPeekSize.
 func (c *Conn) MarkArrived() (ok bool) {
-	if c.socket.Load() == nil || c.Dead() {
+	if c.socket.Load() == nil || c.IsClosing() {
 		c.beforeMark = 0
 		return true
 	}
--- a/internal/net/reactor/finish_test.go
+++ b/internal/net/reactor/finish_test.go
@@ -40,14 +40,14 @@
 		if _, err := io.WriteString(peer, "one more"); err != nil {
 			t.Error(err)
 		}
-		if c.Unread() == false {
+		if c.HasPendingInput() == false {
 			t.Error("no input is unread, so the test checks nothing")
 		}
 		if err := c.Write([]byte("the last answer")); err != nil {
 			t.Error(err)
 		}
 		c.CloseGracefully()
-		if c.CloseGracefully(); !c.Dead() || c.Write([]byte("more")) == nil {
+		if c.CloseGracefully(); !c.IsClosing() || c.Write([]byte("more")) == nil {
 			t.Error("the connection can still be written to")
 		}
 	})
@@ -150,14 +150,14 @@
 	r, onLoop := start(t)
 	peer, c, h := accepted(t, r)
 	onLoop(func() {
-		if c.Unread() || !c.Quiet() {
+		if c.HasPendingInput() || !c.AllInputReceived() {
 			t.Error("input is unread before any was sent")
 		}
 		if _, err := io.WriteString(peer, "x"); err != nil {
 			t.Error(err)
 		}
 		for range 1000 { // during the engine's read: the byte is in the socket, in the read, then in the loop's queue
-			if !c.Unread() || c.Quiet() {
+			if !c.HasPendingInput() || c.AllInputReceived() {
 				t.Error("the byte does not count as unread")
 				return
 			}
@@ -165,14 +165,14 @@
 	})
 	<-h.data
 	onLoop(func() {
-		if c.Unread() || !c.Quiet() {
+		if c.HasPendingInput() || !c.AllInputReceived() {
 			t.Error("input that the handler has received counts as unread")
 		}
 		_ = peer.(*net.TCPConn).CloseWrite()
-		for c.Quiet() {
+		for c.AllInputReceived() {
 		}
 		// while a read is in progress, it is not known that it returns only the end of the stream
-		for end := time.Now().Add(20 * time.Second); c.Unread(); {
+		for end := time.Now().Add(20 * time.Second); c.HasPendingInput(); {
 			if time.Now().After(end) {
 				t.Error("the end of the stream alone counts as unread bytes")
 				return
--- a/internal/net/reactor/gather.go
+++ b/internal/net/reactor/gather.go
@@ -25,11 +25,11 @@
 var writeBatchPool = sync.Pool{New: func() any { return &writeBatch{buf: make([]byte, 0, initialBatchSize)} }}
 
 // Buffer returns the bytes that are batched for writing, or nil if the connection is closing. The caller appends to
-// them and passes the result to Gathered. They are written at the end of the loop's batch of tasks, or with the next
+// them and passes the result to SetBuffer. They are written at the end of the loop's batch of tasks, or with the next
 // Write, Flush or Close.
 func (c *Conn) Buffer() []byte {
 	if c.writeBatch == nil {
-		if c.Dead() {
+		if c.IsClosing() {
 			return nil
 		}
 		batch, _ := writeBatchPool.Get().(*writeBatch)
@@ -40,10 +40,10 @@
 	return c.writeBatch.buf
 }
 
-// Gathered stores the result of appending to Buffer. As with Write, an error means that the peer does not read, or that
-// the connection has ended.
-func (c *Conn) Gathered(buf []byte) error {
-	if c.Dead() || c.writeBatch == nil || c.socket.Load() == nil {
+// SetBuffer stores the result of appending to Buffer. As with Write, an error means that the peer does not read, or
+// that the connection has ended.
+func (c *Conn) SetBuffer(buf []byte) error {
+	if c.IsClosing() || c.writeBatch == nil || c.socket.Load() == nil {
 		return net.ErrClosed
 	}
 	c.writeBatch.buf, c.writeBatch.tag = buf, 0
@@ -91,7 +91,7 @@
 // Do runs at the end of the loop's batch: it writes the bytes and returns the buffer to the pool.
 func (b *writeBatch) Do() {
 	c := b.conn
-	if !c.Dead() && c.Flush() != nil {
+	if !c.IsClosing() && c.Flush() != nil {
 		c.Close()
 	}
 	c.writeBatch, b.conn = nil, nil
--- a/internal/net/reactor/handshake_order_test.go
+++ b/internal/net/reactor/handshake_order_test.go
@@ -49,7 +49,7 @@
 			known := make(chan bool)
 			p.r.Post(func() {
 				c := conn.Load()
-				dead = c != nil && c.Dead()
+				dead = c != nil && c.IsClosing()
 				close(known)
 			})
 			<-known
--- a/internal/net/reactor/limits_test.go
+++ b/internal/net/reactor/limits_test.go
@@ -133,7 +133,7 @@
 	for range 2000 {
 		onLoop(func() {
 			for _, c := range conns[1:] {
-				if !c.Dead() && errors.Is(c.Write(make([]byte, 8<<10)), errUnsent) {
+				if !c.IsClosing() && errors.Is(c.Write(make([]byte, 8<<10)), errUnsent) {
 					closed++
 					c.Close()
 				}
--- a/internal/net/reactor/reactor.go
+++ b/internal/net/reactor/reactor.go
@@ -42,9 +42,9 @@
 type Reactor struct {
 	*loop.Loop
 
-	// Refused, if not nil, is called on the loop's goroutine for each failed handshake. It must be set before the first
-	// connection.
-	Refused func(*HandshakeError)
+	// OnHandshakeError, if not nil, is called on the loop's goroutine for each failed handshake. It must be set before
+	// the first connection.
+	OnHandshakeError func(*HandshakeError)
 
 	engine  *nbio.Engine
 	barrier *pollerBarrier
@@ -196,9 +196,9 @@
 		r.belowLimit.L.Unlock()
 	}
 	c.pendingReads.Add(-1)
-	if !c.Dead() && c.layer != nil { // input during a graceful close is ignored
+	if !c.IsClosing() && c.layer != nil { // input during a graceful close is ignored
 		c.layer.feed(received)
-	} else if !c.Dead() {
+	} else if !c.IsClosing() {
 		c.handler.Data(c, received)
 	}
 	c.pendingBytes.Add(-int32(len(received)))
--- a/internal/net/reactor/reactor_test.go
+++ b/internal/net/reactor/reactor_test.go
@@ -88,7 +88,7 @@
 
 // The engine's vectored write loses the pieces behind a partial one: a peer that reads late must still receive every
 // byte in order, and Sent must not return true before that.
-func TestGatheredWriteToSlowReader(t *testing.T) {
+func TestVectoredWriteToSlowReader(t *testing.T) {
 	r, onLoop := start(t)
 	h, opened := newChanHandler(), make(chan *Conn, 1)
 	ln, err := r.Listen("tcp", "127.0.0.1:0", nil, func(c *Conn) Handler { opened <- c; return h })
--- a/internal/net/reactor/reuse_test.go
+++ b/internal/net/reactor/reuse_test.go
@@ -193,7 +193,7 @@
 			closed, _ = oldConn.socket.Load().IsClosed()
 		}
 		e.accepting = func() {
-			open = !oldConn.Dead()
+			open = !oldConn.IsClosing()
 			oldConn.CloseGracefully()
 		}
 		e.ln.Resume()
--- a/internal/net/reactor/secure.go
+++ b/internal/net/reactor/secure.go
@@ -118,7 +118,7 @@
 	l.established = true
 	c.state = open
 	c.handler.Up(c)
-	if !c.Dead() {
+	if !c.IsClosing() {
 		l.decrypt()
 	}
 }
@@ -150,7 +150,7 @@
 	buf := partial.Get(plainBuffer)
 	buf = buf[:cap(buf)]
 	defer func() { partial.Put(buf[:0]) }()
-	for !c.Dead() {
+	for !c.IsClosing() {
 		n, err := l.tls.Read(buf)
 		if n > 0 {
 			c.handler.Data(c, buf[:n])
@@ -158,7 +158,7 @@
 		if err == nil {
 			continue
 		}
-		if c.Dead() || errors.As(err, &errAgain{}) {
+		if c.IsClosing() || errors.As(err, &errAgain{}) {
 			return
 		}
 		var alert *net.OpError // a peer may reject this side's certificate after its own handshake is complete
@@ -187,15 +187,15 @@
 	l.arrived.Broadcast()
 }
 
-// handshakeFailed wraps the error of a handshake and reports it to Reactor.Refused.
+// handshakeFailed wraps the error of a handshake and reports it to Reactor.OnHandshakeError.
 func (c *Conn) handshakeFailed(err error) error {
 	peer := "unknown"
 	if socket := c.socket.Load(); socket != nil && socket.RemoteAddr() != nil {
 		peer = socket.RemoteAddr().String()
 	}
 	failed := &HandshakeError{Peer: peer, Err: err}
-	if c.reactor.Refused != nil {
-		c.reactor.Refused(failed)
+	if c.reactor.OnHandshakeError != nil {
+		c.reactor.OnHandshakeError(failed)
 	}
 	return failed
 }
@@ -209,11 +209,11 @@
 	c.end(err)
 }
 
-// Secured reports whether the connection uses TLS, or will once it is established.
-func (c *Conn) Secured() bool { return c.layer != nil || c.wantsTLS }
+// IsTLS reports whether the connection uses TLS, or will once it is established.
+func (c *Conn) IsTLS() bool { return c.layer != nil || c.wantsTLS }
 
-// Peer returns the verified certificate of the peer, or nil if there is none.
-func (c *Conn) Peer() *x509.Certificate {
+// PeerCertificate returns the verified certificate of the peer, or nil if there is none.
+func (c *Conn) PeerCertificate() *x509.Certificate {
 	if c.layer == nil || !c.layer.established {
 		return nil
 	}
@@ -300,7 +300,7 @@
 	if handshaking {
 		own := append([]byte(nil), ciphertext...)
 		c.reactor.Post(func() {
-			if !c.Dead() {
+			if !c.IsClosing() {
 				_ = c.writeRaw(own) // the engine reports a failed connection
 			}
 		})
--- a/internal/net/reactor/secure_test.go
+++ b/internal/net/reactor/secure_test.go
@@ -51,7 +51,7 @@
 	if p.r, err = New(l, 8<<20); err != nil {
 		t.Fatal(err)
 	}
-	p.r.Refused = func(*HandshakeError) { p.refused.Add(1) }
+	p.r.OnHandshakeError = func(*HandshakeError) { p.refused.Add(1) }
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan bool)
 	go func() { l.Run(ctx); close(done) }()
@@ -67,7 +67,7 @@
 
 func (e *echo) Up(*Conn) {}
 func (e *echo) Data(c *Conn, b []byte) {
-	if p := c.Peer(); p != nil {
+	if p := c.PeerCertificate(); p != nil {
 		e.peerName = p.Subject.CommonName
 	}
 	if err := c.Write(b[:len(b)/2], b[len(b)/2:]); err != nil {
--- a/internal/net/reactor/write.go
+++ b/internal/net/reactor/write.go
@@ -16,8 +16,8 @@
 	// fairUnsent is the number of unsent bytes that each connection may have while all connections together exceed the
 	// reactor's limit.
 	fairUnsent = 4 << 10
-	// backlogThreshold is the number of unsent bytes from which Backed returns true. It is far below the limits at which
-	// a connection is closed.
+	// backlogThreshold is the number of unsent bytes from which IsBacklogged returns true. It is far below the limits at
+	// which a connection is closed.
 	backlogThreshold = 64 << 10
 )
 
@@ -29,9 +29,9 @@
 	Drained(conn *Conn)
 }
 
-// Backed reports whether so many bytes are unsent that no more should be written for now. If so, Drained is called when
-// some of them were written to the socket.
-func (c *Conn) Backed() bool {
+// IsBacklogged reports whether so many bytes are unsent that no more should be written for now. If so, Drained is
+// called when some of them were written to the socket.
+func (c *Conn) IsBacklogged() bool {
 	if c.unsent() < backlogThreshold {
 		return false
 	}
@@ -48,7 +48,7 @@
 		c.shutdownWrite()
 		return
 	}
-	if drainer, ok := c.handler.(Drainer); ok && !c.Dead() {
+	if drainer, ok := c.handler.(Drainer); ok && !c.IsClosing() {
 		drainer.Drained(c)
 	}
 }
@@ -81,7 +81,7 @@
 	if c.layer == nil {
 		return c.writeRaw(pieces...)
 	}
-	if c.Dead() {
+	if c.IsClosing() {
 		return net.ErrClosed
 	}
 	return c.layer.encrypt(pieces)
@@ -90,7 +90,7 @@
 // writeRaw passes the bytes to the engine unencrypted. A write that fails closes the socket.
 func (c *Conn) writeRaw(pieces ...[]byte) error {
 	socket := c.socket.Load()
-	if socket == nil || c.Dead() {
+	if socket == nil || c.IsClosing() {
 		return net.ErrClosed
 	}
 	err := c.writeSocket(socket, pieces)
