--- a/internal/app/limits.go
+++ b/internal/app/limits.go
@@ -42,21 +42,21 @@
 	maxConnections := cfg.ClientSockets()
 	if ingress == platform.Front && cfg.Resp.Listen == "" {
 		limits := platform.Limits(maxConnections)
-		limits.PerAddr = cfg.Clients.PerAddress
+		limits.MaxPerAddr = cfg.Clients.PerAddress
 		return limits
 	}
-	limits := conntable.Limits{Most: maxConnections, PerAddr: cfg.Clients.PerAddress, Keep: 1}
+	limits := conntable.Limits{MaxConns: maxConnections, MaxPerAddr: cfg.Clients.PerAddress, PressureShare: 1}
 	if ingress == platform.Front {
 		preset := platform.Limits(maxConnections)
-		limits.Patience, limits.Grace = preset.Patience, preset.Grace
-		limits.First = seconds(cfg.Resp.FirstTimeoutS)
-		limits.Whole = seconds(cfg.Resp.CommandTimeoutS)
-		limits.Unused = seconds(cfg.Resp.IdleTimeoutS)
+		limits.IdleGrace, limits.FirstFrameGrace = preset.IdleGrace, preset.FirstFrameGrace
+		limits.FirstFrameTimeout = seconds(cfg.Resp.FirstTimeoutS)
+		limits.FrameTimeout = seconds(cfg.Resp.CommandTimeoutS)
+		limits.IdleTimeout = seconds(cfg.Resp.IdleTimeoutS)
 		return limits
 	}
-	limits.First = seconds(cfg.AMQP.FirstTimeoutS)
-	limits.Whole = seconds(cfg.AMQP.FrameTimeoutS)
-	limits.Unused = seconds(cfg.AMQP.IdleTimeoutS)
+	limits.FirstFrameTimeout = seconds(cfg.AMQP.FirstTimeoutS)
+	limits.FrameTimeout = seconds(cfg.AMQP.FrameTimeoutS)
+	limits.IdleTimeout = seconds(cfg.AMQP.IdleTimeoutS)
 	return limits
 }
 
--- a/internal/app/predecessor.go
+++ b/internal/app/predecessor.go
@@ -147,8 +147,8 @@
 func (p *predecessor) setShares(share, clientShare float64) {
 	setMemoryLimit(p.cfg, share)
 	p.loop.Post(func() {
-		p.transport.clientBudget.SetMost(int(float64(p.cfg.ClientSockets()) * clientShare))
-		p.transport.endpointBudget.SetMost(max(1, int(float64(p.cfg.TargetSockets())*share)))
+		p.transport.clientBudget.SetMaxConns(int(float64(p.cfg.ClientSockets()) * clientShare))
+		p.transport.endpointBudget.SetMaxConns(max(1, int(float64(p.cfg.TargetSockets())*share)))
 	})
 }
 
--- a/internal/app/transport.go
+++ b/internal/app/transport.go
@@ -36,8 +36,8 @@
 	serverTLS       atomic.Pointer[tls.Config] // of the AMQP ingress, as last loaded
 	listeners       []*reactor.Listener
 
-	clientBudget   *conntable.Room             // limit shared by all client connections
-	endpointBudget *conntable.Room             // limit shared by all connections to endpoints
+	clientBudget   *conntable.SharedLimit      // limit shared by all client connections
+	endpointBudget *conntable.SharedLimit      // limit shared by all connections to endpoints
 	tables         map[string]*conntable.Table // connection tables of the clients, by ingress
 
 	stops []func() // steps of a graceful shutdown, in order
@@ -156,8 +156,8 @@
 		t.serverTLS.Store(cfg.TLSConfigs.Server)
 	}
 	t.amqpEgress.SetTLSConfigs(cfg.TLSConfigs.Targets)
-	t.clientBudget.SetMost(cfg.ClientSockets())
-	t.endpointBudget.SetMost(cfg.TargetSockets())
+	t.clientBudget.SetMaxConns(cfg.ClientSockets())
+	t.endpointBudget.SetMaxConns(cfg.TargetSockets())
 	for ingress, table := range t.tables {
 		table.SetLimits(clientLimits(ingress, cfg))
 	}
--- a/internal/app/transport_start.go
+++ b/internal/app/transport_start.go
@@ -44,8 +44,8 @@
 // newTransport connects ingresses, egresses and the registry watch to the core, and opens the console.
 func newTransport(params transportParams) (*transport, error) {
 	t := &transport{
-		clientBudget:   conntable.NewRoom(params.cfg.ClientSockets()),
-		endpointBudget: conntable.NewRoom(params.cfg.TargetSockets()),
+		clientBudget:   conntable.NewSharedLimit(params.cfg.ClientSockets()),
+		endpointBudget: conntable.NewSharedLimit(params.cfg.TargetSockets()),
 		tables:         map[string]*conntable.Table{},
 	}
 	t.startEgresses(params)
--- a/internal/console/tables.go
+++ b/internal/console/tables.go
@@ -124,8 +124,8 @@
 	fmt.Fprintf(out, "clients\topen\tof\tcame\tdoing\tgone\n")
 	for _, name := range slices.Sorted(maps.Keys(stats.Fronts)) {
 		front := stats.Fronts[name]
-		fmt.Fprintf(out, "%s\t%d\t%d\t%d\t%s\t%s\n", name, front.Open, front.Most, front.Came, formatCounts(front.Doing),
-			formatCounts(front.Gone))
+		fmt.Fprintf(out, "%s\t%d\t%d\t%d\t%s\t%s\n", name, front.Open, front.MaxConns, front.Admitted,
+			formatCounts(front.ByClass), formatCounts(front.EvictedOrRejected))
 	}
 	fmt.Fprintf(out, "timers\t%d set\t%d fired\n\n", stats.Timers, stats.Fired)
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -34,15 +34,15 @@
 	t.Cleanup(func() { _ = partner.Close() })
 	addr, _ := standin.Start(t, t.TempDir(),
 		func(core *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
-			room := conntable.NewRoom(most)
-			core.AddEgress(platform.Proto, platform.NewEgress(core, r, standin.Settings(), conntable.NewRoom(50)))
+			room := conntable.NewSharedLimit(most)
+			core.AddEgress(platform.Proto, platform.NewEgress(core, r, standin.Settings(), conntable.NewSharedLimit(50)))
 			core.UpdateRoutes("whole", platform.Routes(config.EndpointList{Hosts: []config.Host{{
 				Host: "p", Dial: partner.Addr().String(), Class: "k",
 				Block: 7, Health: "active",
 			}}}))
 			if proto == RESP {
 				in := platform.NewIngress(core, r, partner.Addr().String(),
-					room.NewTable(conntable.Limits{Most: most, Keep: 1}), true)
+					room.NewTable(conntable.Limits{MaxConns: most, PressureShare: 1}), true)
 				core.AddIngress(platform.Front, in)
 				return in.Accept
 			}
--- a/internal/net/amqpfront/conformance_test.go
+++ b/internal/net/amqpfront/conformance_test.go
@@ -53,7 +53,7 @@
 func addInstantFront(core *sender.Sender, react *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
 	ingress := NewIngress(core, react,
 		Options{Policy: access.OpenPolicy("messages"), Heartbeat: time.Minute, Channels: 64},
-		conntable.NewRoom(1000).NewTable(Limits(1000)))
+		conntable.NewSharedLimit(1000).NewTable(Limits(1000)))
 	core.AddEgress("now", instantEgress{core})
 	var routes []sender.Route
 	for _, dest := range []int64{1, 7} {
--- a/internal/net/amqpfront/cut_test.go
+++ b/internal/net/amqpfront/cut_test.go
@@ -132,8 +132,8 @@
 			addr, _ := standin.Start(t, t.TempDir(),
 				func(core *sender.Sender, react *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
 					ingress := NewIngress(core, react, Options{Policy: access.OpenPolicy("messages"), Channels: 16},
-						conntable.NewRoom(10).NewTable(Limits(10)))
-					egress := NewEgress(core, react, standin.Long, conntable.NewRoom(len(brokers)))
+						conntable.NewSharedLimit(10).NewTable(Limits(10)))
+					egress := NewEgress(core, react, standin.Long, conntable.NewSharedLimit(len(brokers)))
 					core.AddEgress(Proto, egress)
 					var routes []sender.Route
 					tlsByRoute := map[string]*tls.Config{}
--- a/internal/net/amqpfront/dribble_test.go
+++ b/internal/net/amqpfront/dribble_test.go
@@ -23,11 +23,11 @@
 
 // newTestFrontWithFrameLimit starts a front with shortFrameLimit. It uses TLS if keys is not nil.
 func newTestFrontWithFrameLimit(t *testing.T, keys *tls.Config) *testFront {
-	front := &testFront{t: t, room: conntable.NewRoom(100)}
+	front := &testFront{t: t, room: conntable.NewSharedLimit(100)}
 	front.addr, front.kill = standin.StartWith(t, t.TempDir(), standin.Settings(), 2<<20, keys,
 		func(core *sender.Sender, react *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
 			limits := Limits(100)
-			limits.First, limits.Whole = shortFrameLimit, shortFrameLimit
+			limits.FirstFrameTimeout, limits.FrameTimeout = shortFrameLimit, shortFrameLimit
 			front.react = react
 			front.ingress = NewIngress(core, react, Options{Policy: access.OpenPolicy("messages"), Channels: 16},
 				front.room.NewTable(limits))
@@ -83,7 +83,7 @@
 	swept := make(chan bool)
 	tf.onLoop(func() {
 		_, _ = client.Write(data)
-		for !s.conn.Unread() {
+		for !s.conn.HasPendingInput() {
 			time.Sleep(time.Millisecond)
 		}
 		tf.react.Post(func() {
@@ -162,7 +162,8 @@
 	_, _ = client.Write(append(whole[5:len(whole):len(whole)], whole[:5]...))
 	client.want(amqp.QosOk)
 	front.onLoop(func() {
-		if age := front.react.Now() - s.Since(); s.Class() != conntable.Partial || age >= shortFrameLimit-shortFrameLimit/4 {
+		if age := front.react.Now() - s.EnteredAt(); s.Class() != conntable.Partial ||
+			age >= shortFrameLimit-shortFrameLimit/4 {
 			t.Errorf("age of the new frame %v, class of the connection %v", age, s.Class())
 		}
 	})
--- a/internal/net/amqpfront/egress.go
+++ b/internal/net/amqpfront/egress.go
@@ -44,7 +44,7 @@
 // NewEgress returns an egress whose connections are bounded by room.
 // A connectTimeout of 0 or less means the default.
 func NewEgress(
-	core *sender.Sender, react *reactor.Reactor, connectTimeout time.Duration, room *conntable.Room,
+	core *sender.Sender, react *reactor.Reactor, connectTimeout time.Duration, room *conntable.SharedLimit,
 ) *Egress {
 	if connectTimeout <= 0 {
 		connectTimeout = defaultConnectTimeout
@@ -53,7 +53,7 @@
 		core:           core,
 		reactor:        react,
 		connectTimeout: connectTimeout,
-		connections:    room.NewTargets(),
+		connections:    room.NewDialedTable(),
 		links:          map[string]*brokerLink{},
 		attempts:       map[string]*publishAttempt{},
 		Gate:           admission.New(scheduler.Settings{}),
@@ -151,14 +151,14 @@
 	link := &brokerLink{amqpConn: newAMQPConn(e.reactor.Loop), egress: e, key: key, target: target}
 	victim, _, ok := e.connections.Admit(&link.Entry, link, netip.Addr{}, e.reactor.Now())
 	if victim != nil {
-		victim.Owner().Evict(conntable.ForNewcomer)
+		victim.Owner().Evict(conntable.ForNewConnection)
 	}
 	if !ok {
 		return nil
 	}
 	e.links[key] = link
 	link.conn = e.dial(route, target, link)
-	e.reactor.Arm(&link.timer, 2*e.connectTimeout, timers.Coarse, link) // for the connect and the handshake
+	e.reactor.Arm(&link.timer, 2*e.connectTimeout, timers.CoarseSlack, link) // for the connect and the handshake
 	return link
 }
 
--- a/internal/net/amqpfront/flow_test.go
+++ b/internal/net/amqpfront/flow_test.go
@@ -64,7 +64,7 @@
 	) func(*reactor.Conn) reactor.Handler {
 		core = started
 		ingress := NewIngress(started, react, Options{Policy: access.OpenPolicy("messages"), Channels: 16},
-			conntable.NewRoom(10).NewTable(Limits(10)))
+			conntable.NewSharedLimit(10).NewTable(Limits(10)))
 		started.AddEgress("now", instantEgress{started})
 		var routes []sender.Route
 		for i := range destinations {
--- a/internal/net/amqpfront/front_test.go
+++ b/internal/net/amqpfront/front_test.go
@@ -206,8 +206,8 @@
 	t.Helper()
 	return standin.Start(t, dir, func(core *sender.Sender, react *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
 		ingress := NewIngress(core, react, Options{Policy: policy, Heartbeat: time.Minute, Channels: 16},
-			conntable.NewRoom(maxTestClients).NewTable(Limits(maxTestClients)))
-		core.AddEgress(Proto, NewEgress(core, react, 1500*time.Millisecond, conntable.NewRoom(100)))
+			conntable.NewSharedLimit(maxTestClients).NewTable(Limits(maxTestClients)))
+		core.AddEgress(Proto, NewEgress(core, react, 1500*time.Millisecond, conntable.NewSharedLimit(100)))
 		core.UpdateRoutes("whole", []sender.Route{{
 			Endpoint: scheduler.Endpoint{Addr: "b", MachineType: "k", Destination: 7, State: "live"}, Protocol: Proto,
 			Dial: "amqp://u:p@" + broker.listener.Addr().String() + "/?exchange=records&key=in",
@@ -599,7 +599,7 @@
 			var core *sender.Sender
 			broker.publish = func(*frameConn, uint16, *amqp.Message, uint64) { t.Error("the attempt was published") }
 			standin.Start(t, t.TempDir(), func(started *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
-				egress := NewEgress(started, r, standin.Long, conntable.NewRoom(100))
+				egress := NewEgress(started, r, standin.Long, conntable.NewSharedLimit(100))
 				core = started
 				var poll func()
 				poll = func() {
@@ -639,7 +639,7 @@
 	published := make(chan string, 2)
 	broker.publish = func(_ *frameConn, _ uint16, msg *amqp.Message, _ uint64) { published <- msg.Props.MessageID }
 	standin.Start(t, t.TempDir(), func(core *sender.Sender, react *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
-		egress := NewEgress(core, react, standin.Long, conntable.NewRoom(100))
+		egress := NewEgress(core, react, standin.Long, conntable.NewSharedLimit(100))
 		react.Post(func() {
 			to, deadline := addToGate(egress, broker), core.Now()+60e6
 			egress.Send(to, []sender.Attempt{
@@ -663,7 +663,7 @@
 	var loopReactor *reactor.Reactor
 	var core *sender.Sender
 	standin.Start(t, t.TempDir(), func(started *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
-		core, loopReactor, egress = started, r, NewEgress(started, r, standin.Long, conntable.NewRoom(100))
+		core, loopReactor, egress = started, r, NewEgress(started, r, standin.Long, conntable.NewSharedLimit(100))
 		r.Post(func() {
 			egress.Send(addToGate(egress, broker), []sender.Attempt{{ID: "m", TimeoutUs: 60e6, Deadline: started.Now() + 60e6}})
 		})
--- a/internal/net/amqpfront/idle_test.go
+++ b/internal/net/amqpfront/idle_test.go
@@ -26,21 +26,21 @@
 	t       *testing.T
 	ingress *Ingress
 	react   *reactor.Reactor
-	room    *conntable.Room
+	room    *conntable.SharedLimit
 	addr    string
 	kill    func()
 }
 
 // newTestFront starts a sender with one route, to the broker.
 func newTestFront(t *testing.T, broker *testBroker, maxConnections int, heartbeat time.Duration) *testFront {
-	front := &testFront{t: t, room: conntable.NewRoom(maxConnections)}
+	front := &testFront{t: t, room: conntable.NewSharedLimit(maxConnections)}
 	front.addr, front.kill = standin.Start(t, t.TempDir(),
 		func(core *sender.Sender, react *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
 			front.react = react
 			front.ingress = NewIngress(core, react, Options{
 				Policy: access.OpenPolicy("messages"), Heartbeat: heartbeat, Channels: 16,
 			}, front.room.NewTable(Limits(maxConnections)))
-			core.AddEgress(Proto, NewEgress(core, react, standin.Long, conntable.NewRoom(10)))
+			core.AddEgress(Proto, NewEgress(core, react, standin.Long, conntable.NewSharedLimit(10)))
 			core.UpdateRoutes("whole", []sender.Route{{
 				Endpoint: scheduler.Endpoint{Addr: "b", MachineType: "k", Destination: 7, State: "live"}, Protocol: Proto,
 				Dial: "amqp://" + broker.listener.Addr().String() + "/?key=in",
@@ -74,9 +74,9 @@
 	first.want(amqp.Ack)
 	<-published
 	front.onLoop(func() {
-		front.room.SetMost(0) // evicts all connections, as when the limit is lowered
-		front.ingress.table.Expire(front.react.Now(), 10, conntable.Unread, conntable.End)
-		front.room.SetMost(10)
+		front.room.SetMaxConns(0) // evicts all connections, as when the limit is lowered
+		front.ingress.table.Expire(front.react.Now(), 10, conntable.HasUnhandledInput, conntable.EvictOwner)
+		front.room.SetMaxConns(10)
 		close(release) // the outcome arrives while the connection is being closed
 	})
 	if msg := first.want(amqp.ConnClose); msg.Int(0) != amqp.ConnectionForced {
@@ -169,7 +169,7 @@
 		front.onLoop(func() { n = front.ingress.table.Counts()[conntable.Partial] })
 	}
 	front.onLoop(func() { // as if a publish was pending, so that the connection is not evicted for the next one
-		front.ingress.table.Move(&lastSession(front.ingress).Entry, conntable.Stuck, front.react.Now())
+		front.ingress.table.Move(&lastSession(front.ingress).Entry, conntable.BusyPartial, front.react.Now())
 	})
 	second, err := dialRaw(t, front.addr)
 	if err != nil {
@@ -179,7 +179,7 @@
 		t.Fatal(msg.Int(0), msg.Str(1))
 	}
 	front.onLoop(func() {
-		front.ingress.table.Expire(front.react.Now()+11*time.Second, 10, conntable.Unread, conntable.End)
+		front.ingress.table.Expire(front.react.Now()+11*time.Second, 10, conntable.HasUnhandledInput, conntable.EvictOwner)
 	})
 	if msg := client.want(amqp.ConnClose); msg.Int(0) != amqp.FrameError {
 		t.Fatal(msg.Int(0), msg.Str(1))
@@ -209,7 +209,7 @@
 // newIdleSessions returns n idle sessions with one channel each, without sockets, and the bytes of heap of each.
 func newIdleSessions(n int) (eventLoop *loop.Loop, sessions []*session, each uint64) {
 	eventLoop = loop.New()
-	in := &Ingress{table: conntable.NewRoom(n).NewTable(Limits(n))}
+	in := &Ingress{table: conntable.NewSharedLimit(n).NewTable(Limits(n))}
 	sessions = make([]*session, n)
 	before := testkit.HeapBytes()
 	for i := range sessions {
@@ -233,7 +233,7 @@
 				s := sessions[i*7919%n]
 				s.addPending(1)
 				s.addPending(-1)
-				eventLoop.Arm(&s.timer, s.heartbeat/2, timers.Soft, s)
+				eventLoop.Arm(&s.timer, s.heartbeat/2, timers.TickSlack, s)
 			}
 			b.ReportMetric(float64(each), "B/session")
 			runtime.KeepAlive(sessions)
--- a/internal/net/amqpfront/ingress.go
+++ b/internal/net/amqpfront/ingress.go
@@ -36,7 +36,9 @@
 // Limits returns the limits of this front's connection table for up to maxConnections connections. Idle connections
 // have no time limit, because heartbeats detect dead ones.
 func Limits(maxConnections int) conntable.Limits {
-	return conntable.Limits{Most: maxConnections, Keep: 1, First: frameTimeout, Whole: frameTimeout}
+	return conntable.Limits{
+		MaxConns: maxConnections, PressureShare: 1, FirstFrameTimeout: frameTimeout, FrameTimeout: frameTimeout,
+	}
 }
 
 // sweepInterval is how often the table is searched for connections over a time limit.
@@ -92,7 +94,7 @@
 	s := &session{ingress: in, amqpConn: newAMQPConn(in.reactor.Loop)}
 	s.conn = conn
 	if !in.limiter.Admit(&s.Entry, s, conn) {
-		if conn.Secured() { // a reply would need a TLS handshake
+		if conn.IsTLS() { // a reply would need a TLS handshake
 			return nil
 		}
 		return in.reactor.RejectWith(OverLimitReply)
--- a/internal/net/amqpfront/ledger_test.go
+++ b/internal/net/amqpfront/ledger_test.go
@@ -135,7 +135,7 @@
 		var egress *Egress
 		var loopReactor *reactor.Reactor
 		standin.Start(t, t.TempDir(), func(core *sender.Sender, react *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
-			loopReactor, egress = react, NewEgress(core, react, standin.Long, conntable.NewRoom(100))
+			loopReactor, egress = react, NewEgress(core, react, standin.Long, conntable.NewSharedLimit(100))
 			return func(*reactor.Conn) reactor.Handler { return nil }
 		})
 		send := func(ids ...string) {
--- a/internal/net/amqpfront/login.go
+++ b/internal/net/amqpfront/login.go
@@ -21,7 +21,7 @@
 // mechanisms returns the mechanisms for connection.start, separated by spaces.
 func (s *session) mechanisms() string {
 	list := mechPlain + " " + mechAMQPlain
-	if s.conn.Peer() != nil {
+	if s.conn.PeerCertificate() != nil {
 		list += " " + mechExternal
 	}
 	return list
@@ -38,7 +38,7 @@
 	accessPolicy := s.ingress.policy
 	switch {
 	case mechanism == mechExternal:
-		account, ok := accessPolicy.UserOfCertificate(s.conn.Peer())
+		account, ok := accessPolicy.UserOfCertificate(s.conn.PeerCertificate())
 		if !ok || response != "" && response != account.Name && response != anonymousExternal {
 			return errLoginRefused
 		}
@@ -66,7 +66,7 @@
 func (s *session) checkPassword(user access.User, password string, done func(bool)) error {
 	err := s.ingress.checker.Check(user.Hash, password, func(ok bool) {
 		s.loop.Post(func() {
-			if s.stage != stageClosing && !s.conn.Dead() {
+			if s.stage != stageClosing && !s.conn.IsClosing() {
 				done(ok)
 			}
 		})
--- a/internal/net/amqpfront/peer.go
+++ b/internal/net/amqpfront/peer.go
@@ -64,7 +64,7 @@
 
 // commitBuffer returns the connection's write buffer after something was appended to it.
 func (p *amqpConn) commitBuffer(buffer []byte) {
-	if p.lastWritten = p.loop.Now(); p.conn.Gathered(buffer) != nil {
+	if p.lastWritten = p.loop.Now(); p.conn.SetBuffer(buffer) != nil {
 		p.conn.Close()
 	}
 }
@@ -84,7 +84,7 @@
 // startHeartbeats starts the negotiated heartbeats. handler must call checkHeartbeat when the timer fires.
 func (p *amqpConn) startHeartbeats(interval time.Duration, handler timers.Handler) {
 	if p.heartbeat = interval; interval > 0 {
-		p.loop.Arm(&p.timer, interval/2, timers.Soft, handler)
+		p.loop.Arm(&p.timer, interval/2, timers.TickSlack, handler)
 	}
 }
 
@@ -95,7 +95,7 @@
 func (p *amqpConn) checkHeartbeat(handler timers.Handler) {
 	now := p.loop.Now()
 	if now-p.lastReceived > 2*p.heartbeat {
-		if p.conn.Quiet() && !p.loop.Stalled() {
+		if p.conn.AllInputReceived() && !p.loop.Stalled() {
 			p.conn.Close()
 			return
 		}
@@ -104,7 +104,7 @@
 	if now-p.lastWritten >= p.heartbeat/4 {
 		p.write(heartbeatFrame)
 	}
-	p.loop.Arm(&p.timer, p.heartbeat/2, timers.Soft, handler)
+	p.loop.Arm(&p.timer, p.heartbeat/2, timers.TickSlack, handler)
 }
 
 func (p *amqpConn) stopTimer() { p.loop.Disarm(&p.timer) }
--- a/internal/net/amqpfront/publishattempt.go
+++ b/internal/net/amqpfront/publishattempt.go
@@ -93,7 +93,7 @@
 		return
 	}
 	if !p.sent() { // the publish may be sent in part: no further byte of it may be sent
-		p.link.conn.Cut()
+		p.link.conn.CloseWithoutFlush()
 		p.report(sender.OutcomeConnectFailed)
 		return
 	}
--- a/internal/net/amqpfront/session.go
+++ b/internal/net/amqpfront/session.go
@@ -71,12 +71,12 @@
 // updateClass reports to the connection table what the connection is doing now.
 func (s *session) updateClass() {
 	frameBegun := s.partialFrame.Len() > 0
-	class := conntable.Held
+	class := conntable.Persistent
 	switch {
 	case s.stage < stageReady:
 		return // the time limit of the handshake applies to all of it
 	case frameBegun && s.pending > 0:
-		class = conntable.Stuck
+		class = conntable.BusyPartial
 	case frameBegun:
 		class = conntable.Partial
 	case s.pending > 0:
@@ -117,7 +117,7 @@
 		return
 	}
 	code := uint16(amqp.ConnectionForced)
-	if reason == conntable.Slow {
+	if reason == conntable.SlowFrame {
 		code = amqp.FrameError
 	}
 	s.closeWith(0, amqp.Errorf(code, "%s", reason))
@@ -211,7 +211,7 @@
 // closeWith closes the channel if the fault is soft, otherwise the connection.
 func (s *session) closeWith(id uint16, err error) {
 	f := asFault(err)
-	if s.stage == stageClosing || s.conn.Dead() {
+	if s.stage == stageClosing || s.conn.IsClosing() {
 		return
 	}
 	if ch := s.channelByID(id); ch != nil && f.Soft() {
@@ -226,7 +226,7 @@
 	}
 	s.writeMethod(0, amqp.ConnClose, closeArgs(f)...)
 	s.ingress.table.Remove(&s.Entry)
-	s.loop.Arm(&s.timer, closeTimeout, timers.Coarse, s)
+	s.loop.Arm(&s.timer, closeTimeout, timers.CoarseSlack, s)
 }
 
 // handleFrame handles a frame other than a heartbeat. A soft fault closes the frame's channel; any other
--- a/internal/net/amqpfront/topology_test.go
+++ b/internal/net/amqpfront/topology_test.go
@@ -132,7 +132,7 @@
 		func(started *sender.Sender, react *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
 			core = started
 			ingress := NewIngress(started, react, Options{Policy: access.OpenPolicy("messages"), Channels: 16},
-				conntable.NewRoom(10).NewTable(Limits(10)))
+				conntable.NewSharedLimit(10).NewTable(Limits(10)))
 			return ingress.Accept
 		})
 	properties := amqp.Table{"capabilities": amqp.Table{"connection.blocked": true}}
--- a/internal/net/platform/client.go
+++ b/internal/net/platform/client.go
@@ -39,7 +39,7 @@
 func (cl *client) Up(*reactor.Conn) {}
 
 // hasHandledAll reports whether everything that the client has sent, its close included, was handled.
-func (cl *client) hasHandledAll() bool { return cl.conn.Quiet() }
+func (cl *client) hasHandledAll() bool { return cl.conn.AllInputReceived() }
 
 // MarkArrived marks the end of the data that has arrived from the client.
 func (cl *client) MarkArrived() (known bool) { return cl.conn.MarkArrived() }
@@ -55,12 +55,12 @@
 // Evict closes the connection, which was removed from its table. A timeout within a command gets an error
 // reply.
 func (cl *client) Evict(reason conntable.Reason) {
-	if cl.buffer.Len() > 0 && (reason == conntable.Slow || reason == conntable.Silent) {
+	if cl.buffer.Len() > 0 && (reason == conntable.SlowFrame || reason == conntable.NoFirstFrame) {
 		cl.rejectCommand(errCommandTimeout)
 		return
 	}
 	cl.closing = true
-	if cl.conn.Quiet() {
+	if cl.conn.AllInputReceived() {
 		cl.conn.Close()
 		return
 	}
--- a/internal/net/platform/close_test.go
+++ b/internal/net/platform/close_test.go
@@ -55,7 +55,7 @@
 			}
 			for partial := test.before == "" || test.want != ""; !partial; { // until the partial command was read
 				done := make(chan bool)
-				env.eventLoop.Post(func() { partial = env.ingress.table.Stats().Doing["partial"] == 1; close(done) })
+				env.eventLoop.Post(func() { partial = env.ingress.table.Stats().ByClass["partial"] == 1; close(done) })
 				<-done
 			}
 			undo := failpoint.SetHook(func(point failpoint.Point) {
@@ -96,7 +96,7 @@
 	_, _ = io.WriteString(c, submitCommand("m1"))
 	for busy := false; !busy; {
 		done := make(chan bool)
-		env.eventLoop.Post(func() { busy = env.ingress.table.Stats().Doing["busy"] == 1; close(done) })
+		env.eventLoop.Post(func() { busy = env.ingress.table.Stats().ByClass["busy"] == 1; close(done) })
 		<-done
 	}
 	done := make(chan bool)
--- a/internal/net/platform/crossing_test.go
+++ b/internal/net/platform/crossing_test.go
@@ -112,7 +112,7 @@
 	env.startSender()
 	h.core, h.eventLoop, h.route = env.core, env.eventLoop, Routes(env.endpointList("active"))[0]
 	h.runOnLoop(func() {
-		h.egress = NewEgress(h.core, h.eventLoop, standin.Settings(), conntable.NewRoom(100))
+		h.egress = NewEgress(h.core, h.eventLoop, standin.Settings(), conntable.NewSharedLimit(100))
 		h.egress.UpdateRoutes([]sender.Route{h.route})
 	})
 	return h
--- a/internal/net/platform/dribble_test.go
+++ b/internal/net/platform/dribble_test.go
@@ -35,7 +35,7 @@
 	swept := make(chan bool)
 	env.withLoopPaused(func() {
 		_, _ = io.WriteString(c, text)
-		for !cl.conn.Unread() {
+		for !cl.conn.HasPendingInput() {
 			time.Sleep(time.Millisecond)
 		}
 		env.eventLoop.Post(func() {
--- a/internal/net/platform/egress.go
+++ b/internal/net/platform/egress.go
@@ -49,7 +49,7 @@
 
 // NewEgress returns an Egress whose connections take their descriptors from room.
 func NewEgress(
-	core *sender.Sender, eventLoop *reactor.Reactor, settings scheduler.Settings, room *conntable.Room,
+	core *sender.Sender, eventLoop *reactor.Reactor, settings scheduler.Settings, room *conntable.SharedLimit,
 ) *Egress {
 	e := &Egress{
 		core:           core,
@@ -59,7 +59,7 @@
 		loadFields:     settings.LoadReport.Fields,
 		idleLinks:      map[string][]*link{},
 		calls:          map[string]*call{},
-		table:          room.NewTargets(),
+		table:          room.NewDialedTable(),
 		pathFailures:   pathFailures{},
 		Gate:           admission.New(settings),
 	}
@@ -161,7 +161,7 @@
 		e.removeIdle(route.Addr, idle)
 		e.reactor.Disarm(&idle.idleTimer)
 		idle.onClosed, idle.onReusable = nil, nil
-		if idle.addr == route.Dial && idle.conn.Quiet() {
+		if idle.addr == route.Dial && idle.conn.AllInputReceived() {
 			idle.Move(conntable.Busy, e.reactor.Now())
 			return idle
 		}
@@ -170,7 +170,7 @@
 	opened := &link{maxResponse: maxEndpointResponse, addr: route.Dial}
 	evicted, _, ok := e.table.Admit(&opened.Entry, opened, netip.Addr{}, e.reactor.Now())
 	if evicted != nil {
-		evicted.Owner().Evict(conntable.ForNewcomer)
+		evicted.Owner().Evict(conntable.ForNewConnection)
 	}
 	if !ok {
 		return nil
--- a/internal/net/platform/egress_test.go
+++ b/internal/net/platform/egress_test.go
@@ -80,7 +80,7 @@
 	) func(*reactor.Conn) reactor.Handler {
 		settings := standin.Settings()
 		settings.Limits.ConnectTimeoutUs = 20e6
-		egress := NewEgress(core, eventLoop, settings, conntable.NewRoom(100))
+		egress := NewEgress(core, eventLoop, settings, conntable.NewSharedLimit(100))
 		route := Routes(env.endpointList("active"))[0]
 		other := route
 		other.Addr, other.Dial = "late", listener.Addr().String()
@@ -165,7 +165,7 @@
 	env.startSender()
 	outcome := make(chan sender.Outcome, 1)
 	env.eventLoop.Post(func() {
-		e := NewEgress(env.core, env.eventLoop, standin.Settings(), conntable.NewRoom(100))
+		e := NewEgress(env.core, env.eventLoop, standin.Settings(), conntable.NewSharedLimit(100))
 		c := &call{
 			egress: e, route: Routes(env.endpointList("active"))[0], attempts: []sender.Attempt{{ID: "m"}}, link: &link{},
 		}
@@ -186,7 +186,7 @@
 	standin.Start(t, env.stateDir, func(
 		core *sender.Sender, eventLoop *reactor.Reactor,
 	) func(*reactor.Conn) reactor.Handler {
-		egress := NewEgress(core, eventLoop, standin.Settings(), conntable.NewRoom(100))
+		egress := NewEgress(core, eventLoop, standin.Settings(), conntable.NewSharedLimit(100))
 		eventLoop.Post(func() {
 			route, deadline := Routes(env.endpointList("active"))[0], core.Now()+9e6
 			egress.UpdateRoutes([]sender.Route{route})
--- a/internal/net/platform/golden_test.go
+++ b/internal/net/platform/golden_test.go
@@ -94,9 +94,9 @@
 	type accept = func(*reactor.Conn) reactor.Handler
 	f.addr, _ = standin.Start(t, t.TempDir(), func(core *sender.Sender, eventLoop *reactor.Reactor) accept {
 		f.core, f.eventLoop = core, eventLoop
-		f.ingress = NewIngress(core, eventLoop, agent.addr(), conntable.NewRoom(100).NewTable(Limits(100)), true)
+		f.ingress = NewIngress(core, eventLoop, agent.addr(), conntable.NewSharedLimit(100).NewTable(Limits(100)), true)
 		core.AddIngress(Front, f.ingress)
-		core.AddEgress(Proto, NewEgress(core, eventLoop, standin.Settings(), conntable.NewRoom(100)))
+		core.AddEgress(Proto, NewEgress(core, eventLoop, standin.Settings(), conntable.NewSharedLimit(100)))
 		Watch(core, eventLoop, agent.addr(), env.endpointList("active"),
 			WatchOptions{Senders: 1, Seed: 1, DrainGrace: 2 * time.Second})
 		return f.ingress.Accept
@@ -251,7 +251,7 @@
 	standin.Start(t, t.TempDir(), func(
 		core *sender.Sender, eventLoop *reactor.Reactor,
 	) func(*reactor.Conn) reactor.Handler {
-		ingress := NewIngress(core, eventLoop, agent.addr(), conntable.NewRoom(100).NewTable(Limits(100)), true)
+		ingress := NewIngress(core, eventLoop, agent.addr(), conntable.NewSharedLimit(100).NewTable(Limits(100)), true)
 		core.AddIngress(Front, ingress)
 		ResumeWatch(core, eventLoop, agent.addr(), nil, -1, WatchOptions{Senders: 1, Seed: 1, DrainGrace: 2 * time.Second})
 		return ingress.Accept
--- a/internal/net/platform/idle_test.go
+++ b/internal/net/platform/idle_test.go
@@ -144,7 +144,7 @@
 		_, _ = io.WriteString(late, "NG\r\n")
 		time.Sleep(50 * time.Millisecond) // read by the engine, but not handled by the event loop
 		env.eventLoop.Post(func() {
-			env.ingress.table.Expire(env.eventLoop.Now()+time.Minute, 100, conntable.Unread, conntable.End)
+			env.ingress.table.Expire(env.eventLoop.Now()+time.Minute, 100, conntable.HasUnhandledInput, conntable.EvictOwner)
 		})
 	})
 	if got, err := late.readLine(); got != "+PONG" {
@@ -172,7 +172,9 @@
 	for _, c := range clients {
 		_, _ = io.WriteString(c, "M")
 	}
-	env.eventLoop.Post(func() { env.ingress.table.Expire(env.eventLoop.Now()+time.Minute, 1000, nil, conntable.End) })
+	env.eventLoop.Post(func() {
+		env.ingress.table.Expire(env.eventLoop.Now()+time.Minute, 1000, nil, conntable.EvictOwner)
+	})
 	for i, c := range clients {
 		if got, err := c.readLine(); errors.Is(err, os.ErrDeadlineExceeded) || got != "" && got[0] != '-' {
 			t.Fatal(i, got, err)
@@ -193,9 +195,9 @@
 	addr, _ := standin.Start(t, env.stateDir, func(
 		core *sender.Sender, r *reactor.Reactor,
 	) func(*reactor.Conn) reactor.Handler {
-		limits := conntable.Limits{Most: 1, Keep: 1, Unused: time.Hour}
+		limits := conntable.Limits{MaxConns: 1, PressureShare: 1, IdleTimeout: time.Hour}
 		ingress, eventLoop = NewIngress(core, r, env.agent.Listener.Addr().String(),
-			conntable.NewRoom(1).NewTable(limits), true), r
+			conntable.NewSharedLimit(1).NewTable(limits), true), r
 		core.AddIngress(Front, ingress)
 		core.UpdateRoutes("whole", Routes(env.endpointList("active")))
 		return ingress.Accept
@@ -218,7 +220,9 @@
 		t.Fatal("not closed gracefully:", err)
 	}
 	first.ping() // idle again
-	eventLoop.Post(func() { ingress.table.Expire(eventLoop.Now()+2*time.Hour, 10, conntable.Unread, conntable.End) })
+	eventLoop.Post(func() {
+		ingress.table.Expire(eventLoop.Now()+2*time.Hour, 10, conntable.HasUnhandledInput, conntable.EvictOwner)
+	})
 	if _, err := first.readLine(); !errors.Is(err, io.EOF) {
 		t.Fatal(err)
 	}
@@ -231,7 +235,7 @@
 		t.Errorf("a client's record has %d bytes", size)
 	}
 	const count = 10_000
-	ingress := &Ingress{table: conntable.NewRoom(count).NewTable(Limits(count))}
+	ingress := &Ingress{table: conntable.NewSharedLimit(count).NewTable(Limits(count))}
 	clients := make([]*client, count)
 	before := testkit.HeapBytes()
 	for i := range clients {
@@ -250,7 +254,7 @@
 // before clients reach that, but not if at most half of the room is in use.
 func TestIdleClientsExpireBelowLimit(t *testing.T) {
 	const maxClients = 192
-	table := conntable.NewRoom(maxClients).NewTable(Limits(maxClients))
+	table := conntable.NewSharedLimit(maxClients).NewTable(Limits(maxClients))
 	clients := make([]*client, maxClients*2/3)
 	for i := range clients {
 		clients[i] = &client{}
--- a/internal/net/platform/ingress.go
+++ b/internal/net/platform/ingress.go
@@ -36,12 +36,12 @@
 func Limits(maxConnections int) conntable.Limits {
 	const commandTimeout = 2 * time.Second
 	return conntable.Limits{
-		Most:     maxConnections,
-		Keep:     0.5,
-		Patience: commandTimeout / 4,
-		Grace:    100 * time.Millisecond,
-		First:    commandTimeout,
-		Whole:    commandTimeout,
+		MaxConns:          maxConnections,
+		PressureShare:     0.5,
+		IdleGrace:         commandTimeout / 4,
+		FirstFrameGrace:   100 * time.Millisecond,
+		FirstFrameTimeout: commandTimeout,
+		FrameTimeout:      commandTimeout,
 	}
 }
 
@@ -215,7 +215,7 @@
 func (in *Ingress) Retire() int {
 	now := in.reactor.Now()
 	in.table.Each(func(entry *conntable.Entry) {
-		isNew := entry.Class() == conntable.Fresh && now-entry.Since() < newConnectionGrace
+		isNew := entry.Class() == conntable.Fresh && now-entry.EnteredAt() < newConnectionGrace
 		if cl, ok := entry.Owner().(*client); ok && !isNew && cl.isIdle() {
 			cl.close()
 		}
--- a/internal/net/platform/ingress_test.go
+++ b/internal/net/platform/ingress_test.go
@@ -72,7 +72,9 @@
 	if got := env.sendCommand(addr, "PING"); got != "+PONG" {
 		t.Fatal(got)
 	}
-	env.eventLoop.Post(func() { env.ingress.table.Expire(env.eventLoop.Now()+2*time.Second, 100, nil, conntable.End) })
+	env.eventLoop.Post(func() {
+		env.ingress.table.Expire(env.eventLoop.Now()+2*time.Second, 100, nil, conntable.EvictOwner)
+	})
 	for i, conn := range clients {
 		if received, err := io.ReadAll(conn); errors.Is(err, os.ErrDeadlineExceeded) ||
 			len(received) > 0 && received[0] != '-' {
--- a/internal/net/platform/link.go
+++ b/internal/net/platform/link.go
@@ -109,7 +109,7 @@
 // writeRequest writes the pending request if it is admitted. Admission is checked just before the write
 // and not earlier, since it may be withdrawn while the connection is being established.
 func (l *link) writeRequest() {
-	if l.onResponse == nil || l.conn.Dead() {
+	if l.onResponse == nil || l.conn.IsClosing() {
 		return
 	}
 	if l.admit != nil {
@@ -140,7 +140,7 @@
 	switch {
 	case l.sent():
 		l.notifySent()
-	case l.onResponse == nil || l.conn.Dead():
+	case l.onResponse == nil || l.conn.IsClosing():
 	case l.admit != nil && errors.Is(l.admit(), errNotAdmitted):
 		l.fail(errNotAdmitted)
 	default:
@@ -192,7 +192,7 @@
 		l.buffer.Reset()
 		return
 	}
-	if !l.responseTimer.Set() {
+	if !l.responseTimer.IsSet() {
 		l.loop().Arm(&l.responseTimer, responseTimeout, 0, timers.Func(func() { l.fail(errStalled) }))
 	}
 	l.parse(l.buffer.Append(data), false)
@@ -223,7 +223,7 @@
 	}
 	l.finish(&response, nil)
 	l.buffer.Reset() // only now, since response refers to it
-	if !closing && !l.conn.Dead() && l.onReusable != nil {
+	if !closing && !l.conn.IsClosing() && l.onReusable != nil {
 		l.onReusable()
 	}
 }
--- a/internal/net/platform/notices_test.go
+++ b/internal/net/platform/notices_test.go
@@ -55,10 +55,10 @@
 		core *sender.Sender, eventLoop *reactor.Reactor,
 	) func(*reactor.Conn) reactor.Handler {
 		ingress := NewIngress(core, eventLoop, unresponsive.Addr().String(),
-			conntable.NewRoom(100).NewTable(Limits(100)), false)
+			conntable.NewSharedLimit(100).NewTable(Limits(100)), false)
 		setAgent = func() { eventLoop.Post(func() { ingress.SetAgent(agent) }) }
 		core.AddIngress(Front, ingress)
-		core.AddEgress(Proto, NewEgress(core, eventLoop, standin.Settings(), conntable.NewRoom(100)))
+		core.AddEgress(Proto, NewEgress(core, eventLoop, standin.Settings(), conntable.NewSharedLimit(100)))
 		core.UpdateRoutes("whole", Routes(env.endpointList("active")))
 		return ingress.Accept
 	})
--- a/internal/net/platform/platform_test.go
+++ b/internal/net/platform/platform_test.go
@@ -100,10 +100,10 @@
 	) func(*reactor.Conn) reactor.Handler {
 		agent := env.agent.Listener.Addr().String()
 		ingress := NewIngress(core, eventLoop, agent,
-			conntable.NewRoom(env.maxClients).NewTable(Limits(env.maxClients)), false)
+			conntable.NewSharedLimit(env.maxClients).NewTable(Limits(env.maxClients)), false)
 		env.core, env.ingress, env.eventLoop = core, ingress, eventLoop
 		core.AddIngress(Front, ingress)
-		core.AddEgress(Proto, NewEgress(core, eventLoop, standin.Settings(), conntable.NewRoom(100)))
+		core.AddEgress(Proto, NewEgress(core, eventLoop, standin.Settings(), conntable.NewSharedLimit(100)))
 		env.registry = Watch(core, eventLoop, agent, env.endpointList("active"),
 			WatchOptions{Senders: env.senders, Seed: 1, DrainGrace: env.drainGrace, ListAge: env.listAge})
 		return ingress.Accept
--- a/internal/net/platform/response_test.go
+++ b/internal/net/platform/response_test.go
@@ -177,7 +177,7 @@
 	standin.Start(t, env.stateDir, func(
 		core *sender.Sender, eventLoop *reactor.Reactor,
 	) func(*reactor.Conn) reactor.Handler {
-		egress := NewEgress(core, eventLoop, standin.Settings(), conntable.NewRoom(100))
+		egress := NewEgress(core, eventLoop, standin.Settings(), conntable.NewSharedLimit(100))
 		var checkEnded func()
 		checkEnded = func() {
 			if len(egress.calls) > 0 {
