--- a/internal/load/active.go
+++ b/internal/load/active.go
@@ -13,25 +13,25 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Active is the modest load beside the idle connections. Its field names are the keys of the JSON report.
+// Active configures the moderate active load that runs beside the idle connections.
 type Active struct {
-	Proto    Proto
-	Addr     string
-	Rate     float64 // messages a second
-	Clients  int     // connections that take turns
-	Dest     int64
-	Class    string
-	Exchange string // of AMQP
-	Body     int    // bytes
+	Proto    Proto   `json:"Proto"`
+	Addr     string  `json:"Addr"`
+	Rate     float64 `json:"Rate"`    // messages per second
+	Clients  int     `json:"Clients"` // connections that share the messages
+	Dest     int64   `json:"Dest"`
+	Class    string  `json:"Class"`
+	Exchange string  `json:"Exchange"` // used by AMQP only
+	Body     int     `json:"Body"`     // body size in bytes
 }
 
-// dueQueue is how many due messages may wait for a free client.
-const dueQueue = 4096
+// maxDueMessages limits how many due messages wait for a free client.
+const maxDueMessages = 4096
 
-// maxLatency bounds what a histogram holds, in microseconds.
+// maxLatency is the largest latency that a histogram records, in microseconds.
 const maxLatency = 60_000_000
 
-// Latency is a distribution in milliseconds.
+// Latency summarizes a latency distribution in milliseconds.
 type Latency struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -40,7 +40,7 @@
 	Max   float64 `json:"max_ms"`
 }
 
-func latency(h *hdrhistogram.Histogram) Latency {
+func newLatency(h *hdrhistogram.Histogram) Latency {
 	ms := func(us int64) float64 { return float64(us) / 1000 }
 	return Latency{
 		h.TotalCount(), ms(h.ValueAtQuantile(50)), ms(h.ValueAtQuantile(99)),
@@ -48,33 +48,32 @@
 	}
 }
 
-// tally gathers what active clients saw. Each latency counts from the moment at which the message was
-// due to be sent, so that the wait for a free client is part of it. Its methods may be called by any
-// goroutine.
+// tally collects the results of active clients. Each latency is measured from the time at which the message
+// was due to be sent, so that it includes the wait for a free client. Its methods are safe for concurrent use.
 type tally struct {
 	mu                  sync.Mutex
-	taken, ended        *hdrhistogram.Histogram
-	refused, failed     int64
+	accepted, answered  *hdrhistogram.Histogram
+	rejected, failed    int64
 	delivered, returned int64
 	errors              map[string]int
 }
 
 func newTally() *tally {
 	return &tally{
-		taken: hdrhistogram.New(1, maxLatency, 3), ended: hdrhistogram.New(1, maxLatency, 3),
+		accepted: hdrhistogram.New(1, maxLatency, 3), answered: hdrhistogram.New(1, maxLatency, 3),
 		errors: map[string]int{},
 	}
 }
 
-// update runs change under the lock.
+// update calls change with mu locked.
 func (t *tally) update(change func()) { t.mu.Lock(); change(); t.mu.Unlock() }
 
-// record adds a latency to a histogram of the tally. The lock is held.
+// record adds the latency since due to a histogram of the tally. The caller must hold mu.
 func (t *tally) record(h *hdrhistogram.Histogram, due time.Time) {
-	_ = h.RecordValue(min(maxLatency, max(1, time.Since(due).Microseconds()))) // within its bounds
+	_ = h.RecordValue(min(maxLatency, max(1, time.Since(due).Microseconds()))) // always within bounds
 }
 
-// activeLoad is an active load under way.
+// activeLoad is a running active load.
 type activeLoad struct {
 	settings Active
 	due      chan time.Time
@@ -86,11 +85,11 @@
 	missed   atomic.Int64
 }
 
-// start begins the load; swap takes what was seen so far.
+// start starts the load; swapTally returns the results so far.
 func (a Active) start() *activeLoad {
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &activeLoad{
-		settings: a, due: make(chan time.Time, dueQueue), cancel: cancel,
+		settings: a, due: make(chan time.Time, maxDueMessages), cancel: cancel,
 		idPrefix: strconv.FormatInt(time.Now().UnixNano(), 36),
 	}
 	r.current.Store(newTally())
@@ -98,19 +97,19 @@
 		r.clients.Add(1)
 		go func() {
 			defer r.clients.Done()
-			r.client(ctx)
+			r.runClient(ctx)
 		}()
 	}
 	r.clients.Add(1)
 	go func() {
 		defer r.clients.Done()
-		gap := time.Duration(float64(time.Second) / a.Rate)
-		for next := time.Now(); ctx.Err() == nil; next = next.Add(gap) {
+		interval := time.Duration(float64(time.Second) / a.Rate)
+		for next := time.Now(); ctx.Err() == nil; next = next.Add(interval) {
 			time.Sleep(time.Until(next))
 			select {
 			case r.due <- next:
 			default:
-				r.missed.Add(1) // no client has been free for long: counted, and not queued without bound
+				r.missed.Add(1) // all clients are busy and the queue is full: counted, so that the queue stays bounded
 			}
 		}
 	}()
@@ -119,14 +118,15 @@
 
 func (r *activeLoad) stop() { r.cancel(); r.clients.Wait() }
 
-// swap starts a new tally and returns the old one.
-func (r *activeLoad) swap() *tally { return r.current.Swap(newTally()) }
+// swapTally starts a new tally and returns the previous one.
+func (r *activeLoad) swapTally() *tally { return r.current.Swap(newTally()) }
 
-func (r *activeLoad) client(ctx context.Context) {
+// runClient keeps one connection in use until ctx ends, and connects again after an error.
+func (r *activeLoad) runClient(ctx context.Context) {
 	for ctx.Err() == nil {
-		serve := r.resp
+		serve := r.runRESP
 		if r.settings.Proto == AMQP {
-			serve = r.amqp
+			serve = r.runAMQP
 		}
 		err := serve(ctx)
 		if err != nil && ctx.Err() == nil {
@@ -141,7 +141,8 @@
 
 func (r *activeLoad) body() []byte { return make([]byte, r.settings.Body) }
 
-func (r *activeLoad) next(ctx context.Context) (time.Time, bool) {
+// nextDue waits for the next due message. It returns false when ctx ends.
+func (r *activeLoad) nextDue(ctx context.Context) (time.Time, bool) {
 	select {
 	case due := <-r.due:
 		return due, true
@@ -150,8 +151,8 @@
 	}
 }
 
-// resp hands in one message after another and waits for each answer.
-func (r *activeLoad) resp(ctx context.Context) error {
+// runRESP submits one message after another and waits for each reply.
+func (r *activeLoad) runRESP(ctx context.Context) error {
 	c, err := net.DialTimeout("tcp", r.settings.Addr, 5*time.Second)
 	if err != nil {
 		return fmt.Errorf("connecting: %w", err)
@@ -160,7 +161,7 @@
 	defer context.AfterFunc(ctx, func() { _ = c.Close() })()
 	in := bufio.NewReader(c)
 	for {
-		due, ok := r.next(ctx)
+		due, ok := r.nextDue(ctx)
 		if !ok {
 			return nil
 		}
@@ -171,20 +172,20 @@
 			len(meta), meta, len(body))
 		cmd = append(append(cmd, body...), '\r', '\n')
 		if _, err := c.Write(cmd); err != nil {
-			return fmt.Errorf("handing in: %w", err)
+			return fmt.Errorf("submitting a message: %w", err)
 		}
 		_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
 		line, err := in.ReadString('\n')
 		if err != nil {
-			return fmt.Errorf("waiting for an answer: %w", err)
+			return fmt.Errorf("waiting for a reply: %w", err)
 		}
 		t := r.current.Load()
 		t.update(func() {
 			if line[0] != '+' {
-				t.refused++
+				t.rejected++
 				return
 			}
-			t.record(t.taken, due)
+			t.record(t.accepted, due)
 		})
 	}
 }
--- a/internal/load/conformance.go
+++ b/internal/load/conformance.go
@@ -13,59 +13,60 @@
 	"brackendale/internal/testing/amqptest"
 )
 
-// conformLimit ends a scene that hangs.
-const conformLimit = 5 * time.Second
+// conversationTimeout ends a scenario that hangs.
+const conversationTimeout = 5 * time.Second
 
-// Conformance plays the suite's scenes against a sender that it starts, and against the suite's stand-in broker.
+// Conformance runs the suite's scenarios against a sender that it starts and against the suite's stand-in broker.
 func Conformance(ctx context.Context, program string, log io.Writer) (amqptest.Report, error) {
-	rep := amqptest.Report{Kinds: []string{amqptest.Front, amqptest.Broker}, Results: map[string][]amqptest.Result{}}
+	report := amqptest.Report{Kinds: []string{amqptest.Front, amqptest.Broker}, Results: map[string][]amqptest.Result{}}
 	scenes, err := amqptest.Scenes()
 	if err != nil {
-		return rep, err
+		return report, err
 	}
 	partner, err := startPartner()
 	if err != nil {
-		return rep, err
+		return report, err
 	}
 	defer partner.Close()
 	dir, err := os.MkdirTemp("", "brackendale-conformance")
 	if err != nil {
-		return rep, fmt.Errorf("load: %w", err)
+		return report, fmt.Errorf("load: %w", err)
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 	front, err := freeAddr()
 	if err != nil {
-		return rep, err
+		return report, err
 	}
 	file := filepath.Join(dir, "sender.toml")
-	if err := os.WriteFile(file, conformSite(front, partner.Addr().String()), 0o600); err != nil {
-		return rep, fmt.Errorf("load: %w", err)
+	if err := os.WriteFile(file, conformanceConfig(front, partner.Addr().String()), 0o600); err != nil {
+		return report, fmt.Errorf("load: %w", err)
 	}
-	c := exec.CommandContext(ctx, program, "serve", "--config", file)
-	c.Env = append(os.Environ(), "LB_STATE="+dir, "LB_CONFIG=")
-	c.Stderr = log
-	if err := c.Start(); err != nil {
-		return rep, fmt.Errorf("load: starting a sender: %w", err)
+	command := exec.CommandContext(ctx, program, "serve", "--config", file)
+	command.Env = append(os.Environ(), "LB_STATE="+dir, "LB_CONFIG=")
+	command.Stderr = log
+	if err := command.Start(); err != nil {
+		return report, fmt.Errorf("load: starting a sender: %w", err)
 	}
-	defer func() { _ = c.Process.Kill(); _ = c.Wait() }() // its folder goes with it
-	if err := listens(front); err != nil {
-		return rep, err
+	defer func() { _ = command.Process.Kill(); _ = command.Wait() }() // its state directory is removed as well
+	if err := waitForListener(front); err != nil {
+		return report, err
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return rep, fmt.Errorf("load: %w", err)
+		return report, fmt.Errorf("load: %w", err)
 	}
 	defer ln.Close()
 	go amqptest.NewStandIn("messages").Serve(ln)
 	for kind, addr := range map[string]string{amqptest.Front: front, amqptest.Broker: ln.Addr().String()} {
 		dial := func() (net.Conn, error) { return net.Dial("tcp", addr) }
-		rep.Results[kind] = amqptest.Target{Kind: kind, Dial: dial, Limit: conformLimit}.Play(scenes)
+		report.Results[kind] = amqptest.Target{Kind: kind, Dial: dial, Limit: conversationTimeout}.Play(scenes)
 	}
-	return rep, nil
+	return report, nil
 }
 
-// conformSite is a site with a class of each effect and the one destination that the scenes know.
-func conformSite(front, partner string) []byte {
+// conformanceConfig returns a configuration with one class for each effect and the one destination that the
+// scenarios use.
+func conformanceConfig(front, partner string) []byte {
 	classes := ""
 	for name, effect := range map[string]string{"safe": "repeatable", "key": "by_key", "once": "once"} {
 		classes += fmt.Sprintf("[[class]]\nname = %q\neffect = %q\naim_ms = 2000\ndeadline_ms = 20000\nwindow_ms = "+
@@ -76,15 +77,15 @@
 		"[[route]]\nname = \"partner\"\ndest = 1\nproto = \"http\"\ndial = %q\n", front, classes, partner)
 }
 
-// listens waits for a sender that was started.
-func listens(addr string) error {
-	for began := time.Now(); ; time.Sleep(20 * time.Millisecond) {
-		c, err := net.Dial("tcp", addr)
+// waitForListener waits until a sender that was started accepts connections at addr.
+func waitForListener(addr string) error {
+	for start := time.Now(); ; time.Sleep(20 * time.Millisecond) {
+		conn, err := net.Dial("tcp", addr)
 		if err == nil {
-			return c.Close()
+			return conn.Close()
 		}
-		if time.Since(began) > 10*time.Second {
-			return fmt.Errorf("load: the sender does not listen: %w", err)
+		if time.Since(start) > 10*time.Second {
+			return fmt.Errorf("load: the sender does not accept connections: %w", err)
 		}
 	}
 }
--- a/internal/load/groupplot.go
+++ b/internal/load/groupplot.go
@@ -14,19 +14,19 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// DrawGroup draws a time line as PNG: a row for each duty with its acts in the colour of whoever
-// carried them out, over the faults while they lasted.
-func DrawGroup(file string, list []fleet.Event) error {
+// DrawGroup draws a timeline as PNG: one row for each duty with its executions in the colour of the member that
+// ran them, over grey areas that show when faults were active.
+func DrawGroup(file string, events []fleet.Event) error {
 	p := plot.New()
 	p.Title.Text = "acts of duties by member, over the faults"
 	p.X.Label.Text = "s"
-	duties, rows := dutyRows(list)
-	acts, err := drawFaults(p, list, rows)
+	duties, rows := dutyRows(events)
+	executions, err := drawFaults(p, events, rows)
 	if err != nil {
 		return err
 	}
-	for i, member := range slices.Sorted(maps.Keys(acts)) {
-		scatter, err := plotter.NewScatter(acts[member])
+	for i, member := range slices.Sorted(maps.Keys(executions)) {
+		scatter, err := plotter.NewScatter(executions[member])
 		if err != nil {
 			return fmt.Errorf("drawing: %w", err)
 		}
@@ -48,10 +48,10 @@
 	return nil
 }
 
-// dutyRows are the duties that were acted for, sorted, and the row of each.
-func dutyRows(list []fleet.Event) ([]string, map[string]int) {
+// dutyRows returns the duties that were executed, sorted, and the row of each.
+func dutyRows(events []fleet.Event) ([]string, map[string]int) {
 	var duties []string
-	for _, e := range list {
+	for _, e := range events {
 		if e.What == fleet.EventAct && !slices.Contains(duties, e.Duty) {
 			duties = append(duties, e.Duty)
 		}
@@ -64,52 +64,52 @@
 	return duties, rows
 }
 
-// drawFaults draws every fault from its start to its end, and returns the acts by member.
-func drawFaults(chart *plot.Plot, list []fleet.Event, rows map[string]int) (map[string]plotter.XYs, error) {
-	acts := map[string]plotter.XYs{}
-	open := map[string]fleet.Event{}
-	for _, e := range list {
+// drawFaults draws every fault from its start to its end, and returns the executions by member.
+func drawFaults(chart *plot.Plot, events []fleet.Event, rows map[string]int) (map[string]plotter.XYs, error) {
+	executions := map[string]plotter.XYs{}
+	activeFaults := map[string]fleet.Event{}
+	for _, e := range events {
 		x := e.At.Seconds()
 		if _, ok := fleet.Do[e.What]; ok {
-			open[e.Who+e.What] = e
+			activeFaults[e.Who+e.What] = e
 		}
 		switch e.What {
 		case fleet.EventAct:
-			acts[e.Who] = append(acts[e.Who], plotter.XY{X: x, Y: float64(rows[e.Duty])})
+			executions[e.Who] = append(executions[e.Who], plotter.XY{X: x, Y: float64(rows[e.Duty])})
 		case fleet.EventOver:
-			if f, ok := open[e.Who+e.Text]; ok {
+			if f, ok := activeFaults[e.Who+e.Text]; ok {
 				if err := drawFault(chart, f, x, float64(len(rows))); err != nil {
 					return nil, err
 				}
 			}
 		}
 	}
-	return acts, nil
+	return executions, nil
 }
 
-// drawFault draws a fault as a grey field with its name on top.
-func drawFault(chart *plot.Plot, fault fleet.Event, until, top float64) error {
-	from := fault.At.Seconds()
-	field, err := plotter.NewPolygon(plotter.XYs{
-		{X: from, Y: -0.5},
-		{X: until, Y: -0.5},
-		{X: until, Y: top - 0.3},
-		{X: from, Y: top - 0.3},
+// drawFault draws a fault as a grey area with its name on top.
+func drawFault(chart *plot.Plot, fault fleet.Event, end, top float64) error {
+	start := fault.At.Seconds()
+	area, err := plotter.NewPolygon(plotter.XYs{
+		{X: start, Y: -0.5},
+		{X: end, Y: -0.5},
+		{X: end, Y: top - 0.3},
+		{X: start, Y: top - 0.3},
 	})
 	if err != nil {
 		return fmt.Errorf("drawing: %w", err)
 	}
-	field.Color, field.Width = color.Gray{Y: 225}, 0
-	text, err := plotter.NewLabels(plotter.XYLabels{
-		XYs:    plotter.XYs{{X: from, Y: top - 0.2}},
+	area.Color, area.Width = color.Gray{Y: 225}, 0
+	label, err := plotter.NewLabels(plotter.XYLabels{
+		XYs:    plotter.XYs{{X: start, Y: top - 0.2}},
 		Labels: []string{fault.What + " " + fault.Who},
 	})
 	if err != nil {
 		return fmt.Errorf("drawing: %w", err)
 	}
-	for i := range text.TextStyle {
-		text.TextStyle[i].Rotation, text.TextStyle[i].Font.Size = 0.7, vg.Points(7)
+	for i := range label.TextStyle {
+		label.TextStyle[i].Rotation, label.TextStyle[i].Font.Size = 0.7, vg.Points(7)
 	}
-	chart.Add(field, text)
+	chart.Add(area, label)
 	return nil
 }
--- a/internal/load/idle.go
+++ b/internal/load/idle.go
@@ -1,5 +1,5 @@
-// Package load opens idle and active connections against a running sender and measures its latency,
-// memory and processor time.
+// Package load opens idle and active connections to a running sender and measures its latency, memory and
+// CPU time.
 package load
 
 import (
@@ -15,32 +15,32 @@
 	"brackendale/internal/timers"
 )
 
-// Proto is a client's protocol.
+// Proto is the protocol that a client speaks to the sender.
 type Proto string
 
-// The protocols that idle and active clients speak.
+// The protocols of idle and active clients.
 const (
 	RESP Proto = "resp"
 	AMQP Proto = "amqp"
 )
 
-// idlePool is what idle clients share. Only the event loop uses it.
+// idlePool is the state that idle clients share. Only the event loop uses it.
 type idlePool struct {
-	reactor *reactor.Reactor
-	proto   Proto
-	addr    string
-	sources []string
-	beat    time.Duration // asked of the sender on AMQP; 0: none
-	ping    time.Duration // between two PINGs of an idle RESP client; 0: it says nothing after the first
+	reactor      *reactor.Reactor
+	proto        Proto
+	addr         string
+	sources      []string
+	heartbeat    time.Duration // AMQP heartbeat interval requested from the sender; 0: no heartbeats
+	pingInterval time.Duration // interval of PINGs of an idle RESP client; 0: only the first is sent
 
-	want       int // connections
+	target     int // connections
 	opening    int
 	open       map[*idleClient]bool // handshake complete
-	lost       int                  // connections that ended by themselves
-	errors     map[string]int       // lost, by error
+	lost       int                  // connections that ended unexpectedly
+	errors     map[string]int       // lost connections by error
 	sent       int                  // heartbeats and PINGs
 	changed    func()
-	atOnce     int
+	maxOpening int
 	nextSource int
 	closing    bool
 }
@@ -53,22 +53,22 @@
 	timer        timers.Timer
 	isOpen       bool
 	closed       bool
-	reset        bool   // by this side
-	lastError    string // the sender's last word, when it closes
+	reset        bool   // reset by this side
+	lastError    string // the error that the sender reported before it closed the connection
 }
 
-// fill opens connections until there are as many as wanted, some at a time.
+// fill opens connections until the target is reached, with at most maxOpening handshakes at a time.
 func (c *idlePool) fill() {
-	for !c.closing && c.opening < c.atOnce && len(c.open)+c.opening < c.want {
+	for !c.closing && c.opening < c.maxOpening && len(c.open)+c.opening < c.target {
 		c.opening++
 		m := &idleClient{pool: c}
-		from := c.sources[c.nextSource%len(c.sources)]
+		source := c.sources[c.nextSource%len(c.sources)]
 		c.nextSource++
-		m.conn = c.reactor.DialFrom(from, c.addr, 10*time.Second, m)
+		m.conn = c.reactor.DialFrom(source, c.addr, 10*time.Second, m)
 	}
 }
 
-// Up begins the protocol.
+// Up starts the protocol handshake.
 func (m *idleClient) Up(*reactor.Conn) {
 	if m.pool.proto == RESP {
 		m.write([]byte("*1\r\n$4\r\nPING\r\n"))
@@ -83,8 +83,8 @@
 	}
 }
 
-// opened counts the connection among the open ones, once its handshake is complete.
-func (m *idleClient) opened() {
+// markOpen counts the connection as open once its handshake is complete.
+func (m *idleClient) markOpen() {
 	if m.isOpen {
 		return
 	}
@@ -97,16 +97,16 @@
 }
 
 func (m *idleClient) rearm() {
-	gap := m.pool.ping
+	interval := m.pool.pingInterval
 	if m.pool.proto == AMQP {
-		gap = m.pool.beat / 2
+		interval = m.pool.heartbeat / 2
 	}
-	if gap > 0 {
-		m.pool.reactor.Arm(&m.timer, gap, timers.Soft, m)
+	if interval > 0 {
+		m.pool.reactor.Arm(&m.timer, interval, timers.Soft, m)
 	}
 }
 
-// Due sends a heartbeat or a PING, so that the sender does not close the connection as silent.
+// Due sends a heartbeat or a PING, so that the sender does not close the connection as unresponsive.
 func (m *idleClient) Due(*timers.Timer) {
 	m.pool.sent++
 	if m.pool.proto == RESP {
@@ -117,14 +117,14 @@
 	m.rearm()
 }
 
-// Data continues the handshake; what arrives after it is ignored.
+// Data continues the handshake and ignores input that arrives after it.
 func (m *idleClient) Data(_ *reactor.Conn, data []byte) {
 	if m.pool.proto == RESP {
 		if bytes.HasPrefix(data, []byte{'-'}) {
 			m.lastError = string(bytes.TrimSpace(data))
 		}
 		if bytes.HasPrefix(data, []byte("+PONG")) {
-			m.opened()
+			m.markOpen()
 		}
 		return
 	}
@@ -142,7 +142,7 @@
 			return
 		}
 		if data = data[n:]; frame.Kind == amqp.FrameMethod {
-			if err := m.method(frame); err != nil {
+			if err := m.handleMethod(frame); err != nil {
 				m.lastError = err.Error()
 				m.conn.Close()
 				m.partialInput.Reset()
@@ -152,30 +152,31 @@
 	}
 }
 
-func (m *idleClient) method(frame amqp.Frame) error {
-	x, err := amqp.ParseMethod(frame.Payload)
+func (m *idleClient) handleMethod(frame amqp.Frame) error {
+	method, err := amqp.ParseMethod(frame.Payload)
 	if err != nil {
 		return fmt.Errorf("reading a method: %w", err)
 	}
-	switch x.Key {
+	switch method.Key {
 	case amqp.ConnStart:
 		m.write(amqp.AppendMethod(nil, 0, amqp.ConnStartOk, amqp.Table{"product": "brackendale load"}, "PLAIN",
 			"\x00guest\x00guest", "en_US"))
 	case amqp.ConnTune:
-		out := amqp.AppendMethod(nil, 0, amqp.ConnTuneOk, int(x.Int(0)), int(x.Int(1)), int(m.pool.beat/time.Second))
+		out := amqp.AppendMethod(nil, 0, amqp.ConnTuneOk, int(method.Int(0)), int(method.Int(1)),
+			int(m.pool.heartbeat/time.Second))
 		m.write(amqp.AppendMethod(out, 0, amqp.ConnOpen, "/", "", false))
 	case amqp.ConnOpenOk:
 		m.write(amqp.AppendMethod(nil, 1, amqp.ChanOpen, ""))
 	case amqp.ChanOpenOk:
-		m.opened()
+		m.markOpen()
 	case amqp.ConnClose:
 		m.write(amqp.AppendMethod(nil, 0, amqp.ConnCloseOk))
-		return fmt.Errorf("%d %s", x.Int(0), x.Str(1))
+		return fmt.Errorf("%d %s", method.Int(0), method.Str(1))
 	}
 	return nil
 }
 
-// Down counts the connection by how it ended.
+// Down removes the connection from the pool and counts it as lost unless resetHalf or close ended it.
 func (m *idleClient) Down(_ *reactor.Conn, err error) {
 	if m.closed {
 		return
@@ -197,25 +198,26 @@
 		m.lastError = err.Error()
 	}
 	m.pool.errors[m.lastError]++
-	m.pool.reactor.After(20*time.Millisecond, m.pool.fill) // not at once: rejected connections must not spin
+	m.pool.reactor.After(20*time.Millisecond, m.pool.fill) // delayed: rejections must not cause a busy loop
 	m.pool.changed()
 }
 
-var errShort = errors.New("the sender did not take so many connections")
+var errTooFewConnections = errors.New("the sender did not accept the requested number of connections")
 
-// idleClients is the pool as other goroutines use it: each method passes its work to the event loop.
+// idleClients gives other goroutines access to the pool: each method posts its work to the event loop.
 type idleClients struct {
 	*idlePool
 	signal chan struct{}
 }
 
-func newIdle(react *reactor.Reactor, proto Proto, addr string, sources []string, beat, ping time.Duration,
-	atOnce int,
+func newIdleClients(react *reactor.Reactor, proto Proto, addr string, sources []string,
+	heartbeat, pingInterval time.Duration, maxOpening int,
 ) *idleClients {
 	i := &idleClients{signal: make(chan struct{}, 1)}
 	i.idlePool = &idlePool{
-		reactor: react, proto: proto, addr: addr, sources: sources, beat: beat, ping: ping, open: map[*idleClient]bool{},
-		errors: map[string]int{}, atOnce: atOnce, changed: func() {
+		reactor: react, proto: proto, addr: addr, sources: sources,
+		heartbeat: heartbeat, pingInterval: pingInterval, open: map[*idleClient]bool{},
+		errors: map[string]int{}, maxOpening: maxOpening, changed: func() {
 			select {
 			case i.signal <- struct{}{}:
 			default:
@@ -225,10 +227,10 @@
 	return i
 }
 
-// Counts is the state of the idle connections.
+// Counts holds the counters of the idle connections.
 type Counts struct {
-	Open int // now
-	Lost int // ended by themselves so far
+	Open int // currently open
+	Lost int // ended unexpectedly so far
 	Sent int // heartbeats and PINGs so far
 }
 
@@ -243,21 +245,21 @@
 	return counts, byError
 }
 
-// grow opens connections until there are want of them. It fails with errShort when limit passes without
-// one more.
-func (i *idleClients) grow(want int, limit time.Duration, progress func(int)) error {
-	i.reactor.Post(func() { i.want = want; i.fill() })
-	best, since := -1, time.Now()
+// grow opens connections until target of them are open. It fails with errTooFewConnections when stallTimeout
+// passes without an additional one.
+func (i *idleClients) grow(target int, stallTimeout time.Duration, progress func(int)) error {
+	i.reactor.Post(func() { i.target = target; i.fill() })
+	best, lastProgress := -1, time.Now()
 	for {
 		counts, byError := i.counts()
 		progress(counts.Open)
-		if counts.Open >= want {
+		if counts.Open >= target {
 			return nil
 		}
 		if counts.Open > best {
-			best, since = counts.Open, time.Now()
-		} else if time.Since(since) > limit {
-			return fmt.Errorf("%w: %d of %d; %v", errShort, counts.Open, want, byError)
+			best, lastProgress = counts.Open, time.Now()
+		} else if time.Since(lastProgress) > stallTimeout {
+			return fmt.Errorf("%w: %d of %d; %v", errTooFewConnections, counts.Open, target, byError)
 		}
 		select {
 		case <-i.signal:
@@ -267,12 +269,12 @@
 	}
 }
 
-// resetHalf resets half of the connections at once; grow opens as many again.
+// resetHalf resets half of the connections at the same time; grow then opens replacements.
 func (i *idleClients) resetHalf() {
 	done := make(chan bool)
 	i.reactor.Post(func() {
 		n := len(i.open) / 2
-		i.want = len(i.open) - n
+		i.target = len(i.open) - n
 		for m := range i.open {
 			if n--; n < 0 {
 				break
@@ -285,7 +287,7 @@
 	<-done
 }
 
-// pingAll makes every client send a heartbeat or a PING at once.
+// pingAll makes every client send a heartbeat or a PING immediately.
 func (i *idleClients) pingAll() {
 	i.reactor.Post(func() {
 		for m := range i.open {
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -24,8 +24,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// serve begins a sender with room for most clients, and a partner that delivers all.
-func serve(t *testing.T, proto Proto, most int) string {
+// serve starts a sender that accepts up to maxClients clients, and an endpoint that delivers every message.
+func serve(t *testing.T, proto Proto, maxClients int) string {
 	t.Helper()
 	partner, err := startPartner()
 	if err != nil {
@@ -34,7 +34,7 @@
 	t.Cleanup(func() { _ = partner.Close() })
 	addr, _ := standin.Start(t, t.TempDir(),
 		func(core *sender.Sender, r *reactor.Reactor) func(*reactor.Conn) reactor.Handler {
-			room := conntable.NewRoom(most)
+			connectionLimit := conntable.NewRoom(maxClients)
 			core.AddEgress(platform.Proto, platform.NewEgress(core, r, standin.Settings(), conntable.NewRoom(50)))
 			core.UpdateRoutes("whole", platform.Routes(config.List{Hosts: []config.Host{{
 				Host: "p", Dial: partner.Addr().String(), Class: "k",
@@ -42,12 +42,12 @@
 			}}}))
 			if proto == RESP {
 				in := platform.NewIngress(core, r, partner.Addr().String(),
-					room.NewTable(conntable.Limits{Most: most, Keep: 1}), true)
+					connectionLimit.NewTable(conntable.Limits{Most: maxClients, Keep: 1}), true)
 				core.AddIngress(platform.Front, in)
 				return in.Accept
 			}
 			in := amqpfront.NewIngress(core, r, amqpfront.Options{Policy: access.OpenPolicy("messages"), Channels: 16},
-				room.NewTable(amqpfront.Limits(most)))
+				connectionLimit.NewTable(amqpfront.Limits(maxClients)))
 			return in.Accept
 		})
 	return addr
@@ -64,8 +64,8 @@
 	}
 }
 
-// The tool's rows say what is there: as many idle connections as asked for, active messages answered on top, storms
-// survived; and the figures go into a table and a picture.
+// Every row of the report must have the requested number of idle connections and completed active messages, also while
+// all clients ping or half of them reconnect. The report must be written as a table and as a plot.
 func TestRun(t *testing.T) {
 	for _, proto := range []Proto{AMQP, RESP} {
 		t.Run(string(proto), func(t *testing.T) {
@@ -73,13 +73,15 @@
 			if err != nil || len(rep.Steps) != 4 {
 				t.Fatal(err, rep.Steps)
 			}
-			for i, s := range rep.Steps {
-				if s.Taken.Count == 0 || s.Lost > 0 || s.Failed > 0 || s.Refused > 0 || s.RSS == 0 || (s.Idle == 30) != (i > 0) ||
-					proto == AMQP && s.Ended.Count == 0 || s.Taken.P50 > s.Taken.P99 || s.Taken.P99 > s.Taken.Max {
-					t.Errorf("row %d: %+v", i, s)
+			for i, step := range rep.Steps {
+				if step.Accepted.Count == 0 || step.Lost > 0 || step.Failed > 0 || step.Rejected > 0 ||
+					step.RSS == 0 || (step.Idle == 30) != (i > 0) ||
+					proto == AMQP && step.Answered.Count == 0 || step.Accepted.P50 > step.Accepted.P99 ||
+					step.Accepted.P99 > step.Accepted.Max {
+					t.Errorf("row %d: %+v", i, step)
 				}
 			}
-			if rep.Steps[1].Opened != 30 || rep.Steps[2].Beats < 30 {
+			if rep.Steps[1].Opened != 30 || rep.Steps[2].HeartbeatsSent < 30 {
 				t.Errorf("%+v", rep.Steps[1:])
 			}
 			var table bytes.Buffer
@@ -95,18 +97,19 @@
 	}
 }
 
-// A sender that does not take as many as asked for is told with what it said.
-func TestTooFewPlaces(t *testing.T) {
+// When the sender accepts fewer connections than requested, the error must contain the sender's own reply.
+func TestTooFewConnections(t *testing.T) {
 	p := plan(AMQP, serve(t, AMQP, 10), 40)
 	p.Active.Clients, p.Limit = 1, 300*time.Millisecond
-	if _, err := Run(context.Background(), p); !errors.Is(err, errShort) || !strings.Contains(err.Error(), "506") {
+	if _, err := Run(context.Background(), p); !errors.Is(err, errTooFewConnections) ||
+		!strings.Contains(err.Error(), "506") {
 		t.Fatal(err)
 	}
 }
 
-// A worker keeps step with its parent, and what several say is put together from their distributions, not from their
-// percentiles.
-func TestWorkersTogether(t *testing.T) {
+// A worker must wait for its parent before each step, and the reports of several workers must be merged from their
+// histograms: percentiles cannot be averaged.
+func TestMergeWorkerReports(t *testing.T) {
 	toWorker, in := io.Pipe()
 	out, fromWorker := io.Pipe()
 	done := make(chan error, 1)
@@ -143,10 +146,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	other.Steps[1].TakenHist = raw
+	other.Steps[1].AcceptedHist = raw
 	both, err := Senders{Plan: p}.merge([]*Report{rep, &other})
-	if err != nil || both.Steps[1].Taken.Count != rep.Steps[1].Taken.Count+1000 ||
-		both.Steps[1].Taken.P50 < 4900 || both.Knee != 10 {
+	if err != nil || both.Steps[1].Accepted.Count != rep.Steps[1].Accepted.Count+1000 ||
+		both.Steps[1].Accepted.P50 < 4900 || both.Knee != 10 {
 		t.Fatalf("%v %+v", err, both.Steps)
 	}
 }
--- a/internal/load/measure.go
+++ b/internal/load/measure.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// defaultStall is Plan.Limit where the plan names none.
-const defaultStall = 10 * time.Second
+// defaultStallTimeout applies where Plan.Limit is 0.
+const defaultStallTimeout = 10 * time.Second
 
-// measurement is a plan under way. One goroutine uses it.
+// measurement is a running plan. It is not safe for concurrent use.
 type measurement struct {
 	plan    Plan
 	clients *idleClients
 	active  *activeLoad
 }
 
-// sample is the state of the counters at one moment.
+// sample holds the values of all counters at one time.
 type sample struct {
-	at     time.Time
-	counts Counts
-	errors map[string]int // idle connections that ended by themselves, by error
-	fired  uint64         // timers of the sender
-	cpu    time.Duration  // processor time of the sender
-	missed int64          // active messages that no client was free to send
+	at          time.Time
+	counts      Counts
+	errors      map[string]int // lost idle connections by error
+	timersFired uint64         // timers that have fired in the sender
+	cpuTime     time.Duration  // CPU time of the sender
+	missed      int64          // active messages not sent because all clients were busy
 }
 
 // step opens the stage's connections, waits for the gate and measures for Plan.Each.
@@ -44,11 +44,11 @@
 	if err != nil {
 		return step, err
 	}
-	m.active.swap()
-	if err := m.act(ctx, st); err != nil {
+	m.active.swapTally()
+	if err := m.perform(ctx, st); err != nil {
 		return step, err
 	}
-	seen := m.active.swap()
+	seen := m.active.swapTally()
 	after, err := m.sample()
 	if err != nil {
 		return step, err
@@ -62,7 +62,7 @@
 func (m *measurement) open(st stage) (Step, error) {
 	before, _ := m.clients.counts()
 	start := time.Now()
-	err := m.clients.grow(st.idle, cmp.Or(m.plan.Limit, defaultStall), func(open int) {
+	err := m.clients.grow(st.idle, cmp.Or(m.plan.Limit, defaultStallTimeout), func(open int) {
 		if m.plan.Progress != nil {
 			m.plan.Progress(open, st.idle)
 		}
@@ -70,54 +70,54 @@
 	if err != nil {
 		return Step{}, fmt.Errorf("load: step %d: %w", st.idle, err)
 	}
-	step := Step{Name: st.name, Idle: st.idle, Opened: st.idle - before.Open, OpenS: time.Since(start).Seconds()}
-	if step.OpenS > 0 && step.Opened > 0 {
-		step.AcceptS = float64(step.Opened) / step.OpenS
+	step := Step{Name: st.name, Idle: st.idle, Opened: st.idle - before.Open, OpenSeconds: time.Since(start).Seconds()}
+	if step.OpenSeconds > 0 && step.Opened > 0 {
+		step.ConnectionsPerSecond = float64(step.Opened) / step.OpenSeconds
 	}
 	return step, nil
 }
 
-// act runs the stage's action, if it has one, and returns when both it and Plan.Each are over.
-func (m *measurement) act(ctx context.Context, st stage) error {
-	acted := make(chan error, 1)
+// perform runs the stage's action, if it has one, and returns when the action has ended and Plan.Each has passed.
+func (m *measurement) perform(ctx context.Context, st stage) error {
+	done := make(chan error, 1)
 	go func() {
-		if st.act == nil {
-			acted <- nil
+		if st.perform == nil {
+			done <- nil
 			return
 		}
-		acted <- st.act(m.clients)
+		done <- st.perform(m.clients)
 	}()
 	select {
 	case <-time.After(m.plan.Each):
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	if err := <-acted; err != nil {
+	if err := <-done; err != nil {
 		return fmt.Errorf("load: %s: %w", st.name, err)
 	}
 	return nil
 }
 
-// sample reads all counters. The processor time and the clock are read last.
+// sample reads all counters. The CPU time and the clock are read last.
 func (m *measurement) sample() (sample, error) {
 	counts, byError := m.clients.counts()
-	count, err := fired(m.plan.Socket)
+	count, err := timersFired(m.plan.Socket)
 	return sample{
-		counts: counts, errors: byError, fired: count, missed: m.active.missed.Load(),
-		cpu: cpu(m.plan.Pid), at: time.Now(),
+		counts: counts, errors: byError, timersFired: count, missed: m.active.missed.Load(),
+		cpuTime: cpuTime(m.plan.Pid), at: time.Now(),
 	}, err
 }
 
-// record fills in what happened between two samples; seen is what the active clients saw between them.
+// record fills in the differences between two samples; seen has the results of the active clients between them.
 func (s *Step) record(before, after sample, seen *tally) {
-	s.Fired = int(after.fired - before.fired)
+	s.TimersFired = int(after.timersFired - before.timersFired)
 	s.Lost = after.counts.Lost - before.counts.Lost
-	s.Beats = after.counts.Sent - before.counts.Sent
+	s.HeartbeatsSent = after.counts.Sent - before.counts.Sent
 	s.Missed = after.missed - before.missed
 	failures := maps.Clone(after.errors)
 	seen.update(func() {
-		s.Refused, s.Failed = seen.refused, seen.failed
-		s.taken, s.ended = seen.taken, seen.ended
+		s.Rejected, s.Failed = seen.rejected, seen.failed
+		s.accepted, s.answered = seen.accepted, seen.answered
 		for text, count := range seen.errors {
 			failures[text] += count
 		}
@@ -125,6 +125,6 @@
 	if s.Lost > 0 || s.Failed > 0 {
 		fmt.Fprintln(os.Stderr, "load: lost or failed:", failures)
 	}
-	s.Taken, s.Ended = latency(s.taken), latency(s.ended)
-	s.CPU = (after.cpu - before.cpu).Seconds() / after.at.Sub(before.at).Seconds()
+	s.Accepted, s.Answered = newLatency(s.accepted), newLatency(s.answered)
+	s.CPU = (after.cpuTime - before.cpuTime).Seconds() / after.at.Sub(before.at).Seconds()
 }
--- a/internal/load/plot.go
+++ b/internal/load/plot.go
@@ -10,7 +10,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Plot draws the active load's latencies over the idle connections, and the knee if there is one, as PNG.
+// Plot draws the active load's latencies against the number of idle connections, and the knee if there is one, as PNG.
 func (rep *Report) Plot(file string) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s: %.0f messages/s over idle connections (core %s)", rep.Plan.Proto,
@@ -30,14 +30,14 @@
 	var p50, p99, p999 plotter.XYs
 	top := 0.0
 	for _, s := range rep.Steps {
-		if s.Name != "" { // a storm: no point of the curve
+		if s.Name != "" { // all clients ping or reconnect: not a point of the curve
 			continue
 		}
 		x := float64(s.Idle)
-		p50 = append(p50, plotter.XY{X: x, Y: s.Taken.P50})
-		p99 = append(p99, plotter.XY{X: x, Y: s.Taken.P99})
-		p999 = append(p999, plotter.XY{X: x, Y: s.Taken.P999})
-		top = max(top, s.Taken.P999)
+		p50 = append(p50, plotter.XY{X: x, Y: s.Accepted.P50})
+		p99 = append(p99, plotter.XY{X: x, Y: s.Accepted.P99})
+		p999 = append(p999, plotter.XY{X: x, Y: s.Accepted.P999})
+		top = max(top, s.Accepted.P999)
 	}
 	if err := plotutil.AddLinePoints(p, "p50", p50, "p99", p99, "p99.9", p999); err != nil {
 		return fmt.Errorf("drawing: %w", err)
--- a/internal/load/process.go
+++ b/internal/load/process.go
@@ -10,8 +10,8 @@
 	"brackendale/internal/console"
 )
 
-// fired asks a sender's console how many timers have come due.
-func fired(socket string) (uint64, error) {
+// timersFired queries a sender's console for the number of timers that have fired.
+func timersFired(socket string) (uint64, error) {
 	if socket == "" {
 		return 0, nil
 	}
@@ -27,39 +27,39 @@
 	return reply.Wire.Fired, nil
 }
 
-// rss is a process's resident memory in bytes.
+// rss returns the resident memory of a process in bytes.
 func rss(pid int) int64 {
-	return 1024 * field("/proc/"+strconv.Itoa(pid)+"/status", "VmRSS:")
+	return 1024 * numericField("/proc/"+strconv.Itoa(pid)+"/status", "VmRSS:")
 }
 
-// cores is the list of cores that a process may use, as the kernel writes it.
-func cores(pid int) string {
+// allowedCores returns the list of cores that a process may use, in the format of the kernel.
+func allowedCores(pid int) string {
 	if pid == 0 {
 		return "not known"
 	}
-	f, err := os.Open("/proc/" + strconv.Itoa(pid) + "/status")
+	file, err := os.Open("/proc/" + strconv.Itoa(pid) + "/status")
 	if err != nil {
 		return "not known"
 	}
-	defer f.Close()
-	for in := bufio.NewScanner(f); in.Scan(); {
-		if v, ok := strings.CutPrefix(in.Text(), "Cpus_allowed_list:"); ok {
+	defer file.Close()
+	for scanner := bufio.NewScanner(file); scanner.Scan(); {
+		if v, ok := strings.CutPrefix(scanner.Text(), "Cpus_allowed_list:"); ok {
 			return strings.TrimSpace(v)
 		}
 	}
 	return "not known"
 }
 
-// field is the number that follows name in a file of one field a line; 0 where there is none.
-func field(path, name string) int64 {
+// numericField returns the number that follows name in a file with one field per line, or 0 if there is none.
+func numericField(path, name string) int64 {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return 0
 	}
 	for line := range strings.Lines(string(raw)) {
 		if v, ok := strings.CutPrefix(line, name); ok {
-			if f := strings.Fields(v); len(f) > 0 {
-				n, _ := strconv.ParseInt(f[0], 10, 64)
+			if fields := strings.Fields(v); len(fields) > 0 {
+				n, _ := strconv.ParseInt(fields[0], 10, 64)
 				return n
 			}
 		}
@@ -67,18 +67,18 @@
 	return 0
 }
 
-// cpu is the processor time that a process has used: fields 14 and 15 of its stat, in hundredths of a second.
-func cpu(pid int) time.Duration {
-	raw, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/stat")
+// cpuTime returns the CPU time that a process has used: fields 14 and 15 of its stat file, in hundredths of a second.
+func cpuTime(pid int) time.Duration {
+	stat, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/stat")
 	if err != nil {
 		return 0
 	}
-	_, rest, _ := strings.Cut(string(raw), ") ")
-	f := strings.Fields(rest)
-	if len(f) < 13 {
+	_, rest, _ := strings.Cut(string(stat), ") ")
+	fields := strings.Fields(rest)
+	if len(fields) < 13 {
 		return 0
 	}
-	user, _ := strconv.ParseInt(f[11], 10, 64)
-	system, _ := strconv.ParseInt(f[12], 10, 64)
+	user, _ := strconv.ParseInt(fields[11], 10, 64)
+	system, _ := strconv.ParseInt(fields[12], 10, 64)
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
--- a/internal/load/restartplot.go
+++ b/internal/load/restartplot.go
@@ -16,10 +16,10 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// DrawMassRestart draws what a partner saw after a mass restart as PNG: calls and refusals by tenths of a
-// second against what it takes, one program over the other.
-func DrawMassRestart(file string, reps []fleet.MassRestartReport, perS float64) error {
-	raw, err := drawMassRestart(reps, perS)
+// DrawMassRestart draws the calls that an endpoint received after a mass restart as PNG: calls and refusals for each
+// tenth of a second against its capacity, with all programs in one chart.
+func DrawMassRestart(file string, reports []fleet.MassRestartReport, capacityPerSecond float64) error {
+	raw, err := drawMassRestart(reports, capacityPerSecond)
 	if err == nil {
 		err = os.WriteFile(file, raw, 0o644)
 	}
@@ -29,20 +29,22 @@
 	return nil
 }
 
-// MassRestartPage writes the scenarios of one or two programs as one HTML file that needs nothing else: what
-// was played, a line for each program, a picture of the first game, and each game's figures.
-func MassRestartPage(file, played string, lines []string, all [][]fleet.MassRestartReport, perS float64) error {
+// MassRestartPage writes the runs of one or two programs as one self-contained HTML file: a description of the
+// scenario, a line for each program, a plot of the first run, and the figures of each run.
+func MassRestartPage(file, description string, lines []string, all [][]fleet.MassRestartReport,
+	capacityPerSecond float64,
+) error {
 	var first []fleet.MassRestartReport
-	for _, games := range all {
-		first = append(first, games[0])
+	for _, runs := range all {
+		first = append(first, runs[0])
 	}
-	raw, err := drawMassRestart(first, perS)
+	raw, err := drawMassRestart(first, capacityPerSecond)
 	if err != nil {
 		return err
 	}
 	var out bytes.Buffer
 	if err := massRestartPage.Execute(&out, map[string]any{
-		"Played": played, "Lines": lines, "All": all, "Names": programNames,
+		"Played": description, "Lines": lines, "All": all, "Names": programNames,
 		"Picture": template.URL("data:image/png;base64," + base64.StdEncoding.EncodeToString(raw)),
 	}); err != nil {
 		return fmt.Errorf("drawing: %w", err)
@@ -50,7 +52,7 @@
 	return os.WriteFile(file, out.Bytes(), 0o644)
 }
 
-// programNames are the programs that are played side by side.
+// programNames are the shown names of the programs that are compared.
 var programNames = []string{"this", "against"}
 
 var massRestartPage = template.Must(template.New("").Parse(`<!DOCTYPE html>
@@ -69,17 +71,17 @@
 {{end}}{{end}}</table></body></html>
 `))
 
-func drawMassRestart(reps []fleet.MassRestartReport, perS float64) ([]byte, error) {
+func drawMassRestart(reports []fleet.MassRestartReport, capacityPerSecond float64) ([]byte, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "calls after a mass restart", "s since the return", "calls in 0.1 s"
 	p.Y.Min = 0
 	end := 0.0
-	for i, r := range reps {
+	for i, r := range reports {
 		var calls, refused plotter.XYs
-		for j, b := range r.Bins {
+		for j, bin := range r.Bins {
 			x := float64(j) / 10
-			calls, refused = append(calls, plotter.XY{X: x, Y: float64(b.Calls)}),
-				append(refused, plotter.XY{X: x, Y: float64(b.Refused)})
+			calls, refused = append(calls, plotter.XY{X: x, Y: float64(bin.Calls)}),
+				append(refused, plotter.XY{X: x, Y: float64(bin.Refused)})
 			end = max(end, x)
 		}
 		for k, xy := range []plotter.XYs{calls, refused} {
@@ -92,7 +94,7 @@
 			p.Legend.Add(programNames[i]+[]string{": calls", ": refused"}[k], l)
 		}
 	}
-	line, err := plotter.NewLine(plotter.XYs{{X: 0, Y: perS / 10}, {X: end, Y: perS / 10}})
+	line, err := plotter.NewLine(plotter.XYs{{X: 0, Y: capacityPerSecond / 10}, {X: end, Y: capacityPerSecond / 10}})
 	if err != nil {
 		return nil, fmt.Errorf("drawing: %w", err)
 	}
--- a/internal/load/senders.go
+++ b/internal/load/senders.go
@@ -23,19 +23,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// Senders is a measurement against senders that it starts itself, each with a worker process of its own that holds
-// its clients' connections: one process may have too few descriptors for all.
+// Senders is a measurement against senders that it starts itself. Each has its own worker process for its clients'
+// connections, because the file descriptors of a single process may not suffice for all of them.
 type Senders struct {
-	Program  string // the sender's
-	Worker   string // the load tool's own
+	Program  string // path of the sender's executable
+	Worker   string // path of the load tool's own executable
 	Count    int
-	Pin      int // the core that all senders share; under 0: any
+	Pin      int // the core that all senders share; negative: any
 	MemoryMB int
-	Plan     Plan // its steps are of all senders together
+	Plan     Plan // its steps count the connections of all senders together
 	Log      io.Writer
 }
 
-// Run starts all, measures the steps in all workers at the same time, and merges the distributions.
+// Run starts all senders and workers, measures each step in all workers at the same time, and merges the
+// distributions.
 func (s Senders) Run(ctx context.Context) (Report, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -49,36 +50,36 @@
 		return Report{}, fmt.Errorf("load: %w", err)
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	var all []*worker
+	var workers []*worker
 	defer func() {
-		for _, w := range all {
-			w.end()
+		for _, w := range workers {
+			w.kill()
 		}
 	}()
 	for i := range s.Count {
-		w, err := s.start(ctx, filepath.Join(dir, strconv.Itoa(i)), partner.Addr().String(), i)
+		w, err := s.startWorker(ctx, filepath.Join(dir, strconv.Itoa(i)), partner.Addr().String(), i)
 		if err != nil {
 			return Report{}, err
 		}
-		all = append(all, w)
+		workers = append(workers, w)
 	}
-	return s.measure(all)
+	return s.measure(workers)
 }
 
-func (s Senders) measure(all []*worker) (Report, error) {
+func (s Senders) measure(workers []*worker) (Report, error) {
 	var mu sync.Mutex
 	open := map[*worker]int{}
 	stages := s.Plan.stages()
 	for step := range len(stages) + 1 {
-		if err := each(all, func(w *worker) error {
-			return w.until(func(m message) bool {
+		if err := forEachWorker(workers, func(w *worker) error {
+			return w.readUntil(func(m message) bool {
 				mu.Lock()
 				defer mu.Unlock()
 				if m.Open > 0 && s.Plan.Progress != nil && step < len(stages) {
 					open[w] = m.Open
 					n := 0
-					for _, o := range open {
-						n += o
+					for _, count := range open {
+						n += count
 					}
 					s.Plan.Progress(n, stages[step].idle)
 				}
@@ -87,13 +88,16 @@
 		}); err != nil {
 			return Report{}, err
 		}
-		if err := each(all, func(w *worker) error { _, err := io.WriteString(w.in, "\n"); return err }); err != nil {
+		if err := forEachWorker(workers, func(w *worker) error {
+			_, err := io.WriteString(w.in, "\n")
+			return err
+		}); err != nil {
 			return Report{}, fmt.Errorf("load: %w", err)
 		}
 	}
 	var reps []*Report
-	if err := each(all, func(w *worker) error {
-		return w.until(func(m message) bool {
+	if err := forEachWorker(workers, func(w *worker) error {
+		return w.readUntil(func(m message) bool {
 			if m.Report != nil {
 				mu.Lock()
 				reps = append(reps, m.Report)
@@ -107,82 +111,87 @@
 	return s.merge(reps)
 }
 
-// each runs do for all workers at once.
-func each(all []*worker, do func(*worker) error) error {
-	errs := make([]error, len(all))
-	var wait sync.WaitGroup
-	for i, w := range all {
-		wait.Add(1)
+// forEachWorker calls run for all workers concurrently and joins the errors.
+func forEachWorker(workers []*worker, run func(*worker) error) error {
+	errs := make([]error, len(workers))
+	var done sync.WaitGroup
+	for i, w := range workers {
+		done.Add(1)
 		go func() {
-			defer wait.Done()
-			errs[i] = do(w)
+			defer done.Done()
+			errs[i] = run(w)
 		}()
 	}
-	wait.Wait()
+	done.Wait()
 	return errors.Join(errs...)
 }
 
+// merge combines the reports of all workers: histograms are merged and counters are added.
 func (s Senders) merge(reps []*Report) (Report, error) {
 	rep := Report{Plan: s.Plan, Cores: reps[0].Cores}
 	for i, st := range s.Plan.stages() {
 		n := st.idle
-		sum := Step{
-			Name: st.name, Idle: n, taken: hdrhistogram.New(1, maxLatency, 3),
-			ended: hdrhistogram.New(1, maxLatency, 3),
+		total := Step{
+			Name: st.name, Idle: n, accepted: hdrhistogram.New(1, maxLatency, 3),
+			answered: hdrhistogram.New(1, maxLatency, 3),
 		}
 		for _, r := range reps {
-			x := r.Steps[i]
-			for raw, into := range map[*[]byte]*hdrhistogram.Histogram{&x.TakenHist: sum.taken, &x.EndedHist: sum.ended} {
-				h, err := hdrhistogram.Decode(*raw)
+			step := r.Steps[i]
+			for raw, into := range map[*[]byte]*hdrhistogram.Histogram{
+				&step.AcceptedHist: total.accepted, &step.AnsweredHist: total.answered,
+			} {
+				histogram, err := hdrhistogram.Decode(*raw)
 				if err != nil {
-					return rep, fmt.Errorf("load: a worker's distribution: %w", err)
+					return rep, fmt.Errorf("load: decoding a worker's distribution: %w", err)
 				}
-				into.Merge(h)
+				into.Merge(histogram)
 			}
-			sum.Opened += x.Opened
-			sum.OpenS = max(sum.OpenS, x.OpenS)
-			sum.Refused, sum.Failed, sum.Missed = sum.Refused+x.Refused, sum.Failed+x.Failed, sum.Missed+x.Missed
-			sum.Fired += x.Fired
-			sum.Lost, sum.Beats, sum.RSS, sum.CPU = sum.Lost+x.Lost, sum.Beats+x.Beats, sum.RSS+x.RSS, sum.CPU+x.CPU
+			total.Opened += step.Opened
+			total.OpenSeconds = max(total.OpenSeconds, step.OpenSeconds)
+			total.Rejected, total.Failed, total.Missed = total.Rejected+step.Rejected,
+				total.Failed+step.Failed, total.Missed+step.Missed
+			total.TimersFired += step.TimersFired
+			total.Lost, total.HeartbeatsSent, total.RSS, total.CPU = total.Lost+step.Lost,
+				total.HeartbeatsSent+step.HeartbeatsSent, total.RSS+step.RSS, total.CPU+step.CPU
 		}
-		if sum.Taken, sum.Ended = latency(sum.taken), latency(sum.ended); sum.OpenS > 0 {
-			sum.AcceptS = float64(sum.Opened) / sum.OpenS
+		if total.Accepted, total.Answered = newLatency(total.accepted), newLatency(total.answered); total.OpenSeconds > 0 {
+			total.ConnectionsPerSecond = float64(total.Opened) / total.OpenSeconds
 		}
 		if i > 0 && n > s.Plan.Steps[0] {
-			sum.PerConn = float64(sum.RSS-rep.Steps[0].RSS) / float64(n-s.Plan.Steps[0])
+			total.BytesPerConnection = float64(total.RSS-rep.Steps[0].RSS) / float64(n-s.Plan.Steps[0])
 		}
-		rep.Steps = append(rep.Steps, sum)
+		rep.Steps = append(rep.Steps, total)
 	}
 	rep.findKnee()
 	return rep, nil
 }
 
-// worker is a sender and the process that holds its clients.
+// worker is a sender and the process with its client connections.
 type worker struct {
 	sender, clients *exec.Cmd
 	in              io.WriteCloser
 	out             *bufio.Reader
 }
 
-// until reads lines up to the first that right accepts.
-func (w *worker) until(right func(message) bool) error {
+// readUntil reads messages up to the first that accept returns true for.
+func (w *worker) readUntil(accept func(message) bool) error {
 	for {
 		line, err := w.out.ReadBytes('\n')
 		if err != nil {
-			return fmt.Errorf("%w: %w", errWorker, err)
+			return fmt.Errorf("%w: %w", errWorkerEnded, err)
 		}
 		var m message
 		if err := json.Unmarshal(line, &m); err != nil {
-			return fmt.Errorf("load: a worker's line: %w", err)
+			return fmt.Errorf("load: parsing a worker's message: %w", err)
 		}
-		if right(m) {
+		if accept(m) {
 			return nil
 		}
 	}
 }
 
-// end kills both processes and waits for them.
-func (w *worker) end() {
+// kill ends both processes and waits for them.
+func (w *worker) kill() {
 	for _, c := range []*exec.Cmd{w.clients, w.sender} {
 		if c == nil || c.Process == nil {
 			continue
@@ -190,12 +199,12 @@
 		if c == w.clients {
 			_ = w.in.Close()
 		}
-		_ = c.Process.Kill() // by this process's own handle: only what was started here
+		_ = c.Process.Kill() // through its own process handle, so that only processes started here are killed
 		_ = c.Wait()
 	}
 }
 
-func (s Senders) start(ctx context.Context, dir, partner string, index int) (*worker, error) {
+func (s Senders) startWorker(ctx context.Context, dir, partner string, index int) (*worker, error) {
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("load: %w", err)
 	}
@@ -214,10 +223,10 @@
 	w := &worker{sender: exec.CommandContext(ctx, s.Program, "serve", "--config", file)}
 	w.sender.Env = append(os.Environ(), "LB_STATE="+dir, "LB_CONFIG=")
 	w.sender.Stderr = s.Log
-	if err := startOn(s.Pin, w.sender); err != nil {
+	if err := startOnCore(s.Pin, w.sender); err != nil {
 		return w, fmt.Errorf("load: starting a sender: %w", err)
 	}
-	if err := listens(addr); err != nil {
+	if err := waitForListener(addr); err != nil {
 		return w, err
 	}
 	p := s.Plan
@@ -247,22 +256,22 @@
 	return w, json.NewEncoder(w.in).Encode(p)
 }
 
-// startOn starts a command on one core: a child has the affinity of the thread that starts it.
-func startOn(core int, command *exec.Cmd) error {
+// startOnCore starts a command on one core: a child inherits the CPU affinity of the thread that starts it.
+func startOnCore(core int, command *exec.Cmd) error {
 	if core < 0 {
 		return command.Start()
 	}
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	var old, one unix.CPUSet
-	if err := unix.SchedGetaffinity(0, &old); err != nil {
-		return fmt.Errorf("reading the affinity: %w", err)
+	var previous, single unix.CPUSet
+	if err := unix.SchedGetaffinity(0, &previous); err != nil {
+		return fmt.Errorf("reading the CPU affinity: %w", err)
 	}
-	one.Set(core)
-	if err := unix.SchedSetaffinity(0, &one); err != nil {
-		return fmt.Errorf("core %d: %w", core, err)
+	single.Set(core)
+	if err := unix.SchedSetaffinity(0, &single); err != nil {
+		return fmt.Errorf("setting the CPU affinity to core %d: %w", core, err)
 	}
-	defer func() { _ = unix.SchedSetaffinity(0, &old) }() // it was allowed before
+	defer func() { _ = unix.SchedSetaffinity(0, &previous) }() // restores the affinity that the thread had before
 	return command.Start()
 }
 
@@ -299,7 +308,7 @@
 `, s.MemoryMB, sockets, front, s.Plan.Active.Class, s.Plan.Active.Dest, partner)
 }
 
-// freeAddr is an address that nobody listens on just now.
+// freeAddr returns a loopback address that no process is listening on at the time of the call.
 func freeAddr() (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -309,16 +318,16 @@
 	return ln.Addr().String(), nil
 }
 
-// finalsPath is where the sender delivers final answers.
+// finalsPath is the path that the sender posts final answers to.
 const finalsPath = "/v2/finals"
 
-// startPartner starts an endpoint that delivers every call at once, and accepts every final answer.
+// startPartner starts an endpoint that delivers every message immediately and accepts every final answer.
 func startPartner() (net.Listener, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("load: %w", err)
 	}
-	s := &http.Server{
+	server := &http.Server{
 		ReadHeaderTimeout: time.Minute,
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
@@ -327,6 +336,6 @@
 			}
 		}),
 	}
-	go func() { _ = s.Serve(ln) }() // ends with its listener
+	go func() { _ = server.Serve(ln) }() // returns when its listener is closed
 	return ln, nil
 }
--- a/internal/load/worker.go
+++ b/internal/load/worker.go
@@ -11,8 +11,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Worker runs a plan that comes as JSON on in, and reports on out, line by line: that a step's connections are open,
-// and, once a line has come for that on in, what the step showed, with its distributions.
+// Worker reads a plan as JSON from in and runs it. It writes messages to out, one per line: the number of open
+// connections, and Ready once a step's connections are open. It then waits for a line on in before it measures the
+// step. The last message is the report with its distributions.
 func Worker(ctx context.Context, in io.Reader, out io.Writer) error {
 	lines := bufio.NewReader(in)
 	raw, err := lines.ReadBytes('\n')
@@ -28,7 +29,7 @@
 	p.Progress = func(open, _ int) { _ = enc.Encode(message{Open: open}) }
 	p.Gate = func() error {
 		if err := enc.Encode(message{Ready: true}); err != nil {
-			return fmt.Errorf("telling that it is ready: %w", err)
+			return fmt.Errorf("reporting that the step is ready: %w", err)
 		}
 		_, err := lines.ReadBytes('\n')
 		return err
@@ -39,10 +40,10 @@
 	}
 	for i := range rep.Steps {
 		s := &rep.Steps[i]
-		if s.TakenHist, err = s.taken.Encode(hdrhistogram.V2CompressedEncodingCookieBase); err != nil {
+		if s.AcceptedHist, err = s.accepted.Encode(hdrhistogram.V2CompressedEncodingCookieBase); err != nil {
 			return fmt.Errorf("load: %w", err)
 		}
-		if s.EndedHist, err = s.ended.Encode(hdrhistogram.V2CompressedEncodingCookieBase); err != nil {
+		if s.AnsweredHist, err = s.answered.Encode(hdrhistogram.V2CompressedEncodingCookieBase); err != nil {
 			return fmt.Errorf("load: %w", err)
 		}
 	}
@@ -52,16 +53,16 @@
 	return nil
 }
 
-// message is one line of a worker's.
+// message is one line that a worker writes.
 type message struct {
 	Open   int     `json:"open,omitempty"`
 	Ready  bool    `json:"ready,omitempty"`
 	Report *Report `json:"report,omitempty"`
 }
 
-var errWorker = errors.New("load: a worker ended early")
+var errWorkerEnded = errors.New("load: a worker ended before its report")
 
-// Sources are the first n addresses of the loopback range to dial from, beside the first.
+// Sources returns n loopback addresses to dial from, starting at 127.0.0.2.
 func Sources(n int) []string {
 	list := make([]string, n)
 	for i := range list {
