--- a/internal/load/command/command.go
+++ b/internal/load/command/command.go
@@ -1,4 +1,4 @@
-// Package command is the load tool's command line.
+// Package command provides the command line of the load tool.
 package command
 
 import (
@@ -21,13 +21,13 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Command is the command line.
+// Command returns the root command with its subcommands.
 func Command() *cli.Command {
 	return &cli.Command{
 		Name: "brackendale load", Usage: "measure how a sender bears connections and messages",
 		Commands: []*cli.Command{
 			{
-				Name: "idle", Usage: "idle connections with a modest active load on top", Flags: idleFlags(), Action: loadIdle,
+				Name: "idle", Usage: "idle connections with a modest active load on top", Flags: idleFlags(), Action: runIdle,
 				Description: "Without --addr it starts its own senders, a process of clients for each, and a partner that " +
 					"delivers all.",
 			},
@@ -46,8 +46,8 @@
 	}
 }
 
-// report writes rep as JSON to the file that --json names, if any.
-func report(cmd *cli.Command, rep any) error {
+// writeReport writes rep as JSON to the file that --json names, if any.
+func writeReport(cmd *cli.Command, rep any) error {
 	file := cmd.String("json")
 	if file == "" {
 		return nil
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// idleFlags are the flags of load idle.
+// idleFlags returns the flags of load idle.
 func idleFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{Name: "proto", Value: "amqp", Usage: "the clients' protocol: amqp or resp"},
@@ -94,9 +94,9 @@
 	}
 }
 
-// loadIdle measures idle connections against a running sender or against its own.
-func loadIdle(ctx context.Context, cmd *cli.Command) error {
-	steps, err := numbers(cmd.String("step"))
+// runIdle measures idle connections against a running sender or against senders that it starts.
+func runIdle(ctx context.Context, cmd *cli.Command) error {
+	steps, err := parseSteps(cmd.String("step"))
 	if err != nil {
 		return fmt.Errorf("load idle: --step: %w", err)
 	}
@@ -117,7 +117,7 @@
 		p.Active.Body < 0:
 		return errors.New("load idle: --each, --at-once, --rate, --clients and --senders must be above 0")
 	}
-	p.Progress = progress(os.Stderr)
+	p.Progress = newProgress(os.Stderr)
 	var rep load.Report
 	if p.Addr != "" {
 		rep, err = load.Run(ctx, p)
@@ -138,7 +138,7 @@
 	if err := rep.Table(cmd.Root().Writer); err != nil {
 		return err
 	}
-	if err := report(cmd, rep); err != nil {
+	if err := writeReport(cmd, rep); err != nil {
 		return err
 	}
 	if file := cmd.String("png"); file != "" {
@@ -147,32 +147,32 @@
 	return nil
 }
 
-// numbers reads a list of numbers from 0 up, each no smaller than the one before it.
-func numbers(text string) ([]int, error) {
+// parseSteps parses a comma-separated list of numbers of at least 0 in ascending order.
+func parseSteps(text string) ([]int, error) {
 	var list []int
 	for f := range strings.SplitSeq(text, ",") {
 		n, err := strconv.Atoi(strings.TrimSpace(f))
 		if err != nil || n < 0 {
-			return nil, fmt.Errorf("%q is no number from 0 up", f)
+			return nil, fmt.Errorf("%q is not a number of at least 0", f)
 		}
 		list = append(list, n)
 	}
 	if !slices.IsSorted(list) {
-		return nil, errors.New("the steps must go up")
+		return nil, errors.New("the numbers must be in ascending order")
 	}
 	return list, nil
 }
 
-// progress shows a bar on a terminal, and nothing in a pipe.
-func progress(terminal *os.File) func(open, want int) {
+// newProgress returns a function that shows a progress bar, or nil where terminal is not a terminal.
+func newProgress(terminal *os.File) func(open, want int) {
 	if !isatty.IsTerminal(terminal.Fd()) {
 		return nil
 	}
 	var bar *progressbar.ProgressBar
-	was := -1
+	previous := -1
 	return func(open, want int) {
-		if want != was {
-			bar, was = progressbar.NewOptions(max(1, want), progressbar.OptionSetWriter(io.Writer(terminal)),
+		if want != previous {
+			bar, previous = progressbar.NewOptions(max(1, want), progressbar.OptionSetWriter(io.Writer(terminal)),
 				progressbar.OptionSetDescription("connections"), progressbar.OptionShowCount(),
 				progressbar.OptionClearOnFinish()), want
 		}
--- a/internal/load/command/conformance.go
+++ b/internal/load/command/conformance.go
@@ -20,12 +20,12 @@
 			&cli.StringFlag{Name: "md", Usage: "write the table to `FILE` instead of printing it"},
 			&cli.StringFlag{Name: "program", Usage: "another `SENDER` than the one beside this program"},
 		},
-		Action: conformance,
+		Action: runConformance,
 	}
 }
 
-// sender is the program that is tried: the one beside this, unless another is named.
-func sender(cmd *cli.Command) (string, error) {
+// senderProgram returns the path of the sender to test: --program, or else the one in the directory of this program.
+func senderProgram(cmd *cli.Command) (string, error) {
 	if program := cmd.String("program"); program != "" {
 		return program, nil
 	}
@@ -36,12 +36,12 @@
 	return filepath.Join(filepath.Dir(self), "brackendale"), nil
 }
 
-func conformance(ctx context.Context, cmd *cli.Command) error {
-	program, err := sender(cmd)
+func runConformance(ctx context.Context, cmd *cli.Command) error {
+	program, err := senderProgram(cmd)
 	if err != nil {
 		return err
 	}
-	rep, err := load.Conformance(ctx, program, io.Discard)
+	report, err := load.Conformance(ctx, program, io.Discard)
 	if err != nil {
 		return err
 	}
@@ -54,11 +54,11 @@
 		defer f.Close()
 		out = f
 	}
-	if err := rep.Markdown(out, "brackendale load conformance --md docs/amqp-conformance.md"); err != nil {
+	if err := report.Markdown(out, "brackendale load conformance --md docs/amqp-conformance.md"); err != nil {
 		return fmt.Errorf("load conformance: %w", err)
 	}
-	if n := rep.Failed(); n > 0 {
-		return errors.New(fmt.Sprint("load conformance: ", n, " scenes did not go as written"))
+	if n := report.Failed(); n > 0 {
+		return errors.New(fmt.Sprint("load conformance: ", n, " scenarios failed"))
 	}
 	return nil
 }
--- a/internal/load/command/flood.go
+++ b/internal/load/command/flood.go
@@ -27,13 +27,13 @@
 			&cli.DurationFlag{Name: "warm", Value: 5 * time.Second, Usage: "of ordinary traffic before the sender is killed"},
 			&cli.Int64Flag{Name: "seed", Value: 1},
 			&cli.StringFlag{Name: "json", Usage: "write the reports to `FILE`"},
-		}, Action: playConnectionFlood,
+		}, Action: runConnectionFlood,
 	}
 }
 
-// playConnectionFlood plays the connection flood against one sender after another.
-func playConnectionFlood(_ context.Context, cmd *cli.Command) error {
-	program, err := sender(cmd)
+// runConnectionFlood runs the connection flood against one sender after another.
+func runConnectionFlood(_ context.Context, cmd *cli.Command) error {
+	program, err := senderProgram(cmd)
 	if err != nil {
 		return err
 	}
@@ -41,8 +41,8 @@
 		return errors.New("load crowd: --clients, --per-s and --most must be above 0")
 	}
 	programs := []string{program}
-	if x := cmd.String("against"); x != "" {
-		programs = append(programs, x)
+	if other := cmd.String("against"); other != "" {
+		programs = append(programs, other)
 	}
 	var all []fleet.ConnectionFloodReport
 	for i, prog := range programs {
@@ -66,5 +66,5 @@
 			return err
 		}
 	}
-	return report(cmd, all)
+	return writeReport(cmd, all)
 }
--- a/internal/load/command/golden_test.go
+++ b/internal/load/command/golden_test.go
@@ -7,8 +7,8 @@
 	"brackendale/internal/testing/golden/commands"
 )
 
-// Every command and flag of the load tool. After a change that is meant,
-// go test ./internal/load/command -run Golden -update-golden writes them anew.
+// The golden file lists every command and flag of the load tool. After an intended change,
+// go test ./internal/load/command -run Golden -update-golden rewrites it.
 func TestGoldenCommands(t *testing.T) {
 	golden.Check(t, "commands.txt", commands.List(Command()))
 }
--- a/internal/load/command/group.go
+++ b/internal/load/command/group.go
@@ -15,11 +15,11 @@
 	"github.com/urfave/cli/v3"
 )
 
-// minLease is the shortest lease that a game accepts.
+// minLease is the shortest lease that a run accepts.
 const minLease = 200 * time.Millisecond
 
 // drawnTargets are the members that a drawn plan may name. Lease holders and the leader have several
-// entries by their roles, so that faults meet them more often.
+// entries by their roles, so that faults are applied to them more often.
 var drawnTargets = []string{"holder:duty1", "leader", "a", "b", "c", "holder:duty2"}
 
 func groupCommand() *cli.Command {
@@ -45,13 +45,13 @@
 			&cli.StringFlag{Name: "json", Usage: "write the reports to `FILE`"},
 			&cli.StringFlag{Name: "line", Usage: "write the last game's time line to `FILE`, an event a line"},
 			&cli.StringFlag{Name: "png", Usage: "draw the last game into `FILE`: who held what, over the faults"},
-		}, Action: playGroup,
+		}, Action: runGroup,
 	}
 }
 
-// playGroup plays the games of one command, and fails where two members ever held one duty at once.
-func playGroup(_ context.Context, cmd *cli.Command) error {
-	program, err := sender(cmd)
+// runGroup runs all scenarios of one command, and fails if two members ever held one duty at the same time.
+func runGroup(_ context.Context, cmd *cli.Command) error {
+	program, err := senderProgram(cmd)
 	if err != nil {
 		return err
 	}
@@ -60,12 +60,12 @@
 		return errors.New("load group: --members from 3, --duties and --games from 1, --lease from 200ms")
 	}
 	if list := cmd.String("cost"); list != "" {
-		return cost(cmd, program, list)
+		return measureCost(cmd, program, list)
 	}
 	kinds := strings.Split(cmd.String("kinds"), ",")
 	for _, kind := range kinds {
 		if _, ok := fleet.Do[kind]; !ok {
-			return fmt.Errorf("load group: --kinds: %q is none of the faults", kind)
+			return fmt.Errorf("load group: --kinds: %q is not a fault", kind)
 		}
 	}
 	plan, err := readPlan(cmd.String("plan"))
@@ -76,38 +76,38 @@
 	var total fleet.Report
 	var line *fleet.Timeline
 	for i := range cmd.Int("games") {
-		game := newGame(cmd, program, int64(i))
-		if game.Plan = plan; plan == nil {
-			game.Plan = fleet.Draw(game.Seed, cmd.Int("faults"), game.Lease, kinds, drawnTargets)
+		scenario := newScenario(cmd, program, int64(i))
+		if scenario.Plan = plan; plan == nil {
+			scenario.Plan = fleet.Draw(scenario.Seed, cmd.Int("faults"), scenario.Lease, kinds, drawnTargets)
 		}
 		var rep fleet.Report
-		if rep, line, err = play(game); err != nil {
-			return fmt.Errorf("load group: seed %d: %w", game.Seed, err)
+		if rep, line, err = runScenario(scenario); err != nil {
+			return fmt.Errorf("load group: seed %d: %w", scenario.Seed, err)
 		}
 		reports = append(reports, rep)
 		total.Verdict.Add(rep.Verdict)
 		total.Handovers = append(total.Handovers, rep.Handovers...)
 		fmt.Fprintf(cmd.Root().Writer, "seed %d: %d faults, %d acts, %d refused, %d hand-overs; overlaps %d, "+
-			"old epochs taken %d, epochs of two %d\n", game.Seed, len(game.Plan), rep.Verdict.Acts, rep.Verdict.Refused,
+			"old epochs taken %d, epochs of two %d\n", scenario.Seed, len(scenario.Plan), rep.Verdict.Acts, rep.Verdict.Refused,
 			len(rep.Handovers), rep.Verdict.Overlaps, rep.Verdict.Old, rep.Verdict.Shared)
 	}
 	if err := showTotal(cmd.Root().Writer, total); err != nil {
 		return err
 	}
-	if err := report(cmd, reports); err != nil {
+	if err := writeReport(cmd, reports); err != nil {
 		return err
 	}
 	if err := writeTimeline(cmd, line); err != nil {
 		return err
 	}
 	if !total.Verdict.Right() {
-		return errors.New("load group: two held one duty at once")
+		return errors.New("load group: two members held one duty at the same time")
 	}
 	return nil
 }
 
-// newGame is the game of a command with the index-th seed, without its plan.
-func newGame(cmd *cli.Command, program string, index int64) fleet.Scenario {
+// newScenario returns the scenario of a command with the index-th seed, without its fault schedule.
+func newScenario(cmd *cli.Command, program string, index int64) fleet.Scenario {
 	lease := cmd.Duration("lease")
 	return fleet.Scenario{
 		Program: program,
@@ -121,7 +121,7 @@
 	}
 }
 
-// readPlan reads a fault schedule from a file; nil where no file is named.
+// readPlan reads a fault schedule from a file; it returns nil if name is empty.
 func readPlan(name string) ([]fleet.Step, error) {
 	if name == "" {
 		return nil, nil
@@ -137,7 +137,7 @@
 	return plan, nil
 }
 
-// writeTimeline writes the last game's time line to the files that --line and --png name.
+// writeTimeline writes the last run's timeline to the files that --line and --png name.
 func writeTimeline(cmd *cli.Command, line *fleet.Timeline) error {
 	if name := cmd.String("line"); name != "" {
 		file, err := os.Create(name)
@@ -154,18 +154,18 @@
 	return nil
 }
 
-// play plays one game in a folder that is removed afterwards.
-func play(game fleet.Scenario) (fleet.Report, *fleet.Timeline, error) {
+// runScenario runs one scenario in a directory that is removed afterwards.
+func runScenario(scenario fleet.Scenario) (fleet.Report, *fleet.Timeline, error) {
 	dir, err := fleet.TempDir()
 	if err != nil {
 		return fleet.Report{}, nil, err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	game.Dir = dir
-	return game.Play()
+	scenario.Dir = dir
+	return scenario.Play()
 }
 
-// showTotal writes the sums over all games.
+// showTotal writes the totals over all runs.
 func showTotal(out io.Writer, total fleet.Report) error {
 	fmt.Fprintf(out, "in all: %d acts, %d of older epochs refused; overlaps %d, old epochs taken %d, epochs of two "+
 		"%d\n", total.Verdict.Acts, total.Verdict.Refused,
@@ -174,19 +174,19 @@
 		fmt.Fprintln(out, "  ", b)
 	}
 	_, err := fmt.Fprintln(out, "from the fault to the next holder's first act, ms:")
-	for _, l := range fleet.Pauses(total.Handovers) {
-		_, err = fmt.Fprintf(out, "  %-8s %4d times  median %5.0f  nine tenths %5.0f  longest %5.0f\n", l.Fault,
-			l.Count, l.MedianMs, l.P90Ms, l.LongestMs)
+	for _, pause := range fleet.Pauses(total.Handovers) {
+		_, err = fmt.Fprintf(out, "  %-8s %4d times  median %5.0f  nine tenths %5.0f  longest %5.0f\n", pause.Fault,
+			pause.Count, pause.MedianMs, pause.P90Ms, pause.LongestMs)
 	}
 	return err
 }
 
-// costDuration is the time over which the cost of one group size is taken.
+// costDuration is the time over which the cost of one group size is measured.
 const costDuration = 10 * time.Second
 
-// cost measures what a member of a group costs, for each number of members in list.
-func cost(cmd *cli.Command, program, list string) error {
-	sizes, err := numbers(list)
+// measureCost measures the CPU time, memory and traffic of a member, for each number of members in list.
+func measureCost(cmd *cli.Command, program, list string) error {
+	sizes, err := parseSteps(list)
 	if err != nil {
 		return fmt.Errorf("load group: --cost: %w", err)
 	}
@@ -196,18 +196,19 @@
 			return err
 		}
 		lease := cmd.Duration("lease")
-		game := fleet.Scenario{
+		scenario := fleet.Scenario{
 			Program: program, Dir: dir, Members: max(n, 3), Duties: 1, Lease: lease, Every: lease,
 			Longest: lease / 4, Seed: 1,
 		}
-		each, err := game.MeasureCost(costDuration, n == 0)
+		memberCost, err := scenario.MeasureCost(costDuration, n == 0)
 		_ = os.RemoveAll(dir)
 		if err != nil {
 			return err
 		}
 		if _, err := fmt.Fprintf(cmd.Root().Writer,
-			"%3d members: %.2f%% of a core and %.1f MB each (the leader %.2f%%, %.1f MB), %.0f bytes/s each\n", n, 100*each.CPU,
-			each.RSSMB, 100*each.LeaderCPU, each.LeaderMB, each.BytesPerS); err != nil {
+			"%3d members: %.2f%% of a core and %.1f MB each (the leader %.2f%%, %.1f MB), %.0f bytes/s each\n", n,
+			100*memberCost.CPU,
+			memberCost.RSSMB, 100*memberCost.LeaderCPU, memberCost.LeaderMB, memberCost.BytesPerS); err != nil {
 			return err
 		}
 	}
--- a/internal/load/command/limit.go
+++ b/internal/load/command/limit.go
@@ -30,13 +30,13 @@
 			&cli.IntFlag{Name: "kill", Value: 4, Usage: "senders that are killed after the first phase"},
 			&cli.DurationFlag{Name: "warm", Value: 8 * time.Second, Usage: "before each phase"},
 			&cli.DurationFlag{Name: "each", Value: 15 * time.Second, Usage: "how long a phase is measured"},
-		}, Action: playLimit,
+		}, Action: runLimit,
 	}
 }
 
-// playLimit plays the same traffic with a group and without one, and prints both.
-func playLimit(_ context.Context, cmd *cli.Command) error {
-	program, err := sender(cmd)
+// runLimit runs the same traffic with a group and without one, and prints both.
+func runLimit(_ context.Context, cmd *cli.Command) error {
+	program, err := senderProgram(cmd)
 	if err != nil {
 		return err
 	}
@@ -44,8 +44,8 @@
 		!(cmd.Float("per-s") > 0) || !(cmd.Float("demand") > 0) {
 		return errors.New("load limit: --senders from 3, --kill under that, --per-s and --demand above 0")
 	}
-	if m := cmd.String("meet"); m != "" && (fleet.Do[m] != 1 || cmd.Duration("down") == 0) {
-		return fmt.Errorf("load limit: --meet: %q is no fault that names one member, or there is no --down", m)
+	if fault := cmd.String("meet"); fault != "" && (fleet.Do[fault] != 1 || cmd.Duration("down") == 0) {
+		return fmt.Errorf("load limit: --meet: %q is not a fault of a single member, or --down is missing", fault)
 	}
 	out := make([][]fleet.Phase, 2)
 	if err := sideBySide(2, func(i int, dir string) (err error) {
@@ -58,11 +58,12 @@
 	}); err != nil {
 		return err
 	}
-	for i, p := range out[0] {
+	for i, phase := range out[0] {
 		if _, err := fmt.Fprintf(cmd.Root().Writer,
 			"%-18s as a group: %.3f of the limit used, %.1f%% of calls refused, %.2f/s while down, %d falls, tried by "+
 				"one alone %d times; without: %.3f, %.1f%%, %.2f/s, %d\n",
-			p.Name, p.Used, 100*p.Refused, p.Lost, p.Falls, p.SoleProbes, out[1][i].Used, 100*out[1][i].Refused,
+			phase.Name, phase.Used, 100*phase.Refused, phase.Lost, phase.Falls, phase.SoleProbes, out[1][i].Used,
+			100*out[1][i].Refused,
 			out[1][i].Lost, out[1][i].Falls); err != nil {
 			return err
 		}
@@ -70,22 +71,22 @@
 	return nil
 }
 
-// sideBySide plays so many games at once, each in a folder of its own.
-func sideBySide(games int, play func(i int, dir string) error) error {
-	errs := make([]error, games)
-	var all sync.WaitGroup
-	for i := range games {
-		all.Add(1)
+// sideBySide calls run count times concurrently, each time with its own temporary directory.
+func sideBySide(count int, run func(i int, dir string) error) error {
+	errs := make([]error, count)
+	var done sync.WaitGroup
+	for i := range count {
+		done.Add(1)
 		go func() {
-			defer all.Done()
+			defer done.Done()
 			dir, err := fleet.TempDir()
 			if err == nil {
 				defer func() { _ = os.RemoveAll(dir) }()
-				err = play(i, dir)
+				err = run(i, dir)
 			}
 			errs[i] = err
 		}()
 	}
-	all.Wait()
+	done.Wait()
 	return errors.Join(errs...)
 }
--- a/internal/load/command/massrestart.go
+++ b/internal/load/command/massrestart.go
@@ -45,13 +45,13 @@
 				"what the partner takes"},
 			&cli.StringFlag{Name: "html", Usage: "write all of it into one `FILE` to be looked at"},
 			&cli.DurationFlag{Name: "watch", Value: 14 * time.Second, Usage: "after they are back"},
-		}, Action: playMassRestart,
+		}, Action: runMassRestart,
 	}
 }
 
-// playMassRestart plays mass restarts of one or two programs side by side, and writes what came of them.
-func playMassRestart(_ context.Context, cmd *cli.Command) error {
-	program, err := sender(cmd)
+// runMassRestart runs mass restarts of one or two programs side by side, and writes the results.
+func runMassRestart(_ context.Context, cmd *cli.Command) error {
+	program, err := senderProgram(cmd)
 	if err != nil {
 		return err
 	}
@@ -60,25 +60,25 @@
 		return errors.New("load herd: --kill from 1 to --senders, --per-s and --come above 0")
 	}
 	programs := []string{program}
-	if x := cmd.String("against"); x != "" {
-		programs = append(programs, x)
+	if other := cmd.String("against"); other != "" {
+		programs = append(programs, other)
 	}
 	if !slices.Contains(fleet.Folders, cmd.String("folders")) || cmd.Int("games") < 1 || cmd.Int("waves") < 1 {
 		return fmt.Errorf("load herd: --folders is one of %v, --games and --waves from 1", fleet.Folders)
 	}
-	all := make([][]fleet.MassRestartReport, len(programs)) // by program, then game
+	all := make([][]fleet.MassRestartReport, len(programs)) // by program, then run
 	for n := range cmd.Int("games") {
-		reps := make([]fleet.MassRestartReport, len(programs))
+		reports := make([]fleet.MassRestartReport, len(programs))
 		if err := sideBySide(len(programs), func(i int, dir string) (err error) {
-			game := newMassRestart(cmd, programs[i], int64(n))
-			game.Dir = dir
-			reps[i], err = game.Play()
+			scenario := newMassRestart(cmd, programs[i], int64(n))
+			scenario.Dir = dir
+			reports[i], err = scenario.Play()
 			return err
 		}); err != nil {
 			return err
 		}
-		for i := range reps {
-			all[i] = append(all[i], reps[i])
+		for i := range reports {
+			all[i] = append(all[i], reports[i])
 		}
 	}
 	var lines []string
@@ -89,10 +89,10 @@
 		}
 	}
 	if file := cmd.String("html"); file != "" {
-		played := fmt.Sprintf("%d of %d senders killed and back after %v, folders %s, %g messages a second, a limit "+
+		description := fmt.Sprintf("%d of %d senders killed and back after %v, folders %s, %g messages a second, a limit "+
 			"of %g calls a second, seeds from %d on.", cmd.Int("kill"), cmd.Int("senders"),
 			cmd.Duration("out"), cmd.String("folders"), cmd.Float("come"), cmd.Float("per-s"), cmd.Int64("seed"))
-		if err := load.MassRestartPage(file, played, lines, all, cmd.Float("per-s")); err != nil {
+		if err := load.MassRestartPage(file, description, lines, all, cmd.Float("per-s")); err != nil {
 			return err
 		}
 	}
@@ -105,10 +105,10 @@
 			return err
 		}
 	}
-	return report(cmd, all)
+	return writeReport(cmd, all)
 }
 
-// newMassRestart is the mass restart of a command with the index-th seed.
+// newMassRestart returns the mass restart scenario of a command with the index-th seed.
 func newMassRestart(cmd *cli.Command, program string, index int64) fleet.MassRestart {
 	return fleet.MassRestart{
 		Program:         program,
@@ -128,33 +128,34 @@
 	}
 }
 
-// massRestartSummary is one line with the means over games.
-func massRestartSummary(list []fleet.MassRestartReport, perS float64) string {
-	var most, refused, behind []float64
-	never := 0
-	for _, r := range list {
-		most = append(most, float64(r.Most))
+// massRestartSummary returns one line with the means over all runs.
+func massRestartSummary(reports []fleet.MassRestartReport, limitPerSecond float64) string {
+	var maxCalls, refused, behind []float64
+	unfinished := 0
+	for _, r := range reports {
+		maxCalls = append(maxCalls, float64(r.Most))
 		refused = append(refused, 100*float64(r.Refused)/float64(max(1, r.Calls)))
 		if r.Behind == 0 {
-			never++
+			unfinished++
 			continue
 		}
 		behind = append(behind, r.Behind.Seconds())
 	}
-	late := "never while it was watched"
+	delay := "never while it was watched"
 	if len(behind) > 0 {
-		late = "after " + interval(behind) + " s"
-		if never > 0 {
-			late += fmt.Sprintf(" (%d of %d not while it was watched)", never, len(list))
+		delay = "after " + confidenceInterval(behind) + " s"
+		if unfinished > 0 {
+			delay += fmt.Sprintf(" (%d of %d not while it was watched)", unfinished, len(reports))
 		}
 	}
 	return fmt.Sprintf("%s calls in half a second at most (limit %.0f); %s%% refused in 10 s; a second's work "+
-		"behind at most: %s", interval(most), perS/2,
-		interval(refused), late)
+		"behind at most: %s", confidenceInterval(maxCalls), limitPerSecond/2,
+		confidenceInterval(refused), delay)
 }
 
-// interval is a mean with half of its 95% interval, by the t distribution's values for few games.
-func interval(values []float64) string {
+// confidenceInterval formats a mean with half the width of its 95% confidence interval, by the t distribution for
+// small samples.
+func confidenceInterval(values []float64) string {
 	sum, square := 0.0, 0.0
 	for _, v := range values {
 		sum += v
@@ -166,6 +167,6 @@
 	for _, v := range values {
 		square += (v - mean) * (v - mean)
 	}
-	t := []float64{12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26}[min(len(values)-2, 8)]
-	return fmt.Sprintf("%.1f ± %.1f", mean, t*math.Sqrt(square/float64(len(values)-1)/float64(len(values))))
+	quantile := []float64{12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26}[min(len(values)-2, 8)]
+	return fmt.Sprintf("%.1f ± %.1f", mean, quantile*math.Sqrt(square/float64(len(values)-1)/float64(len(values))))
 }
