--- a/interop/interop_test.go
+++ b/interop/interop_test.go
@@ -1,5 +1,5 @@
-// Package interop tries client libraries from the registries against a running sender. It is a module of its own, so
-// that the sender does not carry them.
+// Package interop tests client libraries from public registries against a running sender. It is a separate module, so
+// that the sender does not depend on them.
 package interop
 
 import (
@@ -20,11 +20,11 @@
 	amqp "github.com/rabbitmq/amqp091-go"
 )
 
-const long = 20 * time.Second // ends a hang; no scene passes or fails by time
+const hangTimeout = 20 * time.Second // ends a hang; no test case depends on timing
 
 var program string
 
-// TestMain builds the sender, unless INTEROP_PROGRAM names one that is to be tried.
+// TestMain builds the sender, unless INTEROP_PROGRAM names an executable to test.
 func TestMain(m *testing.M) {
 	if program = os.Getenv("INTEROP_PROGRAM"); program != "" {
 		os.Exit(m.Run())
@@ -45,7 +45,7 @@
 	os.Exit(code)
 }
 
-// site is a running sender and its partner.
+// site is a sender, its configuration and its stand-in endpoint.
 type site struct {
 	t       *testing.T
 	url     string
@@ -59,14 +59,14 @@
 func start(t *testing.T) *site {
 	t.Helper()
 	s := prepare(t)
-	addr := free(t)
+	addr := freeAddr(t)
 	s.write(fmt.Sprintf("listen = %q\nuser = \"lab\"\npassword = \"secret\"\nexchange = \"messages\"\n", addr))
 	s.serve(addr)
 	s.url = "amqp://lab:secret@" + addr + "/"
 	return s
 }
 
-// prepare makes a site that does not run yet.
+// prepare creates a site whose sender is not started yet.
 func prepare(t *testing.T) *site {
 	t.Helper()
 	s := &site{t: t, applied: map[string]int{}, dir: t.TempDir()}
@@ -81,8 +81,8 @@
 	return s
 }
 
-// free finds an address that nobody listens on.
-func free(t *testing.T) string {
+// freeAddr returns a loopback address that no process is listening on at the time of the call.
+func freeAddr(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -94,7 +94,7 @@
 
 func (s *site) file() string { return filepath.Join(s.dir, "site.toml") }
 
-// write makes the site's file, of the part that begins with the AMQP front's keys.
+// write writes the configuration file; amqpPart starts with the keys of its [amqp] section.
 func (s *site) write(amqpPart string) {
 	s.t.Helper()
 	if err := os.WriteFile(s.file(), fmt.Appendf(nil, `[[class]]
@@ -114,7 +114,7 @@
 	}
 }
 
-// serve runs the program, which must come to listen there.
+// serve starts the sender and waits until it accepts connections at addr.
 func (s *site) serve(addr string) {
 	s.t.Helper()
 	c := exec.Command(program, "serve", "--config", s.file())
@@ -124,11 +124,11 @@
 	}
 	s.proc = c.Process
 	s.t.Cleanup(func() { _ = c.Process.Kill(); _ = c.Wait() })
-	for began := time.Now(); ; time.Sleep(5 * time.Millisecond) {
+	for started := time.Now(); ; time.Sleep(5 * time.Millisecond) {
 		if p, err := net.Dial("tcp", addr); err == nil {
 			_ = p.Close()
 			return
-		} else if time.Since(began) > long {
+		} else if time.Since(started) > hangTimeout {
 			s.t.Fatal(err)
 		}
 	}
@@ -148,12 +148,12 @@
 	return ch
 }
 
-// publish hands a message in and waits for its confirm.
+// publish submits a message and waits for its confirm.
 func (s *site) publish(ch *amqp.Channel, id, replyTo string) error {
 	if err := ch.Confirm(false); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), long)
+	ctx, cancel := context.WithTimeout(context.Background(), hangTimeout)
 	defer cancel()
 	d, err := ch.PublishWithDeferredConfirmWithContext(ctx, "messages", "1", true, false,
 		amqp.Publishing{MessageId: id, Type: "charge", ReplyTo: replyTo, CorrelationId: "c-" + id, Body: []byte("body")})
@@ -166,8 +166,8 @@
 	return nil
 }
 
-// answered waits for the one final answer and for the partner having had the message once.
-func (s *site) answered(answers <-chan amqp.Delivery, id string) error {
+// checkDelivered waits for the final answer and checks that the endpoint received the message exactly once.
+func (s *site) checkDelivered(answers <-chan amqp.Delivery, id string) error {
 	select {
 	case d := <-answers:
 		s.mu.Lock()
@@ -177,13 +177,13 @@
 			return fmt.Errorf("%s %s %s, applied %d times", d.MessageId, d.CorrelationId, d.Type, n)
 		}
 		return nil
-	case <-time.After(long):
-		return errors.New("no answer")
+	case <-time.After(hangTimeout):
+		return errors.New("no final answer")
 	}
 }
 
-// refused wants a fault of that code.
-func refused(err error, code int) error {
+// wantError returns nil if err is an AMQP error with that code.
+func wantError(err error, code int) error {
 	var e *amqp.Error
 	if !errors.As(err, &e) || e.Code != code {
 		return fmt.Errorf("want %d: %w", code, err)
@@ -191,24 +191,25 @@
 	return nil
 }
 
-// The scenes of a client library that uses what it offers; what is refused is refused with the code of docs/amqp.md.
-func TestScenes(t *testing.T) {
+// A client library must be able to use each feature, and what the sender does not support must be refused with the
+// code that docs/amqp.md lists.
+func TestClientFeatures(t *testing.T) {
 	s := start(t)
-	for name, scene := range map[string]func(ch *amqp.Channel, id string) error{
+	for name, testCase := range map[string]func(ch *amqp.Channel, id string) error{
 		"publish, confirm, answer, ack": func(ch *amqp.Channel, id string) error {
 			answers, err := ch.Consume(id, "", false, false, false, false, nil)
 			if err == nil {
 				err = s.publish(ch, id, id)
 			}
-			return errors.Join(err, s.answered(answers, id))
+			return errors.Join(err, s.checkDelivered(answers, id))
 		},
 		"consume without acknowledgement": func(ch *amqp.Channel, id string) error {
 			answers, err := ch.Consume(id, "", true, false, false, false, nil)
-			return errors.Join(err, s.publish(ch, id, id), s.answered(answers, id))
+			return errors.Join(err, s.publish(ch, id, id), s.checkDelivered(answers, id))
 		},
 		"direct reply-to": func(ch *amqp.Channel, id string) error {
 			answers, err := ch.Consume("amq.rabbitmq.reply-to", "", true, false, false, false, nil)
-			return errors.Join(err, s.publish(ch, id, "amq.rabbitmq.reply-to"), s.answered(answers, id))
+			return errors.Join(err, s.publish(ch, id, "amq.rabbitmq.reply-to"), s.checkDelivered(answers, id))
 		},
 		"a queue of the server's naming": func(ch *amqp.Channel, id string) error {
 			q, err := ch.QueueDeclare("", false, true, true, false, nil)
@@ -216,7 +217,7 @@
 				return err
 			}
 			answers, err := ch.Consume(q.Name, "", false, true, false, false, nil)
-			return errors.Join(err, s.publish(ch, id, q.Name), s.answered(answers, id))
+			return errors.Join(err, s.publish(ch, id, q.Name), s.checkDelivered(answers, id))
 		},
 		"get": func(ch *amqp.Channel, id string) error {
 			if _, err := ch.QueueDeclare(id, true, false, false, false, nil); err != nil {
@@ -233,7 +234,7 @@
 				if ok {
 					one := make(chan amqp.Delivery, 1)
 					one <- d
-					return errors.Join(s.answered(one, id), d.Ack(false))
+					return errors.Join(s.checkDelivered(one, id), d.Ack(false))
 				}
 				time.Sleep(time.Millisecond)
 			}
@@ -281,29 +282,29 @@
 			return ch.ExchangeDeclarePassive("messages", "direct", true, false, false, false, nil)
 		},
 		"exchange.declare of another": func(ch *amqp.Channel, _ string) error {
-			return refused(ch.ExchangeDeclare("mine", "topic", true, false, false, false, nil), 403)
+			return wantError(ch.ExchangeDeclare("mine", "topic", true, false, false, false, nil), 403)
 		},
 		"queue.bind": func(ch *amqp.Channel, id string) error {
 			_, err := ch.QueueDeclare(id, true, false, false, false, nil)
-			return errors.Join(err, refused(ch.QueueBind(id, "1", "messages", false, nil), 540))
+			return errors.Join(err, wantError(ch.QueueBind(id, "1", "messages", false, nil), 540))
 		},
 		"transactions": func(ch *amqp.Channel, id string) error {
 			answers, err := ch.Consume(id, "", false, false, false, false, nil)
 			if err = errors.Join(err, ch.Tx()); err != nil {
 				return err
 			}
-			put := func(id, replyTo string) error {
+			publishInTx := func(id, replyTo string) error {
 				return ch.PublishWithContext(context.Background(), "messages", "1", false, false,
 					amqp.Publishing{MessageId: id, Type: "charge", ReplyTo: replyTo, CorrelationId: "c-" + id})
 			}
-			if err := errors.Join(put(id+"-back", id), ch.TxRollback(), put(id, id), ch.TxCommit(),
-				s.answered(answers, id)); err != nil {
+			if err := errors.Join(publishInTx(id+"-back", id), ch.TxRollback(), publishInTx(id, id), ch.TxCommit(),
+				s.checkDelivered(answers, id)); err != nil {
 				return err
 			}
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			if s.applied[id+"-back"] != 0 {
-				return errors.New("what was rolled back was applied")
+				return errors.New("a publish that was rolled back was applied")
 			}
 			return nil
 		},
@@ -322,14 +323,14 @@
 		"another virtual host": func(*amqp.Channel, string) error {
 			_,
 				err := amqp.Dial(s.url + "other")
-			return refused(err, 530)
+			return wantError(err, 530)
 		},
 		"a wrong password": func(*amqp.Channel, string) error {
 			_, err := amqp.DialConfig(s.url, amqp.Config{SASL: []amqp.Authentication{&amqp.PlainAuth{
 				Username: "lab",
 				Password: "x",
 			}}})
-			return refused(err, 403)
+			return wantError(err, 403)
 		},
 		"AMQPLAIN": func(*amqp.Channel, string) error {
 			c, err := amqp.DialConfig(s.url, amqp.Config{SASL: []amqp.Authentication{&amqp.AMQPlainAuth{
@@ -357,16 +358,16 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if err := scene(s.channel(), fmt.Sprintf("id-%d", time.Now().UnixNano())); err != nil {
+			if err := testCase(s.channel(), fmt.Sprintf("id-%d", time.Now().UnixNano())); err != nil {
 				t.Error(err)
 			}
 		})
 	}
 }
 
-// A burst far above the sender's hold: what the library tells of each publish is what became of it.
-// Those confirmed have one answer each, those refused have none.
-func TestBurstAboveTheHold(t *testing.T) {
+// A burst far above the number of messages that the sender queues must end with a confirm or a rejection for each
+// publish: confirmed messages have one final answer each, rejected messages have none.
+func TestBurstAboveQueueLimit(t *testing.T) {
 	s := start(t)
 	ch := s.channel()
 	answers, err := ch.Consume("answers", "", true, false, false, false, nil)
@@ -374,36 +375,36 @@
 		t.Fatal(err)
 	}
 	const burst = 4000
-	said := ch.NotifyPublish(make(chan amqp.Confirmation, burst))
+	confirms := ch.NotifyPublish(make(chan amqp.Confirmation, burst))
 	for i := range burst {
 		if err := ch.PublishWithContext(context.Background(), "messages", "1", false, false,
 			amqp.Publishing{MessageId: fmt.Sprint("m", i+1), Type: "charge", ReplyTo: "answers"}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	taken := map[string]bool{}
+	confirmed := map[string]bool{}
 	for range burst {
 		select {
-		case c := <-said:
+		case c := <-confirms:
 			if c.Ack {
-				taken[fmt.Sprint("m", c.DeliveryTag)] = true
+				confirmed[fmt.Sprint("m", c.DeliveryTag)] = true
 			}
-		case <-time.After(long):
-			t.Fatal("a publish has no confirm")
+		case <-time.After(hangTimeout):
+			t.Fatal("a publish has neither a confirm nor a rejection")
 		}
 	}
-	if len(taken) == 0 || len(taken) == burst {
-		t.Fatal("the hold was not filled:", len(taken))
+	if len(confirmed) == 0 || len(confirmed) == burst {
+		t.Fatal("want some publishes confirmed and some rejected; confirmed:", len(confirmed))
 	}
-	for n := len(taken); n > 0; n-- {
+	for n := len(confirmed); n > 0; n-- {
 		select {
 		case d := <-answers:
-			if !taken[d.MessageId] {
-				t.Errorf("%s was refused, and has an answer", d.MessageId)
+			if !confirmed[d.MessageId] {
+				t.Errorf("%s was rejected, but has a final answer", d.MessageId)
 			}
-			delete(taken, d.MessageId)
-		case <-time.After(long):
-			t.Fatal(len(taken), "were confirmed, and have no answer")
+			delete(confirmed, d.MessageId)
+		case <-time.After(hangTimeout):
+			t.Fatal(len(confirmed), "publishes were confirmed, but have no final answer")
 		}
 	}
 }
--- a/interop/restart_test.go
+++ b/interop/restart_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// Six senders with one partner are killed in one instant, each with a charge that is out there and
-// four that it holds, and started again. Each charge has one end, what was out is not sent again,
-// and what was held is delivered once.
+// Six senders with one endpoint are killed at the same time and started again, each with one unsafe message in flight
+// and four queued. Each message must have exactly one final answer, messages in flight must not be sent again, and
+// queued messages must be delivered once.
 func TestManyProcessesKilledAtOnce(t *testing.T) {
 	const senders, charges = 6, 5
 	sites, addrs := make([]*site, senders), make([]string, senders)
 	first := prepare(t)
-	killed, held := make(chan struct{}), make(chan struct{}, senders*charges)
+	killed, inFlight := make(chan struct{}), make(chan struct{}, senders*charges)
 	partner := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		first.mu.Lock()
@@ -25,7 +25,7 @@
 		select {
 		case <-killed:
 		default:
-			held <- struct{}{}
+			inFlight <- struct{}{}
 			<-killed
 		}
 	}))
@@ -35,7 +35,7 @@
 		if i > 0 {
 			s = prepare(t)
 		}
-		s.partner, addrs[i] = partner.Listener.Addr().String(), free(t)
+		s.partner, addrs[i] = partner.Listener.Addr().String(), freeAddr(t)
 		s.url = "amqp://lab:secret@" + addrs[i] + "/"
 		s.write(fmt.Sprintf("listen = %q\nuser = \"lab\"\npassword = \"secret\"\nexchange = \"messages\"\n", addrs[i]))
 		s.serve(addrs[i])
@@ -47,11 +47,11 @@
 			}
 		}
 	}
-	for range sites { // one is out at each, or more on a slow machine: a sender first wants an answer
+	for range sites { // one message is in flight at each, or more on a slow machine: a sender first waits for a response
 		select {
-		case <-held:
-		case <-time.After(long):
-			t.Fatal("not every sender has a charge out")
+		case <-inFlight:
+		case <-time.After(hangTimeout):
+			t.Fatal("not every sender has a message in flight")
 		}
 	}
 	for _, s := range sites {
@@ -62,30 +62,30 @@
 		_, _ = s.proc.Wait()
 		s.serve(addrs[i])
 	}
-	tally := map[string]int{}
+	counts := map[string]int{}
 	for _, s := range sites {
 		answers, err := s.channel().Consume("answers", "", true, false, false, false, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		ends := map[string]bool{}
-		for len(ends) < charges {
+		finalAnswers := map[string]bool{}
+		for len(finalAnswers) < charges {
 			select {
 			case d := <-answers:
 				first.mu.Lock()
 				n := first.applied[d.MessageId]
 				first.mu.Unlock()
-				if ends[d.MessageId] {
-					t.Errorf("%s ended twice", d.MessageId)
+				if finalAnswers[d.MessageId] {
+					t.Errorf("%s has two final answers", d.MessageId)
 				}
-				ends[d.MessageId] = true
-				tally[fmt.Sprint(d.Type, n)]++
-			case <-time.After(long):
-				t.Fatalf("ends of %v only", ends)
+				finalAnswers[d.MessageId] = true
+				counts[fmt.Sprint(d.Type, n)]++
+			case <-time.After(hangTimeout):
+				t.Fatalf("final answers of %v only", finalAnswers)
 			}
 		}
 	}
-	if out := tally["failed1"]; out < senders || out == senders*charges || out+tally["delivered1"] != senders*charges {
-		t.Errorf("ends, with how often each was applied: %v", tally)
+	if out := counts["failed1"]; out < senders || out == senders*charges || out+counts["delivered1"] != senders*charges {
+		t.Errorf("final answers, with how often each message was applied: %v", counts)
 	}
 }
--- a/interop/secure_test.go
+++ b/interop/secure_test.go
@@ -17,19 +17,19 @@
 	amqp "github.com/rabbitmq/amqp091-go"
 )
 
-// run runs a sub-command of the program and gives what it prints.
+// run runs a subcommand of the program and returns its output.
 func run(t *testing.T, in string, args ...string) string {
 	t.Helper()
-	c := exec.Command(program, args...)
-	c.Stdin = strings.NewReader(in)
-	out, err := c.Output()
+	command := exec.Command(program, args...)
+	command.Stdin = strings.NewReader(in)
+	out, err := command.Output()
 	if err != nil {
 		t.Fatalf("%v: %v", args, err)
 	}
 	return strings.TrimSpace(string(out))
 }
 
-// secure is a site under TLS with two users, one of whom comes by certificate, and two virtual hosts.
+// secure is a site with TLS, two virtual hosts and two users, one of which authenticates by certificate.
 type secure struct {
 	*site
 	keys string
@@ -38,7 +38,7 @@
 
 func startSecure(t *testing.T) *secure {
 	t.Helper()
-	s := &secure{site: prepare(t), addr: free(t)}
+	s := &secure{site: prepare(t), addr: freeAddr(t)}
 	s.keys = filepath.Join(s.dir, "keys")
 	run(t, "", "keys", "init", "--dir", s.keys)
 	run(t, "", "keys", "server", "--dir", s.keys, "127.0.0.1")
@@ -49,11 +49,12 @@
 	return s
 }
 
-// accounts writes the file with a password for lab, and with or without the robot's right to the second host.
+// accounts writes the configuration with a password for lab, and with or without the robot's permission on the second
+// virtual host.
 func (s *secure) accounts(password string, robot bool) {
-	who := "lab"
+	account := "lab"
 	if robot {
-		who = "robot"
+		account = "robot"
 	}
 	s.write(fmt.Sprintf(`exchange = "messages"
 [amqp.tls]
@@ -76,10 +77,10 @@
 user = %q
 publish = "[0-9]+"
 read = "night-.*"
-`, s.addr, run(s.t, password+"\n", "passwd"), who))
+`, s.addr, run(s.t, password+"\n", "passwd"), account))
 }
 
-// config is a client's side of TLS, with a certificate of that name or none.
+// config returns a client's TLS configuration, with the certificate of that name, or without one if name is empty.
 func (s *secure) config(name string) *tls.Config {
 	s.t.Helper()
 	ca, err := os.ReadFile(filepath.Join(s.keys, "ca.pem"))
@@ -110,22 +111,22 @@
 	return amqp.DialConfig("amqps://"+s.addr+"/", cfg)
 }
 
-// again has the sender read its file again, and waits until a newcomer finds that done.
-func (s *secure) again(done func() bool) {
+// reload makes the sender read its configuration again and waits until done reports that a new connection sees it.
+func (s *secure) reload(done func() bool) {
 	s.t.Helper()
 	if err := s.proc.Signal(syscall.SIGHUP); err != nil {
 		s.t.Fatal(err)
 	}
-	for began := time.Now(); !done(); time.Sleep(5 * time.Millisecond) {
-		if time.Since(began) > long {
-			s.t.Fatal("the new file was not taken up")
+	for started := time.Now(); !done(); time.Sleep(5 * time.Millisecond) {
+		if time.Since(started) > hangTimeout {
+			s.t.Fatal("the new configuration was not applied")
 		}
 	}
 }
 
-// Clients come under TLS by password or certificate into their hosts; passwords, certificates and
-// rights that are changed by SIGHUP count for newcomers, and what is open goes on unless its right
-// is gone.
+// Clients must be able to connect with TLS to their virtual hosts by password or certificate. Passwords, certificates
+// and permissions that are changed by SIGHUP must apply to new connections, and open connections must continue unless
+// their permission was removed.
 func TestSecure(t *testing.T) {
 	s := startSecure(t)
 	work := func(c *amqp.Connection, id, exchange, queue string) error {
@@ -143,9 +144,9 @@
 			return err
 		}
 		if !d.Wait() {
-			return errors.New("refused")
+			return errors.New("the publish was rejected")
 		}
-		return errors.Join(s.answered(answers, id), ch.Close())
+		return errors.Join(s.checkDelivered(answers, id), ch.Close())
 	}
 	lab, err := s.dial("first", "", "/")
 	if err != nil {
@@ -159,7 +160,7 @@
 		work(robot, "two", "runs", "night-answers")); err != nil {
 		t.Fatal(err)
 	}
-	if err := refused(work(robot, "x", "runs", "day-answers"), 403); err != nil {
+	if err := wantError(work(robot, "x", "runs", "day-answers"), 403); err != nil {
 		t.Fatal(err)
 	}
 	for _, bad := range []struct {
@@ -176,39 +177,39 @@
 		if err == nil {
 			_ = c.Close()
 		}
-		if bad.code != 0 && refused(err, bad.code) != nil || err == nil {
+		if bad.code != 0 && wantError(err, bad.code) != nil || err == nil {
 			t.Errorf("%+v: %v", bad, err)
 		}
 	}
 
-	// A new password and a new server's certificate: what is open goes on.
+	// With a new password and a new server certificate, open connections continue.
 	before := s.serial()
 	s.accounts("second", true)
 	run(t, "", "keys", "server", "--dir", s.keys, "127.0.0.1")
-	s.again(func() bool { return !bytes.Equal(s.serial(), before) })
+	s.reload(func() bool { return !bytes.Equal(s.serial(), before) })
 	if err := errors.Join(work(lab, "three", "messages", "answers"),
 		work(robot, "four", "runs", "night-answers")); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := s.dial("first", "", "/"); refused(err, 403) != nil {
+	if _, err := s.dial("first", "", "/"); wantError(err, 403) != nil {
 		t.Error(err)
 	}
 	if c, err := s.dial("second", "", "/"); err != nil || c.Close() != nil {
 		t.Error(err)
 	}
 
-	// A right that is taken away ends the connections that live by it, and a certificate that is revoked lets nobody in.
+	// Removing a permission ends the connections that depend on it, and a revoked certificate is rejected.
 	ended := robot.NotifyClose(make(chan *amqp.Error, 1))
 	run(t, "", "keys", "revoke", "--dir", s.keys, filepath.Join(s.keys, "robot.pem"))
 	s.accounts("second", false)
-	s.again(func() bool { c, err := s.dial("second", "", "night"); return err == nil && c.Close() == nil })
+	s.reload(func() bool { c, err := s.dial("second", "", "night"); return err == nil && c.Close() == nil })
 	select {
 	case e := <-ended:
 		if e.Code != 320 {
 			t.Error(e)
 		}
-	case <-time.After(long):
-		t.Error("the robot is still there")
+	case <-time.After(hangTimeout):
+		t.Error("the connection of robot was not closed")
 	}
 	if _, err := s.dial("", "robot", "/"); err == nil || !strings.Contains(err.Error(), "bad certificate") {
 		t.Error(err)
@@ -222,7 +223,7 @@
 	}
 }
 
-// serial is that of the certificate that newcomers are shown.
+// serial returns the serial number of the certificate that new connections receive.
 func (s *secure) serial() []byte {
 	c, err := tls.Dial("tcp", s.addr, s.config(""))
 	if err != nil {
