--- a/internal/load/restartplot.go
+++ b/internal/load/restartplot.go
@@ -66,8 +66,8 @@
 	`<th>most in half a second</th><th>calls in 10 s</th>` +
 	`<th>refused</th><th>a second's work behind after</th></tr>
 {{range $i, $games := .All}}{{range $j, $r := $games}}<tr><td>{{index $.Names $i}}</td><td>{{$j}}</td>` +
-	`<td>{{$r.Most}}</td><td>{{$r.Calls}}</td><td>{{$r.Refused}}</td>` +
-	`<td>{{if $r.Behind}}{{$r.Behind}}{{else}}never{{end}}</td></tr>
+	`<td>{{$r.PeakCalls}}</td><td>{{$r.Calls}}</td><td>{{$r.Refused}}</td>` +
+	`<td>{{if $r.CaughtUpAfter}}{{$r.CaughtUpAfter}}{{else}}never{{end}}</td></tr>
 {{end}}{{end}}</table></body></html>
 `))
 
