--- a/internal/net/reactor/reuse_test.go
+++ b/internal/net/reactor/reuse_test.go
@@ -175,15 +175,15 @@
 	e.checkEcho(oldClient)
 	_ = spare.Close()
 	descriptor := oldConn.socket.Load().Hash()
-	e.ln.Pause()
-	newClient := e.dial()    // waits in the backlog
-	fillBelow(t, descriptor) // the close of the client's descriptor lets the accept succeed
 	accepted := make(chan bool, 9)
 	defer failpoint.SetHook(func(p failpoint.Point) {
 		if p == failpoint.ConnectionAccepted {
 			accepted <- true
 		}
 	})()
+	e.ln.Pause()
+	newClient := e.dial()    // waits in the backlog, unless an accept under way takes it; then the test tries again
+	fillBelow(t, descriptor) // the close of the client's descriptor lets the accept succeed
 	open := false
 	e.runOnLoop(func() { // the loop handles the end of the old connection after accepting the new one
 		_ = oldClient.SetLinger(0)
